--- a/src/staging/keeper.rs
+++ b/src/staging/keeper.rs
@@ -6,7 +6,7 @@
 use crate::observe::LogLine;
 use crate::observe::Metrics;
 use crate::staging::EnginePort;
-use crate::staging::Goal;
+use crate::staging::NextLoad;
 use crate::staging::StagingState;
 use crate::staging::transfer::Transfer;
 use crate::weights::OriginPort;
@@ -63,7 +63,7 @@
 /// Orders the engine to load, if its turn has come and it is not busy.
 ///
 /// The pieces are staged and checked before, while the engine still serves.
-async fn order<E: EnginePort, O: OriginPort>(transfer: &Transfer<'_, E, O>, goal: Goal) {
+async fn order<E: EnginePort, O: OriginPort>(transfer: &Transfer<'_, E, O>, goal: NextLoad) {
     let state = transfer.state;
     if !is_due(&state.borrow(), transfer.model, goal, STAGE_LEAD_MS)
         || !transfer.stage_pieces().await
@@ -109,7 +109,7 @@
 }
 
 /// Whether an order for `goal` may be given in `ahead_ms`.
-fn is_due(state: &StagingState, model: &str, goal: Goal, ahead_ms: i64) -> bool {
+fn is_due(state: &StagingState, model: &str, goal: NextLoad, ahead_ms: i64) -> bool {
     let is_turn = state.now_ms() as i64 + ahead_ms >= goal.not_before_ms;
     let is_free = state.report.as_ref().is_some_and(|report| !report.is_busy);
     is_turn && is_free && state.is_whole(model, goal.version)
--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -5,10 +5,10 @@
 //! leaves the origin, and each link between regions carries each piece once.
 //! What the wire calls things is behind the traits in `ports`.
 
-mod goal;
 mod keeper;
 mod manifest;
 mod near_entry;
+mod next_load;
 mod pieces;
 mod ports;
 mod process;
@@ -20,12 +20,12 @@
 mod swarm_reads;
 mod transfer;
 
-pub use goal::Gathering;
-pub use goal::Goal;
-pub use goal::GoalInput;
-pub use goal::next_goal;
 pub use near_entry::NearEntry;
 pub use near_entry::entries_for;
+pub use next_load::DownloadProgress;
+pub use next_load::NextLoad;
+pub use next_load::NextLoadInput;
+pub use next_load::next_load;
 pub use ports::EnginePort;
 pub use ports::EngineReport;
 pub use process::run;
--- a/src/staging/goal.rs
+++ b/src/staging/next_load.rs
@@ -20,7 +20,7 @@
 
 /// Where gathering a version stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Gathering {
+pub struct DownloadProgress {
     /// Version.
     pub version: u64,
     /// Steady time at which it began.
@@ -33,7 +33,7 @@
 
 /// All that the next version to load depends on.
 #[derive(Debug, Clone, Copy)]
-pub struct GoalInput<'a> {
+pub struct NextLoadInput<'a> {
     /// Steady time.
     pub now_ms: i64,
     /// Version that the engine holds, or was ordered to load; 0 for none.
@@ -41,7 +41,7 @@
     /// Declarations, by rising version.
     pub declared: &'a [Declaration],
     /// What was gathered of each version.
-    pub gatherings: &'a [Gathering],
+    pub gatherings: &'a [DownloadProgress],
     /// Time within which new weights must answer every request.
     pub apply_ms: i64,
     /// Place of this engine among those of its service, from 0 to 1.
@@ -50,7 +50,7 @@
 
 /// What to load next, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Goal {
+pub struct NextLoad {
     /// Version.
     pub version: u64,
     /// Steady time before which it is not to be loaded.
@@ -63,7 +63,7 @@
 /// over for a newer one that can be gathered before the first is due, unless
 /// the newer one can't be had. Engines that serve take turns from the time at
 /// which all have the pieces until the version is due.
-pub fn next_goal(input: &GoalInput<'_>) -> Option<Goal> {
+pub fn next_load(input: &NextLoadInput<'_>) -> Option<NextLoad> {
     let open = input.declared.partition_point(|d| d.version <= input.held);
     let (first, newest) = match &input.declared[open..] {
         [] => return None,
@@ -88,14 +88,14 @@
     } else {
         first_ms + ((last_ms - first_ms) as f64 * input.turn) as i64
     };
-    Some(Goal {
+    Some(NextLoad {
         version: chosen.version,
         not_before_ms,
     })
 }
 
 fn choose<'a>(
-    input: &GoalInput<'_>,
+    input: &NextLoadInput<'_>,
     first: &'a Declaration,
     newest: &'a Declaration,
     due_ms: i64,
--- a/src/staging/stage.rs
+++ b/src/staging/stage.rs
@@ -1,6 +1,6 @@
 use std::rc::Rc;
 
-use crate::staging::Gathering;
+use crate::staging::DownloadProgress;
 use crate::weights::HaveMap;
 use crate::weights::PieceManifest;
 
@@ -142,10 +142,10 @@
     }
 
     /// Where gathering each version stands.
-    pub fn gatherings(&self) -> Vec<Gathering> {
+    pub fn gatherings(&self) -> Vec<DownloadProgress> {
         self.copies
             .iter()
-            .map(|copy| Gathering {
+            .map(|copy| DownloadProgress {
                 version: copy.manifest.version,
                 began_ms: copy.began_ms,
                 progress_ms: copy.progress_ms,
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -23,10 +23,10 @@
 use crate::staging::NearEntry;
 use crate::staging::Stage;
 use crate::staging::StagingSettings;
-use crate::staging::goal::Gathering;
-use crate::staging::goal::Goal;
-use crate::staging::goal::GoalInput;
-use crate::staging::goal::next_goal;
+use crate::staging::next_load::DownloadProgress;
+use crate::staging::next_load::NextLoad;
+use crate::staging::next_load::NextLoadInput;
+use crate::staging::next_load::next_load;
 use crate::weights::HaveMap;
 
 /// Version that engines hold before any was declared.
@@ -205,7 +205,7 @@
     }
 
     /// What to load next of `model`; None when nothing newer is declared.
-    pub fn goal(&self, model: &str) -> Option<Goal> {
+    pub fn goal(&self, model: &str) -> Option<NextLoad> {
         let mut declared: Vec<Declaration> = self.declared.of(model).cloned().collect();
         if declared.is_empty() {
             declared.push(Declaration {
@@ -215,13 +215,13 @@
                 is_exact: false,
             });
         }
-        let gatherings: Vec<Gathering> = self
+        let gatherings: Vec<DownloadProgress> = self
             .stages
             .iter()
             .filter(|stage| stage.model == model)
             .flat_map(Stage::gatherings)
             .collect();
-        next_goal(&GoalInput {
+        next_load(&NextLoadInput {
             now_ms: self.now_ms() as i64,
             held: self.held(model),
             declared: &declared,
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -4,12 +4,12 @@
 mod piece_spread;
 
 use bergamotfork::fleet::Declaration;
-use bergamotfork::staging::Gathering;
-use bergamotfork::staging::Goal;
-use bergamotfork::staging::GoalInput;
+use bergamotfork::staging::DownloadProgress;
+use bergamotfork::staging::NextLoad;
+use bergamotfork::staging::NextLoadInput;
 use bergamotfork::staging::PullPlan;
 use bergamotfork::staging::Stage;
-use bergamotfork::staging::next_goal;
+use bergamotfork::staging::next_load;
 use bergamotfork::weights::PieceManifest;
 
 const APPLY_MS: i64 = 8_000;
@@ -26,8 +26,8 @@
         .collect()
 }
 
-fn gathering(version: u64, began_ms: i64, progress_ms: i64, is_whole: bool) -> Gathering {
-    Gathering {
+fn gathering(version: u64, began_ms: i64, progress_ms: i64, is_whole: bool) -> DownloadProgress {
+    DownloadProgress {
         version,
         began_ms,
         progress_ms,
@@ -39,10 +39,10 @@
     now_ms: i64,
     held: u64,
     entries: &[(u64, i64)],
-    gatherings: &[Gathering],
+    gatherings: &[DownloadProgress],
     turn: f64,
-) -> Option<Goal> {
-    next_goal(&GoalInput {
+) -> Option<NextLoad> {
+    next_load(&NextLoadInput {
         now_ms,
         held,
         declared: &declared(entries),
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn next_goal_nothing_newer() {
+fn next_load_nothing_newer() {
     assert_eq!(goal(0, 2, &[(1, 0), (2, 0)], &[], 0.0), None);
 }
 
 #[test]
-fn next_goal_turns_spread_until_due() {
+fn next_load_turns_spread_until_due() {
     let turns: Vec<i64> = (0..20)
         .map(|slot| {
             let turn = f64::from(slot) / 20.0;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn next_goal_turns_spread_after_first_version() {
+fn next_load_turns_spread_after_first_version() {
     // The margins before a version that nothing precedes once wrapped around.
     let early = goal(100, 1, &[(2, 0)], &[], 0.0).unwrap();
     let late = goal(100, 1, &[(2, 0)], &[], 0.95).unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn next_goal_empty_engine_loads_at_once() {
+fn next_load_empty_engine_loads_at_once() {
     assert_eq!(
         goal(9_000, 0, &[(1, 0)], &[], 0.9).unwrap().not_before_ms,
         9_000
@@ -96,20 +96,20 @@
 }
 
 #[test]
-fn next_goal_unknown_age_loads_at_once() {
+fn next_load_unknown_age_loads_at_once() {
     // A restarted process takes what it finds for due.
     let goal = goal(50, 1, &[(2, 50 - APPLY_MS)], &[], 0.9).unwrap();
     assert!(goal.not_before_ms <= 50);
 }
 
 #[test]
-fn next_goal_later_version_in_time_passes_first_over() {
+fn next_load_later_version_in_time_passes_first_over() {
     let goal = goal(4_100, 1, &[(2, 0), (3, 4_000)], &[], 0.9).unwrap();
     assert_eq!(goal.version, 3);
 }
 
 #[test]
-fn next_goal_stuck_later_version_falls_back() {
+fn next_load_stuck_later_version_falls_back() {
     let held = [
         gathering(2, 100, 2_400, true),
         gathering(3, 2_100, 2_500, false),
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn next_goal_too_late_for_later_version_keeps_first() {
+fn next_load_too_late_for_later_version_keeps_first() {
     let held = [gathering(2, 100, 2_400, true)];
     let goal = goal(5_900, 1, &[(2, 0), (3, 5_800)], &held, 0.9).unwrap();
     assert_eq!(goal.version, 2);
 }
 
 #[test]
-fn next_goal_after_passed_over_version_waits_for_its_due_time() {
+fn next_load_after_passed_over_version_waits_for_its_due_time() {
     // Those that passed version 2 over load until it is due.
     let goal = goal(6_000, 2, &[(2, 0), (3, 4_000)], &[], 0.0).unwrap();
     assert!(goal.not_before_ms >= APPLY_MS - 1_500);
