--- a/src/staging/pull_plan.rs
+++ b/src/staging/fetch_schedule.rs
@@ -4,16 +4,16 @@
 /// once is in the beats, so each lets a random time pass before it asks, and
 /// asks whoever has the news by then.
 #[derive(Debug, Default)]
-pub struct PullPlan {
+pub struct FetchSchedule {
     not_before_ms: Option<u64>,
     is_running: bool,
 }
 
-impl PullPlan {
+impl FetchSchedule {
     /// Whether a read starts now that an entry has news; it counts as started.
     ///
     /// The first news after a read is waited on for `wait_ms`.
-    pub fn starts(&mut self, now_ms: u64, wait_ms: u64) -> bool {
+    pub fn try_start(&mut self, now_ms: u64, wait_ms: u64) -> bool {
         if self.is_running {
             return false;
         }
@@ -25,7 +25,7 @@
     }
 
     /// Notes that the read has ended.
-    pub fn ended(&mut self) {
+    pub fn finish(&mut self) {
         *self = Self::default();
     }
 }
--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -6,7 +6,7 @@
 use crate::http1::Ask;
 use crate::http1::Client;
 use crate::staging::EnginePort;
-use crate::staging::entries_for;
+use crate::staging::assign_pieces;
 use crate::staging::transfer::Transfer;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
@@ -48,7 +48,7 @@
                 }
             }
             if wait.is_zero() {
-                if self.state.borrow().near_entries().is_empty()
+                if self.state.borrow().relay_entries().is_empty()
                     && let Some(manifest) = self.manifest_from_origin().await
                 {
                     return Some(self.keep_manifest(manifest));
@@ -83,7 +83,7 @@
             .iter()
             .filter(|h| h.model == self.model && h.version == self.version);
         let hosts = holders.map(|holder| holder.address).take(1);
-        let entry = entries_for(1, &state.near_entries()).first().copied();
+        let entry = assign_pieces(1, &state.relay_entries()).first().copied();
         hosts.chain(entry.map(|entry| entry.address)).collect()
     }
 
--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -5,14 +5,14 @@
 //! leaves the origin, and each link between regions carries each piece once.
 //! What the wire calls things is behind the traits in `ports`.
 
+mod fetch_schedule;
 mod keeper;
 mod manifest;
-mod near_entry;
 mod next_load;
 mod pieces;
 mod ports;
 mod process;
-mod pull_plan;
+mod relay_entry;
 mod reporter;
 mod settings;
 mod stage;
@@ -20,8 +20,7 @@
 mod swarm_reads;
 mod transfer;
 
-pub use near_entry::NearEntry;
-pub use near_entry::entries_for;
+pub use fetch_schedule::FetchSchedule;
 pub use next_load::DownloadProgress;
 pub use next_load::NextLoad;
 pub use next_load::NextLoadInput;
@@ -29,7 +28,8 @@
 pub use ports::EnginePort;
 pub use ports::EngineReport;
 pub use process::run;
-pub use pull_plan::PullPlan;
+pub use relay_entry::RelayEntry;
+pub use relay_entry::assign_pieces;
 pub use settings::StagingSettings;
 pub use stage::Stage;
 pub use stage::WeightsCopy;
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -27,9 +27,9 @@
 use crate::staging::EnginePort;
 use crate::staging::StagingSettings;
 use crate::staging::StagingState;
+use crate::staging::fetch_schedule::FetchSchedule;
 use crate::staging::keeper::keep_weights;
 use crate::staging::pieces::Pieces;
-use crate::staging::pull_plan::PullPlan;
 use crate::staging::reporter::report_load;
 use crate::staging::state::Holder;
 use crate::weights::OriginPort;
@@ -60,7 +60,7 @@
 
 /// Longest wait before records are read from an entry, in ms: less than the time
 /// in which a configuration must be in force.
-const PULL_SPREAD_MS: u64 = 1_500;
+const MAX_FETCH_DELAY_MS: u64 = 1_500;
 
 /// Topics that an endpoint process follows.
 const TOPICS: [Topic; 2] = [Topic::Operator, Topic::Replicas];
@@ -156,7 +156,7 @@
     socket: Rc<UdpSocket>,
     decoder: Rc<impl RecordDecoder + 'static>,
 ) {
-    let pulls: Rc<RefCell<[PullPlan; 3]>> = Rc::default();
+    let schedules: Rc<RefCell<[FetchSchedule; 3]>> = Rc::default();
     for_each_datagram(&socket, |datagram, _| match datagram {
         Datagram::Beat(beat) => {
             {
@@ -172,12 +172,13 @@
                         && (topic == Topic::Operator || state.is_gathering());
                     (is_behind, state.now_ms())
                 };
-                let wait_ms = rand::rng().random_range(0..PULL_SPREAD_MS);
-                if is_behind && pulls.borrow_mut()[topic as usize].starts(now_ms, wait_ms) {
-                    let (state, decoder, pulls) = (state.clone(), decoder.clone(), pulls.clone());
+                let wait_ms = rand::rng().random_range(0..MAX_FETCH_DELAY_MS);
+                if is_behind && schedules.borrow_mut()[topic as usize].try_start(now_ms, wait_ms) {
+                    let (state, decoder, schedules) =
+                        (state.clone(), decoder.clone(), schedules.clone());
                     actix_rt::spawn(async move {
                         pull_records(&state, topic, beat.internal, &*decoder).await;
-                        pulls.borrow_mut()[topic as usize].ended();
+                        schedules.borrow_mut()[topic as usize].finish();
                     });
                 }
             }
@@ -205,7 +206,7 @@
         let interval = {
             let state = state.borrow();
             let hosts = u32::try_from(state.replicas.len()).unwrap_or(u32::MAX);
-            let interval = if state.near_entries().is_empty() {
+            let interval = if state.relay_entries().is_empty() {
                 NOTE_INTERVAL
             } else {
                 SPARE_NOTE_INTERVAL
@@ -228,7 +229,7 @@
 fn notes(state: &StagingState) -> Vec<(Vec<u8>, SocketAddr)> {
     let own = state.settings.internal;
     let settings = &state.settings;
-    let is_alone = state.near_entries().is_empty();
+    let is_alone = state.relay_entries().is_empty();
     let region = settings.region(&settings.failure_domain);
     let replicas = state
         .replicas
--- a/src/staging/near_entry.rs
+++ b/src/staging/relay_entry.rs
@@ -4,7 +4,7 @@
 
 /// An entry through which weights pass.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct NearEntry {
+pub struct RelayEntry {
     /// Address for internal calls.
     pub address: SocketAddr,
     /// Bandwidth of its link.
@@ -19,10 +19,10 @@
 ///
 /// Wide links carry more pieces, and no link many more than its share: an engine
 /// waits for the last piece. All hosts that know the same entries agree.
-pub fn entries_for(pieces: u32, entries: &[NearEntry]) -> Vec<NearEntry> {
+pub fn assign_pieces(pieces: u32, entries: &[RelayEntry]) -> Vec<RelayEntry> {
     let names: Vec<String> = entries.iter().map(|e| e.address.to_string()).collect();
     let all_mbps: f64 = entries.iter().map(|entry| entry.link_mbps).sum();
-    let most = |entry: &NearEntry| {
+    let most = |entry: &RelayEntry| {
         let share = f64::from(pieces) * entry.link_mbps / all_mbps.max(f64::MIN_POSITIVE);
         (share * SHARE_SLACK).ceil() as u32
     };
--- a/src/staging/reporter.rs
+++ b/src/staging/reporter.rs
@@ -60,7 +60,7 @@
     log_change(state.report.as_ref(), report.as_ref());
     state.report = report;
     let bytes = Datagram::Load(load_report(&state, with_ages)).encode();
-    let near = state.near_entries();
+    let near = state.relay_entries();
     let is_near = |address: &SocketAddr| near.iter().any(|entry| entry.address == *address);
     let targets = state.entries().filter(|e| to_far || is_near(e));
     for entry in targets {
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -20,7 +20,7 @@
 use crate::gateway::TopicSink;
 use crate::gateway::reject_record;
 use crate::staging::EngineReport;
-use crate::staging::NearEntry;
+use crate::staging::RelayEntry;
 use crate::staging::Stage;
 use crate::staging::StagingSettings;
 use crate::staging::next_load::DownloadProgress;
@@ -52,8 +52,8 @@
 }
 
 impl KnownEntry {
-    fn near(&self) -> NearEntry {
-        NearEntry {
+    fn near(&self) -> RelayEntry {
+        RelayEntry {
             address: self.address,
             link_mbps: self.link_mbps,
         }
@@ -152,7 +152,7 @@
     }
 
     /// Entries heard from lately; those of the own region, if there are any.
-    pub fn near_entries(&self) -> Vec<NearEntry> {
+    pub fn relay_entries(&self) -> Vec<RelayEntry> {
         let now_ms = self.now_ms();
         let alive: Vec<&KnownEntry> = self
             .entries
@@ -161,7 +161,7 @@
             .collect();
         let region = self.settings.region(&self.settings.failure_domain);
         let is_near = |entry: &&&KnownEntry| self.settings.region(&entry.failure_domain) == region;
-        let near: Vec<NearEntry> = alive.iter().filter(is_near).map(|e| e.near()).collect();
+        let near: Vec<RelayEntry> = alive.iter().filter(is_near).map(|e| e.near()).collect();
         if near.is_empty() {
             return alive.iter().map(|entry| entry.near()).collect();
         }
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_reads.rs
@@ -157,7 +157,7 @@
             in_flight: &planned,
             neighbours: &neighbours,
             // While entries live, they alone read the origin.
-            origin_blocked_until_ms: if state.near_entries().is_empty() {
+            origin_blocked_until_ms: if state.relay_entries().is_empty() {
                 blocked_until(Source::Origin)
             } else {
                 u64::MAX
--- a/src/staging/transfer.rs
+++ b/src/staging/transfer.rs
@@ -15,7 +15,7 @@
 use crate::observe::Tally;
 use crate::staging::EnginePort;
 use crate::staging::StagingState;
-use crate::staging::entries_for;
+use crate::staging::assign_pieces;
 use crate::weights::HaveMap;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
@@ -242,7 +242,7 @@
         blocked: &[(Place, u64)],
         is_slow: bool,
     ) -> Option<Vec<Read>> {
-        let mut entries = self.state.borrow().near_entries();
+        let mut entries = self.state.borrow().relay_entries();
         let is_blocked =
             |address: SocketAddr| blocked.iter().any(|block| block.0 == Place::Entry(address));
         entries.retain(|entry| !is_blocked(entry.address));
@@ -254,7 +254,7 @@
         if room == 0 {
             return Some(Vec::new());
         }
-        let carriers = entries_for(have.len(), &entries);
+        let carriers = assign_pieces(have.len(), &entries);
         let is_free = |chunk: &u32| {
             !have.contains(*chunk) && in_flight.iter().all(|read| read.chunk != *chunk)
         };
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -5,9 +5,9 @@
 
 use bergamotfork::fleet::Declaration;
 use bergamotfork::staging::DownloadProgress;
+use bergamotfork::staging::FetchSchedule;
 use bergamotfork::staging::NextLoad;
 use bergamotfork::staging::NextLoadInput;
-use bergamotfork::staging::PullPlan;
 use bergamotfork::staging::Stage;
 use bergamotfork::staging::next_load;
 use bergamotfork::weights::PieceManifest;
@@ -188,12 +188,12 @@
 
 /// What hosts need at once is in the beats: they do not all read at once.
 #[test]
-fn pull_plan_waits_and_runs_once() {
-    let mut plan = PullPlan::default();
-    assert!(!plan.starts(1_000, 400));
-    assert!(!plan.starts(1_300, 0), "the first wait stands");
-    assert!(plan.starts(1_400, 400));
-    assert!(!plan.starts(5_000, 0), "one read at a time");
-    plan.ended();
-    assert!(!plan.starts(5_000, 400));
+fn fetch_schedule_waits_and_runs_once() {
+    let mut plan = FetchSchedule::default();
+    assert!(!plan.try_start(1_000, 400));
+    assert!(!plan.try_start(1_300, 0), "the first wait stands");
+    assert!(plan.try_start(1_400, 400));
+    assert!(!plan.try_start(5_000, 0), "one read at a time");
+    plan.finish();
+    assert!(!plan.try_start(5_000, 400));
 }
--- a/tests/staging/piece_spread.rs
+++ b/tests/staging/piece_spread.rs
@@ -1,7 +1,7 @@
 use std::collections::VecDeque;
 
-use bergamotfork::staging::NearEntry;
-use bergamotfork::staging::entries_for;
+use bergamotfork::staging::RelayEntry;
+use bergamotfork::staging::assign_pieces;
 
 const PIECES: u32 = 48;
 const PIECE_BITS: f64 = 49_152.0 * 8.0;
@@ -25,9 +25,9 @@
 }
 
 /// Two entries with wide links and ten with narrow ones, as in one region.
-fn entries() -> Vec<NearEntry> {
+fn entries() -> Vec<RelayEntry> {
     (0..12)
-        .map(|index| NearEntry {
+        .map(|index| RelayEntry {
             address: format!("10.0.0.{}:7", index + 1).parse().unwrap(),
             link_mbps: if index < 2 { 200.0 } else { 40.0 },
         })
@@ -38,7 +38,7 @@
 /// origin one after the other, each host with two reads under way.
 fn spread_ms(hosts: usize) -> f64 {
     let entries = entries();
-    let carriers = entries_for(PIECES, &entries);
+    let carriers = assign_pieces(PIECES, &entries);
     let mut queues: Vec<VecDeque<(usize, u32)>> = vec![VecDeque::new(); entries.len()];
     let mut link_free_ms = vec![0.0f64; entries.len()];
     let mut hosts: Vec<Host> = (0..hosts)
@@ -92,16 +92,16 @@
 /// Engines must answer from new weights 9.7 s after their declaration, and load
 /// them in turns before that: half of the time is for the pieces.
 #[test]
-fn entries_for_many_hosts_get_pieces_in_time() {
+fn assign_pieces_many_hosts_in_time() {
     let took_ms = spread_ms(25);
     assert!(took_ms < 9_700.0 / 2.0, "{took_ms} ms");
 }
 
 /// Links carry pieces by their width, and few pieces move when an entry leaves.
 #[test]
-fn entries_for_shares_pieces_by_links() {
+fn assign_pieces_by_bandwidth() {
     let all = entries();
-    let chosen = entries_for(PIECES, &all);
+    let chosen = assign_pieces(PIECES, &all);
     assert_eq!(chosen.len(), PIECES as usize);
     let all_mbps: f64 = all.iter().map(|entry| entry.link_mbps).sum();
     for entry in &all {
@@ -109,7 +109,7 @@
         let share = f64::from(PIECES) * entry.link_mbps / all_mbps;
         assert!(carried <= (share * 1.1).ceil(), "{carried} of {share}");
     }
-    let fewer = entries_for(PIECES, &all[..11]);
+    let fewer = assign_pieces(PIECES, &all[..11]);
     let moved = chosen
         .iter()
         .zip(&fewer)
