--- a/src/staging/keeper.rs
+++ b/src/staging/keeper.rs
@@ -86,7 +86,9 @@
             let ordered = (transfer.model.to_owned(), transfer.version);
             let mut state = state.borrow_mut();
             state.ordered = Some(ordered);
-            state.stage(transfer.model).release(transfer.version);
+            state
+                .staged_model(transfer.model)
+                .free_buffers(transfer.version);
             LogLine::new(Event::OrderGiven)
         }
         Err(error) => LogLine::new(Event::OrderFailed).text("error", error.to_string()),
@@ -112,7 +114,7 @@
 fn is_due(state: &StagingState, model: &str, goal: NextLoad, ahead_ms: i64) -> bool {
     let is_turn = state.now_ms() as i64 + ahead_ms >= goal.not_before_ms;
     let is_free = state.report.as_ref().is_some_and(|report| !report.is_busy);
-    is_turn && is_free && state.is_whole(model, goal.version)
+    is_turn && is_free && state.is_complete(model, goal.version)
 }
 
 impl StagingState {
--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -64,14 +64,18 @@
 
     pub(super) fn known_manifest(&self) -> Option<PieceManifest> {
         let mut state = self.state.borrow_mut();
-        let copy = state.stage(self.model).copy(self.version);
-        copy.map(|copy| copy.manifest.clone())
+        let download = state
+            .staged_model(self.model)
+            .version_download(self.version);
+        download.map(|download| download.manifest.clone())
     }
 
     fn keep_manifest(&self, manifest: PieceManifest) -> PieceManifest {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms() as i64;
-        state.stage(self.model).begin(manifest.clone(), now_ms);
+        state
+            .staged_model(self.model)
+            .start_download(manifest.clone(), now_ms);
         manifest
     }
 
--- a/src/staging/next_load.rs
+++ b/src/staging/next_load.rs
@@ -24,11 +24,11 @@
     /// Version.
     pub version: u64,
     /// Steady time at which it began.
-    pub began_ms: i64,
+    pub started_ms: i64,
     /// Steady time of the last new piece.
-    pub progress_ms: i64,
+    pub last_progress_ms: i64,
     /// Whether every piece is staged.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// All that the next version to load depends on.
@@ -41,7 +41,7 @@
     /// Declarations, by rising version.
     pub declared: &'a [Declaration],
     /// What was gathered of each version.
-    pub gatherings: &'a [DownloadProgress],
+    pub downloads: &'a [DownloadProgress],
     /// Time within which new weights must answer every request.
     pub apply_ms: i64,
     /// Place of this engine among those of its service, from 0 to 1.
@@ -100,9 +100,9 @@
     newest: &'a Declaration,
     due_ms: i64,
 ) -> &'a Declaration {
-    let of = |version| input.gatherings.iter().find(|g| g.version == version);
+    let of = |version| input.downloads.iter().find(|g| g.version == version);
     let is_stuck = |version| {
-        of(version).is_some_and(|g| !g.is_whole && input.now_ms >= g.progress_ms + STUCK_MS)
+        of(version).is_some_and(|g| !g.is_complete && input.now_ms >= g.last_progress_ms + STUCK_MS)
     };
     if input.held == 0 {
         let is_settled = input.now_ms >= newest.learned_ms + SETTLED_MS;
@@ -113,8 +113,8 @@
         };
     }
     let ready_ms = match of(newest.version) {
-        Some(g) if g.is_whole => input.now_ms,
-        Some(g) => (g.began_ms + GATHER_MS).max(input.now_ms),
+        Some(g) if g.is_complete => input.now_ms,
+        Some(g) => (g.started_ms + GATHER_MS).max(input.now_ms),
         None => input.now_ms + GATHER_MS,
     };
     if is_stuck(newest.version) {
--- a/src/staging/pieces.rs
+++ b/src/staging/pieces.rs
@@ -32,8 +32,11 @@
         let index: u32 = parts.next()?.parse().ok()?;
         let (staged, in_memory) = {
             let mut state = self.state.borrow_mut();
-            let stage = state.stage(model);
-            (stage.staged(index), stage.piece(version, index))
+            let stage = state.staged_model(model);
+            (
+                stage.staged_version(index),
+                stage.buffered_piece(version, index),
+            )
         };
         if let Some(bytes) = in_memory {
             return Some(InternalReply {
@@ -64,7 +67,10 @@
         let (model, version) = question.split_once('/')?;
         let version: u64 = version.parse().ok()?;
         let mut state = self.state.borrow_mut();
-        let manifest = &state.stage(model).copy(version)?.manifest;
+        let manifest = &state
+            .staged_model(model)
+            .version_download(version)?
+            .manifest;
         Some(InternalReply {
             status: 200,
             content_type: "application/msgpack",
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -248,14 +248,14 @@
     targets.sort_unstable();
     targets.dedup();
     let mut notes = Vec::new();
-    for stage in &state.stages {
-        for copy in stage.copies() {
-            let version = copy.manifest.version;
+    for stage in &state.staged_models {
+        for download in stage.downloads() {
+            let version = download.manifest.version;
             let note = Datagram::Have(HaveNote {
                 address: own,
                 model: stage.model.clone(),
                 version,
-                have: stage.have(version),
+                have: stage.held_pieces(version),
             });
             let bytes = note.encode();
             notes.extend(targets.iter().map(|target| (bytes.clone(), *target)));
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -21,7 +21,7 @@
 use crate::gateway::reject_record;
 use crate::staging::EngineReport;
 use crate::staging::RelayEntry;
-use crate::staging::Stage;
+use crate::staging::StagedModel;
 use crate::staging::StagingSettings;
 use crate::staging::next_load::DownloadProgress;
 use crate::staging::next_load::NextLoad;
@@ -89,7 +89,7 @@
     /// Whether the engine is about to get an order.
     pub is_ordering: bool,
     /// Staging area, one entry a model.
-    pub stages: Vec<Stage>,
+    pub staged_models: Vec<StagedModel>,
     /// What other hosts hold.
     pub holders: Vec<Holder>,
     // Ascending by address.
@@ -111,7 +111,7 @@
             replicas: Vec::new(),
             report: None,
             is_ordering: false,
-            stages: Vec::new(),
+            staged_models: Vec::new(),
             holders: Vec::new(),
             entries: Vec::new(),
             ordered: None,
@@ -215,17 +215,17 @@
                 is_exact: false,
             });
         }
-        let gatherings: Vec<DownloadProgress> = self
-            .stages
+        let downloads: Vec<DownloadProgress> = self
+            .staged_models
             .iter()
             .filter(|stage| stage.model == model)
-            .flat_map(Stage::gatherings)
+            .flat_map(StagedModel::download_progress)
             .collect();
         next_load(&NextLoadInput {
             now_ms: self.now_ms() as i64,
             held: self.held(model),
             declared: &declared,
-            gatherings: &gatherings,
+            downloads: &downloads,
             apply_ms: self.settings.weights_apply_ms as i64,
             turn: self.turn(),
         })
@@ -238,18 +238,18 @@
     pub fn to_gather(&self, model: &str) -> Option<u64> {
         let goal = self.goal(model);
         if let Some(goal) = goal {
-            if !self.is_whole(model, goal.version) {
+            if !self.is_complete(model, goal.version) {
                 return Some(goal.version);
             }
             if self.now_ms() as i64 >= goal.not_before_ms {
                 return None;
             }
             let latest = self.declared.of(model).last()?.version;
-            return (!self.is_whole(model, latest)).then_some(latest);
+            return (!self.is_complete(model, latest)).then_some(latest);
         }
         // Others may lack pieces that only lie here unchecked.
         let held = self.held(model);
-        (self.is_asked_for(model, held) && !self.is_whole(model, held)).then_some(held)
+        (self.is_asked_for(model, held) && !self.is_complete(model, held)).then_some(held)
     }
 
     /// Whether another host still lacks pieces of the version.
@@ -272,35 +272,42 @@
     }
 
     /// Whether every piece of `version` is held.
-    pub fn is_whole(&self, model: &str, version: u64) -> bool {
-        self.stages
+    pub fn is_complete(&self, model: &str, version: u64) -> bool {
+        self.staged_models
             .iter()
-            .any(|stage| stage.model == model && stage.is_whole(version))
+            .any(|stage| stage.model == model && stage.is_complete(version))
     }
 
     /// Whether pieces of `version` may go to the staging area at once: no version
     /// before it waits there for its order.
     pub fn may_overwrite(&self, model: &str, version: u64) -> bool {
         let held = self.held(model);
-        let waits = |stage: &Stage| {
-            stage.copies().iter().any(|copy| {
-                let other = copy.manifest.version;
-                other > held && other < version && stage.is_whole(other)
+        let waits = |stage: &StagedModel| {
+            stage.downloads().iter().any(|download| {
+                let other = download.manifest.version;
+                other > held && other < version && stage.is_complete(other)
             })
         };
-        !self.stages.iter().any(|s| s.model == model && waits(s))
+        !self
+            .staged_models
+            .iter()
+            .any(|s| s.model == model && waits(s))
     }
 
     /// Staging area of `model`.
-    pub fn stage(&mut self, model: &str) -> &mut Stage {
-        let at = match self.stages.iter().position(|stage| stage.model == model) {
+    pub fn staged_model(&mut self, model: &str) -> &mut StagedModel {
+        let at = match self
+            .staged_models
+            .iter()
+            .position(|stage| stage.model == model)
+        {
             Some(at) => at,
             None => {
-                self.stages.push(Stage::new(model));
-                self.stages.len() - 1
+                self.staged_models.push(StagedModel::new(model));
+                self.staged_models.len() - 1
             }
         };
-        &mut self.stages[at]
+        &mut self.staged_models[at]
     }
 
     /// Takes a note of what another host holds.
--- a/src/staging/transfer.rs
+++ b/src/staging/transfer.rs
@@ -95,7 +95,7 @@
         LogLine::new(Event::TransferStarted)
             .text("model", self.model)
             .number("version", self.version)
-            .number("held", self.have().count())
+            .number("held", self.held_pieces().count())
             .number("pieces", manifest.chunks())
             .write();
         self.fetch_missing(&manifest).await;
@@ -105,15 +105,22 @@
         self.state.borrow().to_gather(self.model) == Some(self.version)
     }
 
-    pub(super) fn have(&self) -> HaveMap {
-        self.state.borrow_mut().stage(self.model).have(self.version)
+    pub(super) fn held_pieces(&self) -> HaveMap {
+        self.state
+            .borrow_mut()
+            .staged_model(self.model)
+            .held_pieces(self.version)
     }
 
     /// Checks the staged pieces whose version is not known.
     async fn take_inventory(&self, manifest: &PieceManifest) {
         let mut engine = self.engine.clone();
         for index in 0..manifest.chunks() {
-            let staged = self.state.borrow_mut().stage(self.model).staged(index);
+            let staged = self
+                .state
+                .borrow_mut()
+                .staged_model(self.model)
+                .staged_version(index);
             if staged == 0 {
                 self.check_piece(&mut engine, manifest, index).await;
             }
@@ -127,12 +134,15 @@
             return false;
         };
         let mut engine = self.engine.clone();
-        let mut is_whole = true;
+        let mut all_staged = true;
         for index in 0..manifest.chunks() {
             let (staged, bytes) = {
                 let mut state = self.state.borrow_mut();
-                let stage = state.stage(self.model);
-                (stage.staged(index), stage.piece(self.version, index))
+                let stage = state.staged_model(self.model);
+                (
+                    stage.staged_version(index),
+                    stage.buffered_piece(self.version, index),
+                )
             };
             if staged == self.version && self.check_piece(&mut engine, &manifest, index).await {
                 continue;
@@ -141,9 +151,9 @@
                 Some(bytes) => self.write_piece(&mut engine, index, &bytes).await,
                 None => false,
             };
-            is_whole &= is_written && self.check_piece(&mut engine, &manifest, index).await;
+            all_staged &= is_written && self.check_piece(&mut engine, &manifest, index).await;
         }
-        is_whole
+        all_staged
     }
 
     async fn write_piece(&self, engine: &mut E, index: u32, bytes: &[u8]) -> bool {
@@ -167,7 +177,9 @@
         };
         let staged = if is_right { self.version } else { 0 };
         let mut state = self.state.borrow_mut();
-        state.stage(self.model).set_staged(index, staged);
+        state
+            .staged_model(self.model)
+            .set_staged_version(index, staged);
         is_right
     }
 
@@ -182,7 +194,7 @@
         let mut is_slow = false;
         let mut seed = started_ms;
         loop {
-            let have = self.have();
+            let have = self.held_pieces();
             if have.is_complete() {
                 LogLine::new(Event::WeightsStaged)
                     .text("model", self.model)
@@ -216,10 +228,10 @@
                 reads.push(async move { (read, now_ms, self.read(read.chunk, address).await) });
             }
             tokio::select! {
-                Some((read, began_ms, result)) = reads.next() => {
+                Some((read, read_started_ms, result)) = reads.next() => {
                     in_flight.retain(|other| *other != read);
                     let now_ms = self.state.borrow().now_ms();
-                    is_slow = now_ms.saturating_sub(began_ms) >= SLOW_READ_MS;
+                    is_slow = now_ms.saturating_sub(read_started_ms) >= SLOW_READ_MS;
                     if self.take_piece(manifest, read, result, &mut engine).await {
                         progress_ms = now_ms;
                     } else {
@@ -323,12 +335,12 @@
         let is_staged = is_free && self.write_piece(engine, read.chunk, &bytes).await;
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms() as i64;
-        let stage = state.stage(self.model);
+        let stage = state.staged_model(self.model);
         if is_staged {
-            stage.set_staged(read.chunk, self.version);
-            stage.note_progress(self.version, now_ms);
+            stage.set_staged_version(read.chunk, self.version);
+            stage.record_progress(self.version, now_ms);
         } else {
-            stage.keep_piece(self.version, read.chunk, bytes, now_ms);
+            stage.buffer_piece(self.version, read.chunk, bytes, now_ms);
         }
         true
     }
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -8,7 +8,7 @@
 use bergamotfork::staging::FetchSchedule;
 use bergamotfork::staging::NextLoad;
 use bergamotfork::staging::NextLoadInput;
-use bergamotfork::staging::Stage;
+use bergamotfork::staging::StagedModel;
 use bergamotfork::staging::next_load;
 use bergamotfork::weights::PieceManifest;
 
@@ -26,12 +26,17 @@
         .collect()
 }
 
-fn gathering(version: u64, began_ms: i64, progress_ms: i64, is_whole: bool) -> DownloadProgress {
+fn progress(
+    version: u64,
+    started_ms: i64,
+    last_progress_ms: i64,
+    is_complete: bool,
+) -> DownloadProgress {
     DownloadProgress {
         version,
-        began_ms,
-        progress_ms,
-        is_whole,
+        started_ms,
+        last_progress_ms,
+        is_complete,
     }
 }
 
@@ -39,14 +44,14 @@
     now_ms: i64,
     held: u64,
     entries: &[(u64, i64)],
-    gatherings: &[DownloadProgress],
+    downloads: &[DownloadProgress],
     turn: f64,
 ) -> Option<NextLoad> {
     next_load(&NextLoadInput {
         now_ms,
         held,
         declared: &declared(entries),
-        gatherings,
+        downloads,
         apply_ms: APPLY_MS,
         turn,
     })
@@ -111,8 +116,8 @@
 #[test]
 fn next_load_stuck_later_version_falls_back() {
     let held = [
-        gathering(2, 100, 2_400, true),
-        gathering(3, 2_100, 2_500, false),
+        progress(2, 100, 2_400, true),
+        progress(3, 2_100, 2_500, false),
     ];
     let entries = [(2, 0), (3, 2_000)];
     assert_eq!(goal(2_600, 1, &entries, &held, 0.9).unwrap().version, 3);
@@ -121,7 +126,7 @@
 
 #[test]
 fn next_load_too_late_for_later_version_keeps_first() {
-    let held = [gathering(2, 100, 2_400, true)];
+    let held = [progress(2, 100, 2_400, true)];
     let goal = goal(5_900, 1, &[(2, 0), (3, 5_800)], &held, 0.9).unwrap();
     assert_eq!(goal.version, 2);
 }
@@ -141,33 +146,33 @@
 }
 
 #[test]
-fn stage_keeps_waiting_version_whole() {
-    let mut stage = Stage::new("m");
-    stage.begin(manifest(2), 0);
+fn staged_model_keeps_complete_version() {
+    let mut model = StagedModel::new("m");
+    model.start_download(manifest(2), 0);
     for index in 0..3 {
-        stage.set_staged(index, 2);
+        model.set_staged_version(index, 2);
     }
-    stage.begin(manifest(3), 10);
-    stage.keep_piece(3, 0, vec![1], 20);
-    assert!(stage.is_whole(2));
-    assert!(!stage.is_whole(3));
-    assert_eq!(stage.have(3).count(), 1);
-    stage.keep_piece(3, 1, vec![1], 20);
-    stage.keep_piece(3, 2, vec![1], 20);
-    assert!(stage.is_whole(2) && stage.is_whole(3));
+    model.start_download(manifest(3), 10);
+    model.buffer_piece(3, 0, vec![1], 20);
+    assert!(model.is_complete(2));
+    assert!(!model.is_complete(3));
+    assert_eq!(model.held_pieces(3).count(), 1);
+    model.buffer_piece(3, 1, vec![1], 20);
+    model.buffer_piece(3, 2, vec![1], 20);
+    assert!(model.is_complete(2) && model.is_complete(3));
 }
 
 #[test]
-fn stage_release_frees_memory_only() {
-    let mut stage = Stage::new("m");
-    stage.begin(manifest(2), 0);
+fn staged_model_free_buffers_keeps_staged() {
+    let mut model = StagedModel::new("m");
+    model.start_download(manifest(2), 0);
     for index in 0..3 {
-        stage.keep_piece(2, index, vec![1], 5);
-        stage.set_staged(index, 2);
+        model.buffer_piece(2, index, vec![1], 5);
+        model.set_staged_version(index, 2);
     }
-    stage.release(2);
-    assert!(stage.piece(2, 0).is_none());
-    assert!(stage.is_whole(2));
+    model.free_buffers(2);
+    assert!(model.buffered_piece(2, 0).is_none());
+    assert!(model.is_complete(2));
 }
 
 #[test]
