--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -7,7 +7,7 @@
 use crate::http1::Client;
 use crate::staging::EnginePort;
 use crate::staging::assign_pieces;
-use crate::staging::transfer::Transfer;
+use crate::staging::weights_download::WeightsDownload;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
 use crate::weights::agreed_manifest;
@@ -21,7 +21,7 @@
 /// Pause before the origin is asked for a manifest again.
 const MANIFEST_PAUSE: Duration = Duration::from_millis(150);
 
-impl<E: EnginePort, O: OriginPort> Transfer<'_, E, O> {
+impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
     /// Reads the manifest from a host that has it, or from the origin.
     pub(super) async fn manifest(&self) -> Option<PieceManifest> {
         if let Some(known) = self.known_manifest() {
@@ -82,11 +82,11 @@
     /// Hosts that have the manifest, and an entry that can get it.
     fn manifest_holders(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let holders = state
-            .holders
+        let peer_pieces = state
+            .peer_pieces
             .iter()
             .filter(|h| h.model == self.model && h.version == self.version);
-        let hosts = holders.map(|holder| holder.address).take(1);
+        let hosts = peer_pieces.map(|holder| holder.address).take(1);
         let entry = assign_pieces(1, &state.relay_entries()).first().copied();
         hosts.chain(entry.map(|entry| entry.address)).collect()
     }
--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -6,10 +6,9 @@
 //! What the wire calls things is behind the traits in `ports`.
 
 mod fetch_schedule;
-mod keeper;
 mod manifest;
 mod next_load;
-mod pieces;
+mod piece_handler;
 mod ports;
 mod process;
 mod relay_entry;
@@ -17,8 +16,9 @@
 mod settings;
 mod staged_model;
 mod state;
-mod swarm_reads;
-mod transfer;
+mod swarm_fetches;
+mod weights_download;
+mod weights_manager;
 
 pub use fetch_schedule::FetchSchedule;
 pub use next_load::DownloadProgress;
--- a/src/staging/pieces.rs
+++ b/src/staging/piece_handler.rs
@@ -15,7 +15,7 @@
 
 /// Gives pieces and manifests to other hosts.
 #[derive(Debug)]
-pub struct Pieces<E> {
+pub struct PieceHandler<E> {
     /// What the process knows.
     pub state: Rc<RefCell<StagingState>>,
     /// The engine whose staging area holds the pieces.
@@ -24,9 +24,9 @@
     pub metrics: Rc<Metrics>,
 }
 
-impl<E: EnginePort> Pieces<E> {
-    async fn piece(&self, question: &str) -> Option<InternalReply> {
-        let mut parts = question.split('/');
+impl<E: EnginePort> PieceHandler<E> {
+    async fn piece(&self, rest: &str) -> Option<InternalReply> {
+        let mut parts = rest.split('/');
         let model = parts.next()?;
         let version: u64 = parts.next()?.parse().ok()?;
         let index: u32 = parts.next()?.parse().ok()?;
@@ -63,8 +63,8 @@
         }
     }
 
-    fn manifest(&self, question: &str) -> Option<InternalReply> {
-        let (model, version) = question.split_once('/')?;
+    fn manifest(&self, rest: &str) -> Option<InternalReply> {
+        let (model, version) = rest.split_once('/')?;
         let version: u64 = version.parse().ok()?;
         let mut state = self.state.borrow_mut();
         let manifest = &state
@@ -79,16 +79,16 @@
     }
 }
 
-impl<E: EnginePort> InternalHandler for Pieces<E> {
+impl<E: EnginePort> InternalHandler for PieceHandler<E> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
         let path = request.head.path();
         if path == METRICS_PATH {
             return InternalReply::metrics(self.metrics.render());
         }
-        let reply = if let Some(question) = path.strip_prefix(PIECE_PATH) {
-            self.piece(question).await
-        } else if let Some(question) = path.strip_prefix(MANIFEST_PATH) {
-            self.manifest(question)
+        let reply = if let Some(rest) = path.strip_prefix(PIECE_PATH) {
+            self.piece(rest).await
+        } else if let Some(rest) = path.strip_prefix(MANIFEST_PATH) {
+            self.manifest(rest)
         } else {
             None
         };
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -28,10 +28,10 @@
 use crate::staging::StagingSettings;
 use crate::staging::StagingState;
 use crate::staging::fetch_schedule::FetchSchedule;
-use crate::staging::keeper::keep_weights;
-use crate::staging::pieces::Pieces;
+use crate::staging::piece_handler::PieceHandler;
 use crate::staging::reporter::report_load;
-use crate::staging::state::Holder;
+use crate::staging::state::PeerPieces;
+use crate::staging::weights_manager::manage_weights;
 use crate::weights::OriginPort;
 
 /// Interval at which log lines are handed to their writer.
@@ -79,7 +79,7 @@
     let metrics = Rc::new(Metrics::new());
     let state = StagingState::new(settings.clone());
     for address in [settings.internal, settings.metrics] {
-        let pieces = Pieces {
+        let pieces = PieceHandler {
             state: state.clone(),
             engine: engine.clone(),
             metrics: metrics.clone(),
@@ -91,7 +91,7 @@
     actix_rt::spawn(receive_datagrams(state.clone(), socket.clone(), decoder));
     actix_rt::spawn(report_load(state.clone(), engine.clone(), socket.clone()));
     actix_rt::spawn(send_notes(state.clone(), socket));
-    actix_rt::spawn(keep_weights(state.clone(), engine, origin, metrics));
+    actix_rt::spawn(manage_weights(state.clone(), engine, origin, metrics));
     actix_rt::spawn(flush_log_every(LOG_INTERVAL));
     LogLine::new(Event::ProcessStarted)
         .text("role", "endpoint")
@@ -186,7 +186,7 @@
         Datagram::Have(note) => {
             let mut state = state.borrow_mut();
             let heard_ms = state.now_ms();
-            state.holder_heard(Holder {
+            state.record_peer_pieces(PeerPieces {
                 address: note.address,
                 model: note.model,
                 version: note.version,
@@ -236,13 +236,13 @@
         .iter()
         .filter(|replica| is_alone || settings.region(&replica.failure_domain) == region)
         .map(|replica| SocketAddr::new(replica.address.ip(), own.port()));
-    let holders = state
-        .holders
+    let peer_pieces = state
+        .peer_pieces
         .iter()
         .filter(|_| is_alone)
         .map(|holder| holder.address);
     let mut targets: Vec<SocketAddr> = replicas
-        .chain(holders)
+        .chain(peer_pieces)
         .filter(|address| *address != own)
         .collect();
     targets.sort_unstable();
@@ -270,7 +270,7 @@
         let now_ms = self.now_ms();
         let models = self.models();
         let is_own = models.iter().any(|model| self.to_gather(model).is_some());
-        let is_others = self.holders.iter().any(|holder| {
+        let is_others = self.peer_pieces.iter().any(|holder| {
             !holder.have.is_complete() && now_ms.saturating_sub(holder.heard_ms) < 3_000
         });
         is_own || is_others
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -40,7 +40,7 @@
 const ENTRY_ALIVE_MS: u64 = 1_600;
 
 /// Time that a note of another host is kept, in ms.
-const HOLDER_KEPT_MS: u64 = 10_000;
+const PEER_PIECES_KEPT_MS: u64 = 10_000;
 
 /// An entry that was heard from.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 
 /// What another host says that it holds.
 #[derive(Debug, Clone)]
-pub struct Holder {
+pub struct PeerPieces {
     /// Where its endpoint process answers.
     pub address: SocketAddr,
     /// Model.
@@ -91,7 +91,7 @@
     /// Staging area, one entry a model.
     pub staged_models: Vec<StagedModel>,
     /// What other hosts hold.
-    pub holders: Vec<Holder>,
+    pub peer_pieces: Vec<PeerPieces>,
     // Ascending by address.
     entries: Vec<KnownEntry>,
     /// Model and version of the order under way.
@@ -112,7 +112,7 @@
             report: None,
             is_ordering: false,
             staged_models: Vec::new(),
-            holders: Vec::new(),
+            peer_pieces: Vec::new(),
             entries: Vec::new(),
             ordered: None,
             declared: Declarations::default(),
@@ -254,7 +254,7 @@
 
     /// Whether another host still lacks pieces of the version.
     fn is_asked_for(&self, model: &str, version: u64) -> bool {
-        self.holders.iter().any(|holder| {
+        self.peer_pieces.iter().any(|holder| {
             holder.model == model && holder.version == version && !holder.have.is_complete()
         })
     }
@@ -311,18 +311,18 @@
     }
 
     /// Takes a note of what another host holds.
-    pub fn holder_heard(&mut self, holder: Holder) {
-        let same = |known: &&mut Holder| {
+    pub fn record_peer_pieces(&mut self, holder: PeerPieces) {
+        let same = |known: &&mut PeerPieces| {
             known.address == holder.address
                 && known.model == holder.model
                 && known.version == holder.version
         };
         let now_ms = self.now_ms();
-        self.holders
-            .retain(|known| now_ms.saturating_sub(known.heard_ms) < HOLDER_KEPT_MS);
-        match self.holders.iter_mut().find(same) {
+        self.peer_pieces
+            .retain(|known| now_ms.saturating_sub(known.heard_ms) < PEER_PIECES_KEPT_MS);
+        match self.peer_pieces.iter_mut().find(same) {
             Some(known) => *known = holder,
-            None => self.holders.push(holder),
+            None => self.peer_pieces.push(holder),
         }
     }
 
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_fetches.rs
@@ -1,9 +1,9 @@
 use std::net::SocketAddr;
 
 use crate::staging::EnginePort;
-use crate::staging::transfer::Place;
-use crate::staging::transfer::Read;
-use crate::staging::transfer::Transfer;
+use crate::staging::weights_download::PieceFetch;
+use crate::staging::weights_download::PieceSource;
+use crate::staging::weights_download::WeightsDownload;
 use crate::weights::Digest;
 use crate::weights::Fetch;
 use crate::weights::HaveMap;
@@ -19,10 +19,10 @@
 use crate::weights::next_fetches;
 
 /// Silence after which a host is not counted on, in ms: several notes.
-const HOLDER_SILENT_MS: u64 = 900;
+const PEER_SILENT_MS: u64 = 900;
 
 /// Time in which a host that was never heard from is counted on, in ms.
-const HOLDER_AWAITED_MS: u64 = 1_200;
+const PEER_AWAITED_MS: u64 = 1_200;
 
 /// Reads in progress at a time.
 const PLAN: PlanSettings = PlanSettings {
@@ -33,13 +33,13 @@
 };
 
 /// The hosts that take part, in one order for all of them.
-pub(super) struct Swarm {
+pub(super) struct SwarmView {
     pub(super) addresses: Vec<SocketAddr>,
     pub(super) homes: Homes,
     pub(super) me: PeerKey,
 }
 
-impl<E: EnginePort, O: OriginPort> Transfer<'_, E, O> {
+impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
     /// Endpoint processes of the replicas of the service, ascending.
     pub(super) fn hosts(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
@@ -55,7 +55,7 @@
         hosts
     }
 
-    pub(super) fn swarm(&self, manifest: &PieceManifest) -> Swarm {
+    pub(super) fn swarm(&self, manifest: &PieceManifest) -> SwarmView {
         let addresses = self.hosts();
         let state = self.state.borrow();
         let settings = &state.settings;
@@ -85,7 +85,7 @@
             .iter()
             .position(|address| *address == settings.internal)
             .expect("the own address is among the hosts");
-        Swarm {
+        SwarmView {
             addresses,
             homes,
             me: PeerKey(u32::try_from(me).unwrap_or(u32::MAX)),
@@ -93,24 +93,24 @@
     }
 
     /// Reads from the swarm to start now.
-    pub(super) fn swarm_reads(
+    pub(super) fn swarm_fetches(
         &self,
-        swarm: &Swarm,
+        swarm: &SwarmView,
         have: &HaveMap,
-        in_flight: &[Read],
-        blocked: &[(Place, u64)],
+        in_flight: &[PieceFetch],
+        blocked: &[(PieceSource, u64)],
         (started_ms, progress_ms): (u64, u64),
         seed: u64,
-    ) -> Vec<Read> {
+    ) -> Vec<PieceFetch> {
         // What comes through an entry need not be planned.
         let mut held = have.clone();
         let mut planned = Vec::new();
         for read in in_flight {
             match read.place {
-                Place::Entry(_) => {
+                PieceSource::Entry(_) => {
                     held.insert(read.chunk);
                 }
-                Place::Swarm(source) => planned.push(Fetch {
+                PieceSource::Swarm(source) => planned.push(Fetch {
                     chunk: read.chunk,
                     source,
                 }),
@@ -121,21 +121,21 @@
         let blocked_until = |source: Source| {
             let mine = blocked
                 .iter()
-                .filter(|block| block.0 == Place::Swarm(source));
+                .filter(|block| block.0 == PieceSource::Swarm(source));
             mine.map(|block| block.1).max().unwrap_or(0)
         };
         let neighbours: Vec<Neighbour> = (0u32..)
             .zip(&swarm.addresses)
             .map(|(index, address)| {
                 let key = PeerKey(index);
-                let note = state.holders.iter().find(|holder| {
+                let note = state.peer_pieces.iter().find(|holder| {
                     holder.address == *address
                         && holder.model == self.model
                         && holder.version == self.version
                 });
                 let is_lost = match note {
-                    Some(note) => now_ms.saturating_sub(note.heard_ms) >= HOLDER_SILENT_MS,
-                    None => now_ms.saturating_sub(started_ms) >= HOLDER_AWAITED_MS,
+                    Some(note) => now_ms.saturating_sub(note.heard_ms) >= PEER_SILENT_MS,
+                    None => now_ms.saturating_sub(started_ms) >= PEER_AWAITED_MS,
                 };
                 Neighbour {
                     key,
@@ -167,9 +167,9 @@
         });
         fetches
             .into_iter()
-            .map(|fetch| Read {
+            .map(|fetch| PieceFetch {
                 chunk: fetch.chunk,
-                place: Place::Swarm(fetch.source),
+                place: PieceSource::Swarm(fetch.source),
             })
             .collect()
     }
--- a/src/staging/transfer.rs
+++ b/src/staging/weights_download.rs
@@ -33,25 +33,25 @@
 
 /// Reads from entries in progress at a time: what is under way delays the
 /// requests to the replica, whose link it shares.
-const MAX_ENTRY_READS: usize = 2;
+const MAX_ENTRY_FETCHES: usize = 2;
 
 /// Time of one read beyond which only one is in progress, in ms: the link is
 /// narrower than it should be.
-const SLOW_READ_MS: u64 = 300;
+const SLOW_FETCH_MS: u64 = 300;
 
 /// Pause before an entry that failed is asked again, in ms: the origin may be away.
 const ENTRY_PAUSE_MS: u64 = 1_000;
 
 /// Where a piece is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Place {
+pub(super) enum PieceSource {
     /// From an entry that it passes through.
     Entry(SocketAddr),
     /// From another host or the origin.
     Swarm(Source),
 }
 
-impl Place {
+impl PieceSource {
     /// Pause before it is asked again after a failure.
     fn pause_ms(self) -> u64 {
         match self {
@@ -63,14 +63,14 @@
 
 /// One read of a piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Read {
+pub(super) struct PieceFetch {
     pub(super) chunk: u32,
-    pub(super) place: Place,
+    pub(super) place: PieceSource,
 }
 
 /// Gathers the pieces of one version into the staging area.
 #[derive(Debug)]
-pub struct Transfer<'a, E, O> {
+pub struct WeightsDownload<'a, E, O> {
     /// What the process knows.
     pub state: &'a Rc<RefCell<StagingState>>,
     /// The engine on the own host.
@@ -85,7 +85,7 @@
     pub version: u64,
 }
 
-impl<E: EnginePort, O: OriginPort> Transfer<'_, E, O> {
+impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
     /// Gathers until the version is complete or no longer wanted.
     pub async fn run(&self) {
         let Some(manifest) = self.manifest().await else {
@@ -184,9 +184,9 @@
     }
 
     async fn fetch_missing(&self, manifest: &PieceManifest) {
-        let mut in_flight: Vec<Read> = Vec::new();
+        let mut in_flight: Vec<PieceFetch> = Vec::new();
         let mut reads = FuturesUnordered::new();
-        let mut blocked: Vec<(Place, u64)> = Vec::new();
+        let mut blocked: Vec<(PieceSource, u64)> = Vec::new();
         let mut swarm = self.swarm(manifest);
         let mut engine = self.engine.clone();
         let started_ms = self.state.borrow().now_ms();
@@ -213,17 +213,17 @@
             let now_ms = self.state.borrow().now_ms();
             blocked.retain(|block| block.1 > now_ms);
             let planned = self
-                .entry_reads(&have, &in_flight, &blocked, is_slow)
+                .entry_fetches(&have, &in_flight, &blocked, is_slow)
                 .unwrap_or_else(|| {
                     let times = (started_ms, progress_ms);
-                    self.swarm_reads(&swarm, &have, &in_flight, &blocked, times, seed)
+                    self.swarm_fetches(&swarm, &have, &in_flight, &blocked, times, seed)
                 });
             for read in planned {
                 in_flight.push(read);
                 let address = match read.place {
-                    Place::Entry(address) => Some(address),
-                    Place::Swarm(Source::Origin) => None,
-                    Place::Swarm(Source::Peer(key)) => Some(swarm.addresses[key.0 as usize]),
+                    PieceSource::Entry(address) => Some(address),
+                    PieceSource::Swarm(Source::Origin) => None,
+                    PieceSource::Swarm(Source::Peer(key)) => Some(swarm.addresses[key.0 as usize]),
                 };
                 reads.push(async move { (read, now_ms, self.read(read.chunk, address).await) });
             }
@@ -231,7 +231,7 @@
                 Some((read, read_started_ms, result)) = reads.next() => {
                     in_flight.retain(|other| *other != read);
                     let now_ms = self.state.borrow().now_ms();
-                    is_slow = now_ms.saturating_sub(read_started_ms) >= SLOW_READ_MS;
+                    is_slow = now_ms.saturating_sub(read_started_ms) >= SLOW_FETCH_MS;
                     if self.take_piece(manifest, read, result, &mut engine).await {
                         progress_ms = now_ms;
                     } else {
@@ -247,21 +247,24 @@
     ///
     /// All hosts ask in the same order, so that a piece is read from the origin
     /// when the first of them wants it, and lies ready for the others.
-    fn entry_reads(
+    fn entry_fetches(
         &self,
         have: &HaveMap,
-        in_flight: &[Read],
-        blocked: &[(Place, u64)],
+        in_flight: &[PieceFetch],
+        blocked: &[(PieceSource, u64)],
         is_slow: bool,
-    ) -> Option<Vec<Read>> {
+    ) -> Option<Vec<PieceFetch>> {
         let mut entries = self.state.borrow().relay_entries();
-        let is_blocked =
-            |address: SocketAddr| blocked.iter().any(|block| block.0 == Place::Entry(address));
+        let is_blocked = |address: SocketAddr| {
+            blocked
+                .iter()
+                .any(|block| block.0 == PieceSource::Entry(address))
+        };
         entries.retain(|entry| !is_blocked(entry.address));
         if entries.is_empty() {
             return None;
         }
-        let most = if is_slow { 1 } else { MAX_ENTRY_READS };
+        let most = if is_slow { 1 } else { MAX_ENTRY_FETCHES };
         let room = most.saturating_sub(in_flight.len());
         if room == 0 {
             return Some(Vec::new());
@@ -274,8 +277,8 @@
         Some(
             reads
                 .filter_map(|chunk| {
-                    let place = Place::Entry(carriers.get(chunk as usize)?.address);
-                    Some(Read { chunk, place })
+                    let place = PieceSource::Entry(carriers.get(chunk as usize)?.address);
+                    Some(PieceFetch { chunk, place })
                 })
                 .collect(),
         )
@@ -304,7 +307,7 @@
     async fn take_piece(
         &self,
         manifest: &PieceManifest,
-        read: Read,
+        read: PieceFetch,
         result: Result<Vec<u8>, ReadFault>,
         engine: &mut E,
     ) -> bool {
@@ -316,9 +319,9 @@
             }
         };
         let from = match read.place {
-            Place::Entry(_) => "entry",
-            Place::Swarm(Source::Origin) => "origin",
-            Place::Swarm(Source::Peer(_)) => "host",
+            PieceSource::Entry(_) => "entry",
+            PieceSource::Swarm(Source::Origin) => "origin",
+            PieceSource::Swarm(Source::Peer(_)) => "host",
         };
         self.metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
--- a/src/staging/keeper.rs
+++ b/src/staging/weights_manager.rs
@@ -8,7 +8,7 @@
 use crate::staging::EnginePort;
 use crate::staging::NextLoad;
 use crate::staging::StagingState;
-use crate::staging::transfer::Transfer;
+use crate::staging::weights_download::WeightsDownload;
 use crate::weights::OriginPort;
 
 /// Pause between looks at what the engine holds.
@@ -26,7 +26,7 @@
 const ORDER_SEEN: Duration = Duration::from_millis(600);
 
 /// Brings the engine to the wanted version of each model, again and again.
-pub async fn keep_weights(
+pub async fn manage_weights(
     state: Rc<RefCell<StagingState>>,
     engine: impl EnginePort,
     origin: impl OriginPort,
@@ -39,7 +39,7 @@
                 continue;
             }
             state.borrow_mut().settle_order(&model);
-            let transfer = |version| Transfer {
+            let transfer = |version| WeightsDownload {
                 state: &state,
                 engine: &engine,
                 origin: &origin,
@@ -63,7 +63,7 @@
 /// Orders the engine to load, if its turn has come and it is not busy.
 ///
 /// The pieces are staged and checked before, while the engine still serves.
-async fn order<E: EnginePort, O: OriginPort>(transfer: &Transfer<'_, E, O>, goal: NextLoad) {
+async fn order<E: EnginePort, O: OriginPort>(transfer: &WeightsDownload<'_, E, O>, goal: NextLoad) {
     let state = transfer.state;
     if !is_due(&state.borrow(), transfer.model, goal, STAGE_LEAD_MS)
         || !transfer.stage_pieces().await
