--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -27,7 +27,7 @@
 pub use next_load::next_load;
 pub use ports::EnginePort;
 pub use ports::EngineReport;
-pub use process::run;
+pub use process::run_endpoint_process;
 pub use relay_entry::RelayEntry;
 pub use relay_entry::assign_pieces;
 pub use settings::StagingSettings;
--- a/src/staging/next_load.rs
+++ b/src/staging/next_load.rs
@@ -37,7 +37,7 @@
     /// Steady time.
     pub now_ms: i64,
     /// Version that the engine holds, or was ordered to load; 0 for none.
-    pub held: u64,
+    pub engine_version: u64,
     /// Declarations, by rising version.
     pub declared: &'a [Declaration],
     /// What was gathered of each version.
@@ -45,7 +45,7 @@
     /// Time within which new weights must answer every request.
     pub apply_ms: i64,
     /// Place of this engine among those of its service, from 0 to 1.
-    pub turn: f64,
+    pub load_slot: f64,
 }
 
 /// What to load next, and when.
@@ -64,7 +64,9 @@
 /// the newer one can't be had. Engines that serve take turns from the time at
 /// which all have the pieces until the version is due.
 pub fn next_load(input: &NextLoadInput<'_>) -> Option<NextLoad> {
-    let open = input.declared.partition_point(|d| d.version <= input.held);
+    let open = input
+        .declared
+        .partition_point(|d| d.version <= input.engine_version);
     let (first, newest) = match &input.declared[open..] {
         [] => return None,
         [only] => (only, only),
@@ -83,10 +85,10 @@
         None => gathered_ms,
     };
     let last_ms = due_ms - ORDER_MARGIN_MS;
-    let not_before_ms = if input.held == 0 || last_ms <= first_ms {
+    let not_before_ms = if input.engine_version == 0 || last_ms <= first_ms {
         input.now_ms
     } else {
-        first_ms + ((last_ms - first_ms) as f64 * input.turn) as i64
+        first_ms + ((last_ms - first_ms) as f64 * input.load_slot) as i64
     };
     Some(NextLoad {
         version: chosen.version,
@@ -104,7 +106,7 @@
     let is_stuck = |version| {
         of(version).is_some_and(|g| !g.is_complete && input.now_ms >= g.last_progress_ms + STUCK_MS)
     };
-    if input.held == 0 {
+    if input.engine_version == 0 {
         let is_settled = input.now_ms >= newest.learned_ms + SETTLED_MS;
         return if is_settled && !is_stuck(newest.version) {
             newest
--- a/src/staging/ports.rs
+++ b/src/staging/ports.rs
@@ -51,5 +51,9 @@
         bytes: &[u8],
     ) -> impl Future<Output = Result<(), ReadFault>>;
     /// Orders the staged version to be loaded once what runs has ended.
-    fn load(&mut self, model: &str, version: u64) -> impl Future<Output = Result<(), ReadFault>>;
+    fn order_load(
+        &mut self,
+        model: &str,
+        version: u64,
+    ) -> impl Future<Output = Result<(), ReadFault>>;
 }
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -66,7 +66,7 @@
 const TOPICS: [Topic; 2] = [Topic::Operator, Topic::Replicas];
 
 /// Runs an endpoint process until a stop signal.
-pub async fn run<S: RecordSource + 'static>(
+pub async fn run_endpoint_process<S: RecordSource + 'static>(
     settings: StagingSettings,
     engine: impl EnginePort,
     origin: impl OriginPort,
@@ -130,9 +130,9 @@
             let state = state.borrow();
             let is_known = TOPICS.iter().all(|topic| state.ledger(*topic).is_known());
             let now_ms = state.now_ms();
-            let is_silent = state
-                .last_entry_ms()
-                .is_none_or(|heard_ms| now_ms.saturating_sub(heard_ms) >= ENTRIES_SILENT_MS);
+            let is_silent = state.last_heartbeat_ms().is_none_or(|last_received_ms| {
+                now_ms.saturating_sub(last_received_ms) >= ENTRIES_SILENT_MS
+            });
             !is_known || is_silent
         };
         if must_read {
@@ -161,7 +161,7 @@
         Datagram::Beat(beat) => {
             {
                 let mut state = state.borrow_mut();
-                state.entry_heard(&beat);
+                state.record_heartbeat(&beat);
                 let now_ms = state.now_ms() as i64;
                 state.declared.merge(&beat.declared, now_ms);
             }
@@ -169,7 +169,7 @@
                 let (is_behind, now_ms) = {
                     let state = state.borrow();
                     let is_behind = beat.ends[topic as usize] > state.ledger(topic).end_offset()
-                        && (topic == Topic::Operator || state.is_gathering());
+                        && (topic == Topic::Operator || state.has_missing_pieces());
                     (is_behind, state.now_ms())
                 };
                 let wait_ms = rand::rng().random_range(0..MAX_FETCH_DELAY_MS);
@@ -185,13 +185,13 @@
         }
         Datagram::Have(note) => {
             let mut state = state.borrow_mut();
-            let heard_ms = state.now_ms();
+            let last_received_ms = state.now_ms();
             state.record_peer_pieces(PeerPieces {
                 address: note.address,
                 model: note.model,
                 version: note.version,
                 have: note.have,
-                heard_ms,
+                last_received_ms,
             });
         }
         // Load reports are for entries.
@@ -211,7 +211,7 @@
             } else {
                 SPARE_NOTE_INTERVAL
             };
-            if state.is_gathering() {
+            if state.has_missing_pieces() {
                 for (bytes, target) in notes(&state) {
                     // A lost note is made good by the next one.
                     if let Err(error) = socket.try_send_to(&bytes, target) {
@@ -266,12 +266,14 @@
 
 impl StagingState {
     /// Whether this host or another one lacks pieces of a wanted version.
-    fn is_gathering(&self) -> bool {
+    fn has_missing_pieces(&self) -> bool {
         let now_ms = self.now_ms();
         let models = self.models();
-        let is_own = models.iter().any(|model| self.to_gather(model).is_some());
+        let is_own = models
+            .iter()
+            .any(|model| self.version_to_fetch(model).is_some());
         let is_others = self.peer_pieces.iter().any(|holder| {
-            !holder.have.is_complete() && now_ms.saturating_sub(holder.heard_ms) < 3_000
+            !holder.have.is_complete() && now_ms.saturating_sub(holder.last_received_ms) < 3_000
         });
         is_own || is_others
     }
--- a/src/staging/reporter.rs
+++ b/src/staging/reporter.rs
@@ -57,12 +57,12 @@
     with_ages: bool,
 ) {
     let mut state = state.borrow_mut();
-    log_change(state.report.as_ref(), report.as_ref());
-    state.report = report;
+    log_change(state.engine_report.as_ref(), report.as_ref());
+    state.engine_report = report;
     let bytes = Datagram::Load(load_report(&state, with_ages)).encode();
     let near = state.relay_entries();
     let is_near = |address: &SocketAddr| near.iter().any(|entry| entry.address == *address);
-    let targets = state.entries().filter(|e| to_far || is_near(e));
+    let targets = state.entry_addresses().filter(|e| to_far || is_near(e));
     for entry in targets {
         // A lost report is made good by the next one.
         if let Err(error) = socket.try_send_to(&bytes, entry) {
@@ -79,7 +79,7 @@
     } else {
         Vec::new()
     };
-    let Some(report) = &state.report else {
+    let Some(report) = &state.engine_report else {
         return LoadReport {
             port,
             is_up: false,
@@ -96,7 +96,7 @@
     LoadReport {
         port,
         is_up: true,
-        is_loading: report.is_busy || state.is_ordering,
+        is_loading: report.is_busy || state.is_load_announced,
         running: report.running,
         queued: report.queued,
         memory_used: report.memory_used as f32,
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -48,11 +48,11 @@
     address: SocketAddr,
     failure_domain: String,
     link_mbps: f64,
-    heard_ms: u64,
+    last_received_ms: u64,
 }
 
 impl KnownEntry {
-    fn near(&self) -> RelayEntry {
+    fn relay_entry(&self) -> RelayEntry {
         RelayEntry {
             address: self.address,
             link_mbps: self.link_mbps,
@@ -72,7 +72,7 @@
     /// Pieces.
     pub have: HaveMap,
     /// Steady time of the note.
-    pub heard_ms: u64,
+    pub last_received_ms: u64,
 }
 
 /// What an endpoint process knows, shared by its tasks.
@@ -85,9 +85,9 @@
     /// Replicas of the own service, by id.
     pub replicas: Vec<ReplicaRecord>,
     /// Last report of the engine; None when it did not answer.
-    pub report: Option<EngineReport>,
+    pub engine_report: Option<EngineReport>,
     /// Whether the engine is about to get an order.
-    pub is_ordering: bool,
+    pub is_load_announced: bool,
     /// Staging area, one entry a model.
     pub staged_models: Vec<StagedModel>,
     /// What other hosts hold.
@@ -95,7 +95,7 @@
     // Ascending by address.
     entries: Vec<KnownEntry>,
     /// Model and version of the order under way.
-    pub ordered: Option<(String, u64)>,
+    pub pending_order: Option<(String, u64)>,
     /// Versions of weights that were declared.
     pub declared: Declarations,
     ledgers: [Ledger; 3],
@@ -109,12 +109,12 @@
             settings,
             catalog: None,
             replicas: Vec::new(),
-            report: None,
-            is_ordering: false,
+            engine_report: None,
+            is_load_announced: false,
             staged_models: Vec::new(),
             peer_pieces: Vec::new(),
             entries: Vec::new(),
-            ordered: None,
+            pending_order: None,
             declared: Declarations::default(),
             ledgers: Default::default(),
             started: Instant::now(),
@@ -127,27 +127,27 @@
     }
 
     /// Notes a sign of an entry.
-    pub fn entry_heard(&mut self, beat: &EntryBeat) {
+    pub fn record_heartbeat(&mut self, beat: &EntryBeat) {
         let address = beat.internal;
         let now_ms = self.now_ms();
         self.entries
-            .retain(|entry| now_ms.saturating_sub(entry.heard_ms) < ENTRY_KEPT_MS);
+            .retain(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_KEPT_MS);
         match self.entries.binary_search_by(|e| e.address.cmp(&address)) {
-            Ok(at) => self.entries[at].heard_ms = now_ms,
+            Ok(at) => self.entries[at].last_received_ms = now_ms,
             Err(at) => self.entries.insert(
                 at,
                 KnownEntry {
                     address,
                     failure_domain: beat.failure_domain.clone(),
                     link_mbps: beat.link_mbps,
-                    heard_ms: now_ms,
+                    last_received_ms: now_ms,
                 },
             ),
         }
     }
 
     /// Entries to tell the load.
-    pub fn entries(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn entry_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.entries.iter().map(|entry| entry.address)
     }
 
@@ -157,20 +157,27 @@
         let alive: Vec<&KnownEntry> = self
             .entries
             .iter()
-            .filter(|entry| now_ms.saturating_sub(entry.heard_ms) < ENTRY_ALIVE_MS)
+            .filter(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_ALIVE_MS)
             .collect();
         let region = self.settings.region(&self.settings.failure_domain);
         let is_near = |entry: &&&KnownEntry| self.settings.region(&entry.failure_domain) == region;
-        let near: Vec<RelayEntry> = alive.iter().filter(is_near).map(|e| e.near()).collect();
+        let near: Vec<RelayEntry> = alive
+            .iter()
+            .filter(is_near)
+            .map(|e| e.relay_entry())
+            .collect();
         if near.is_empty() {
-            return alive.iter().map(|entry| entry.near()).collect();
+            return alive.iter().map(|entry| entry.relay_entry()).collect();
         }
         near
     }
 
     /// Steady time of the last sign of any entry.
-    pub fn last_entry_ms(&self) -> Option<u64> {
-        self.entries.iter().map(|entry| entry.heard_ms).max()
+    pub fn last_heartbeat_ms(&self) -> Option<u64> {
+        self.entries
+            .iter()
+            .map(|entry| entry.last_received_ms)
+            .max()
     }
 
     /// Models of the own engine.
@@ -195,17 +202,20 @@
     }
 
     /// Version of `model` that the engine holds, or was ordered to load.
-    pub fn held(&self, model: &str) -> u64 {
+    pub fn engine_version(&self, model: &str) -> u64 {
         let reported = self
-            .report
+            .engine_report
             .as_ref()
             .map_or(0, |report| report.version(model));
-        let ordered = self.ordered.iter().find(|ordered| ordered.0 == model);
-        reported.max(ordered.map_or(0, |ordered| ordered.1))
+        let pending_order = self
+            .pending_order
+            .iter()
+            .find(|pending_order| pending_order.0 == model);
+        reported.max(pending_order.map_or(0, |pending_order| pending_order.1))
     }
 
     /// What to load next of `model`; None when nothing newer is declared.
-    pub fn goal(&self, model: &str) -> Option<NextLoad> {
+    pub fn next_load(&self, model: &str) -> Option<NextLoad> {
         let mut declared: Vec<Declaration> = self.declared.of(model).cloned().collect();
         if declared.is_empty() {
             declared.push(Declaration {
@@ -223,11 +233,11 @@
             .collect();
         next_load(&NextLoadInput {
             now_ms: self.now_ms() as i64,
-            held: self.held(model),
+            engine_version: self.engine_version(model),
             declared: &declared,
             downloads: &downloads,
             apply_ms: self.settings.weights_apply_ms as i64,
-            turn: self.turn(),
+            load_slot: self.load_slot(),
         })
     }
 
@@ -235,8 +245,8 @@
     ///
     /// While the next version to load waits for its turn, a later one is
     /// gathered already.
-    pub fn to_gather(&self, model: &str) -> Option<u64> {
-        let goal = self.goal(model);
+    pub fn version_to_fetch(&self, model: &str) -> Option<u64> {
+        let goal = self.next_load(model);
         if let Some(goal) = goal {
             if !self.is_complete(model, goal.version) {
                 return Some(goal.version);
@@ -248,19 +258,19 @@
             return (!self.is_complete(model, latest)).then_some(latest);
         }
         // Others may lack pieces that only lie here unchecked.
-        let held = self.held(model);
-        (self.is_asked_for(model, held) && !self.is_complete(model, held)).then_some(held)
+        let held = self.engine_version(model);
+        (self.is_missing_on_peers(model, held) && !self.is_complete(model, held)).then_some(held)
     }
 
     /// Whether another host still lacks pieces of the version.
-    fn is_asked_for(&self, model: &str, version: u64) -> bool {
+    fn is_missing_on_peers(&self, model: &str, version: u64) -> bool {
         self.peer_pieces.iter().any(|holder| {
             holder.model == model && holder.version == version && !holder.have.is_complete()
         })
     }
 
     /// Place of the own engine among those of its service, from 0 to 1.
-    fn turn(&self) -> f64 {
+    fn load_slot(&self) -> f64 {
         let own = self.settings.replica.to_string();
         let names: Vec<String> = self
             .replicas
@@ -280,8 +290,8 @@
 
     /// Whether pieces of `version` may go to the staging area at once: no version
     /// before it waits there for its order.
-    pub fn may_overwrite(&self, model: &str, version: u64) -> bool {
-        let held = self.held(model);
+    pub fn can_overwrite_staged(&self, model: &str, version: u64) -> bool {
+        let held = self.engine_version(model);
         let waits = |stage: &StagedModel| {
             stage.downloads().iter().any(|download| {
                 let other = download.manifest.version;
@@ -319,14 +329,14 @@
         };
         let now_ms = self.now_ms();
         self.peer_pieces
-            .retain(|known| now_ms.saturating_sub(known.heard_ms) < PEER_PIECES_KEPT_MS);
+            .retain(|known| now_ms.saturating_sub(known.last_received_ms) < PEER_PIECES_KEPT_MS);
         match self.peer_pieces.iter_mut().find(same) {
             Some(known) => *known = holder,
             None => self.peer_pieces.push(holder),
         }
     }
 
-    fn declare(&mut self, model: String, version: u64, offset: u64) {
+    fn record_declaration(&mut self, model: String, version: u64, offset: u64) {
         let record = DeclaredRecord {
             model,
             version,
@@ -358,7 +368,7 @@
             (Topic::Operator, Some(value)) => match decoder.operator_record(key, &value) {
                 Ok(OperatorRecord::Catalog(catalog)) => self.catalog = Some(Rc::from(catalog)),
                 Ok(OperatorRecord::Weights { model, version }) => {
-                    self.declare(model, version, offset);
+                    self.record_declaration(model, version, offset);
                 }
                 Ok(OperatorRecord::Other) => {}
                 Err(error) => reject_record(topic, key, offset, &error),
--- a/src/staging/swarm_fetches.rs
+++ b/src/staging/swarm_fetches.rs
@@ -134,7 +134,7 @@
                         && holder.version == self.version
                 });
                 let is_lost = match note {
-                    Some(note) => now_ms.saturating_sub(note.heard_ms) >= PEER_SILENT_MS,
+                    Some(note) => now_ms.saturating_sub(note.last_received_ms) >= PEER_SILENT_MS,
                     None => now_ms.saturating_sub(started_ms) >= PEER_AWAITED_MS,
                 };
                 Neighbour {
--- a/src/staging/weights_download.rs
+++ b/src/staging/weights_download.rs
@@ -87,7 +87,7 @@
 
 impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
     /// Gathers until the version is complete or no longer wanted.
-    pub async fn run(&self) {
+    pub async fn fetch_version(&self) {
         let Some(manifest) = self.manifest().await else {
             return;
         };
@@ -102,7 +102,7 @@
     }
 
     pub(super) fn is_wanted(&self) -> bool {
-        self.state.borrow().to_gather(self.model) == Some(self.version)
+        self.state.borrow().version_to_fetch(self.model) == Some(self.version)
     }
 
     pub(super) fn held_pieces(&self) -> HaveMap {
@@ -334,7 +334,10 @@
                 .write();
             return false;
         }
-        let is_free = self.state.borrow().may_overwrite(self.model, self.version);
+        let is_free = self
+            .state
+            .borrow()
+            .can_overwrite_staged(self.model, self.version);
         let is_staged = is_free && self.write_piece(engine, read.chunk, &bytes).await;
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms() as i64;
--- a/src/staging/weights_manager.rs
+++ b/src/staging/weights_manager.rs
@@ -35,10 +35,10 @@
     loop {
         let models = state.borrow().models();
         for model in models {
-            if state.borrow().report.is_none() {
+            if state.borrow().engine_report.is_none() {
                 continue;
             }
-            state.borrow_mut().settle_order(&model);
+            state.borrow_mut().clear_finished_order(&model);
             let transfer = |version| WeightsDownload {
                 state: &state,
                 engine: &engine,
@@ -47,11 +47,11 @@
                 model: &model,
                 version,
             };
-            let to_gather = state.borrow().to_gather(&model);
-            if let Some(version) = to_gather {
-                transfer(version).run().await;
+            let version_to_fetch = state.borrow().version_to_fetch(&model);
+            if let Some(version) = version_to_fetch {
+                transfer(version).fetch_version().await;
             }
-            let goal = state.borrow().goal(&model);
+            let goal = state.borrow().next_load(&model);
             if let Some(goal) = goal {
                 order(&transfer(goal.version), goal).await;
             }
@@ -72,20 +72,20 @@
     }
     let left_ms = goal.not_before_ms - state.borrow().now_ms() as i64;
     tokio::time::sleep(Duration::from_millis(u64::try_from(left_ms).unwrap_or(0))).await;
-    let now_wanted = state.borrow().goal(transfer.model);
+    let now_wanted = state.borrow().next_load(transfer.model);
     if now_wanted.is_none_or(|wanted| wanted.version != goal.version)
         || !is_due(&state.borrow(), transfer.model, goal, 0)
     {
         return;
     }
-    state.borrow_mut().is_ordering = true;
+    state.borrow_mut().is_load_announced = true;
     tokio::time::sleep(ANNOUNCE_TIME).await;
     let mut engine = transfer.engine.clone();
-    let line = match engine.load(transfer.model, transfer.version).await {
+    let line = match engine.order_load(transfer.model, transfer.version).await {
         Ok(()) => {
-            let ordered = (transfer.model.to_owned(), transfer.version);
+            let pending_order = (transfer.model.to_owned(), transfer.version);
             let mut state = state.borrow_mut();
-            state.ordered = Some(ordered);
+            state.pending_order = Some(pending_order);
             state
                 .staged_model(transfer.model)
                 .free_buffers(transfer.version);
@@ -100,29 +100,35 @@
     while tokio::time::Instant::now() < seen {
         tokio::time::sleep(LOOK_INTERVAL).await;
         let state = state.borrow();
-        let is_seen = state.report.as_ref().is_none_or(|report| {
+        let is_seen = state.engine_report.as_ref().is_none_or(|report| {
             report.is_busy || report.version(transfer.model) == transfer.version
         });
         if is_seen {
             break;
         }
     }
-    state.borrow_mut().is_ordering = false;
+    state.borrow_mut().is_load_announced = false;
 }
 
 /// Whether an order for `goal` may be given in `ahead_ms`.
 fn is_due(state: &StagingState, model: &str, goal: NextLoad, ahead_ms: i64) -> bool {
     let is_turn = state.now_ms() as i64 + ahead_ms >= goal.not_before_ms;
-    let is_free = state.report.as_ref().is_some_and(|report| !report.is_busy);
+    let is_free = state
+        .engine_report
+        .as_ref()
+        .is_some_and(|report| !report.is_busy);
     is_turn && is_free && state.is_complete(model, goal.version)
 }
 
 impl StagingState {
     /// Forgets an order that the engine has carried out, or no longer knows.
-    fn settle_order(&mut self, model: &str) {
-        let is_busy = self.report.as_ref().is_some_and(|report| report.is_busy);
-        if !is_busy && self.ordered.as_ref().is_some_and(|o| o.0 == model) {
-            self.ordered = None;
+    fn clear_finished_order(&mut self, model: &str) {
+        let is_busy = self
+            .engine_report
+            .as_ref()
+            .is_some_and(|report| report.is_busy);
+        if !is_busy && self.pending_order.as_ref().is_some_and(|o| o.0 == model) {
+            self.pending_order = None;
         }
     }
 }
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -42,18 +42,18 @@
 
 fn goal(
     now_ms: i64,
-    held: u64,
+    engine_version: u64,
     entries: &[(u64, i64)],
     downloads: &[DownloadProgress],
-    turn: f64,
+    load_slot: f64,
 ) -> Option<NextLoad> {
     next_load(&NextLoadInput {
         now_ms,
-        held,
+        engine_version,
         declared: &declared(entries),
         downloads,
         apply_ms: APPLY_MS,
-        turn,
+        load_slot,
     })
 }
 
