--- a/src/staging/fetch_schedule.rs
+++ b/src/staging/fetch_schedule.rs
@@ -1,8 +1,8 @@
-/// When an endpoint process reads a topic from an entry.
+/// Decides when an endpoint process fetches the records of a topic from an entry.
 ///
-/// All endpoint processes hear of news in the same moment; what they need at
-/// once is in the beats, so each lets a random time pass before it asks, and
-/// asks whoever has the news by then.
+/// All endpoint processes learn of new records at the same moment. What they need
+/// at once is part of the heartbeats, so each waits for a random time before it
+/// fetches the records, from the first entry that then reports newer ones.
 #[derive(Debug, Default)]
 pub struct FetchSchedule {
     not_before_ms: Option<u64>,
@@ -10,21 +10,23 @@
 }
 
 impl FetchSchedule {
-    /// Whether a read starts now that an entry has news; it counts as started.
+    /// Returns whether to start a fetch now that an entry has newer records.
     ///
-    /// The first news after a read is waited on for `wait_ms`.
-    pub fn try_start(&mut self, now_ms: u64, wait_ms: u64) -> bool {
+    /// The first call after a fetch sets the start to `delay_ms` from `now_ms`;
+    /// later calls don't change it. After `true` the fetch counts as running until
+    /// [`FetchSchedule::finish`].
+    pub fn try_start(&mut self, now_ms: u64, delay_ms: u64) -> bool {
         if self.is_running {
             return false;
         }
-        if now_ms < *self.not_before_ms.get_or_insert(now_ms + wait_ms) {
+        if now_ms < *self.not_before_ms.get_or_insert(now_ms + delay_ms) {
             return false;
         }
         self.is_running = true;
         true
     }
 
-    /// Notes that the read has ended.
+    /// Records that the running fetch has ended.
     pub fn finish(&mut self) {
         *self = Self::default();
     }
--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -1,9 +1,10 @@
-//! The endpoint process on a platform with its own wire: brings weights to the
-//! replica beside it, orders their loading, and reports the replica's load.
+//! The endpoint process on a platform with its own protocol. It downloads weights
+//! for the replica on its host, orders the replica to load them, and reports the
+//! replica's load to the entries.
 //!
-//! Pieces spread as a swarm by the plan of [`crate::weights`]: about one copy
-//! leaves the origin, and each link between regions carries each piece once.
-//! What the wire calls things is behind the traits in `ports`.
+//! Pieces of weights are distributed as a swarm, planned by [`crate::weights`]:
+//! about one copy leaves the origin, and each link between regions carries each
+//! piece once. The traits in `ports` hide the protocol of the platform.
 
 mod fetch_schedule;
 mod manifest;
--- a/src/staging/piece_handler.rs
+++ b/src/staging/piece_handler.rs
@@ -10,42 +10,44 @@
 use crate::staging::EnginePort;
 use crate::staging::StagingState;
 
-/// Path of the metrics.
+/// Path that serves the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Gives pieces and manifests to other hosts.
+/// Serves pieces and manifests to other hosts, and the metrics.
 #[derive(Debug)]
 pub struct PieceHandler<E> {
-    /// What the process knows.
+    /// Shared state of the process.
     pub state: Rc<RefCell<StagingState>>,
-    /// The engine whose staging area holds the pieces.
+    /// Engine whose staging area holds the pieces.
     pub engine: E,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
 impl<E: EnginePort> PieceHandler<E> {
+    /// Returns the piece at `rest`, the path `MODEL/VERSION/INDEX`; `None` when it is
+    /// not held.
     async fn piece(&self, rest: &str) -> Option<InternalReply> {
         let mut parts = rest.split('/');
         let model = parts.next()?;
         let version: u64 = parts.next()?.parse().ok()?;
         let index: u32 = parts.next()?.parse().ok()?;
-        let (staged, in_memory) = {
+        let (staged_version, buffered) = {
             let mut state = self.state.borrow_mut();
-            let stage = state.staged_model(model);
+            let staged = state.staged_model(model);
             (
-                stage.staged_version(index),
-                stage.buffered_piece(version, index),
+                staged.staged_version(index),
+                staged.buffered_piece(version, index),
             )
         };
-        if let Some(bytes) = in_memory {
+        if let Some(bytes) = buffered {
             return Some(InternalReply {
                 status: 200,
                 content_type: "application/octet-stream",
                 body: bytes.to_vec(),
             });
         }
-        if staged != version {
+        if staged_version != version {
             return None;
         }
         let mut engine = self.engine.clone();
@@ -57,12 +59,16 @@
             }),
             Ok(None) => None,
             Err(error) => {
-                log::debug!("piece {index} of {model} cannot be read: {error}");
+                log::debug!(
+                    "cannot read piece {index} of model {model} from the staging area: {error}"
+                );
                 None
             }
         }
     }
 
+    /// Returns the manifest at `rest`, the path `MODEL/VERSION`; `None` when it is not
+    /// known.
     fn manifest(&self, rest: &str) -> Option<InternalReply> {
         let (model, version) = rest.split_once('/')?;
         let version: u64 = version.parse().ok()?;
--- a/src/staging/ports.rs
+++ b/src/staging/ports.rs
@@ -2,29 +2,29 @@
 
 use crate::weights::ReadFault;
 
-/// What an engine says of itself.
+/// State of an engine as the engine itself reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineReport {
-    /// Models with the version of their weights.
+    /// Loaded models, each with the version of its weights.
     pub weights: Vec<(String, u64)>,
-    /// Whether an order is in progress.
+    /// Whether the engine is carrying out a load order.
     pub is_busy: bool,
-    /// Orders accepted since its start.
+    /// Load orders accepted since the engine started.
     pub orders: u64,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     pub queued: u32,
-    /// Requests that run.
+    /// Requests being executed.
     pub running: u32,
-    /// Memory in use, as a share of the whole.
+    /// Share of the memory in use, from 0 to 1.
     pub memory_used: f64,
-    /// Slowness; 1 is the usual speed.
+    /// Slowdown factor of the engine; 1 is normal speed, 2 half of it.
     pub pace: f64,
-    /// Start of its incarnation, in Unix ms.
+    /// Start time of the current incarnation, in Unix ms.
     pub born_unix_ms: Option<u64>,
 }
 
 impl EngineReport {
-    /// Version of the weights of `model`; 0 when none are held.
+    /// Returns the loaded version of `model`, or 0 when none is loaded.
     pub fn version(&self, model: &str) -> u64 {
         self.weights
             .iter()
@@ -33,24 +33,26 @@
     }
 }
 
-/// The engine on the own host, with its staging area.
+/// Connection to the engine on this host and to its staging area.
+///
+/// The staging area holds one piece for each index of a model, of any version.
 pub trait EnginePort: Clone + 'static {
-    /// Reads its state.
+    /// Reads the state of the engine.
     fn report(&mut self) -> impl Future<Output = Result<EngineReport, ReadFault>>;
-    /// Reads one staged piece; None when there is none.
+    /// Reads one piece from the staging area; `None` when there is none.
     fn read_piece(
         &mut self,
         model: &str,
         index: u32,
     ) -> impl Future<Output = Result<Option<Vec<u8>>, ReadFault>>;
-    /// Stages one piece.
+    /// Writes one piece into the staging area.
     fn write_piece(
         &mut self,
         model: &str,
         index: u32,
         bytes: &[u8],
     ) -> impl Future<Output = Result<(), ReadFault>>;
-    /// Orders the staged version to be loaded once what runs has ended.
+    /// Orders the engine to load the staged version once its running requests have ended.
     fn order_load(
         &mut self,
         model: &str,
--- a/src/staging/relay_entry.rs
+++ b/src/staging/relay_entry.rs
@@ -2,41 +2,42 @@
 
 use crate::fleet::rotation_first_weighted;
 
-/// An entry through which weights pass.
+/// An entry that relays pieces of weights to the hosts of a region.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RelayEntry {
     /// Address for internal calls.
     pub address: SocketAddr,
-    /// Bandwidth of its link.
+    /// Bandwidth of its link, in Mbit/s.
     pub link_mbps: f64,
 }
 
-/// Part beyond its share of the pieces that an entry may carry, so that few pieces
-/// move when an entry comes or leaves.
-const SHARE_SLACK: f64 = 1.1;
+/// Factor by which the pieces assigned to an entry may exceed its share of the
+/// bandwidth, so that few pieces are reassigned when an entry joins or leaves.
+const MAX_SHARE_FACTOR: f64 = 1.1;
 
-/// Entries through which all hosts of a region read the pieces, in their order.
+/// Returns the entry from which each piece is fetched, by piece index.
 ///
-/// Wide links carry more pieces, and no link many more than its share: an engine
-/// waits for the last piece. All hosts that know the same entries agree.
+/// Entries get pieces in proportion to their bandwidth. No entry gets many more
+/// than its share, because an engine can load only once the last piece has
+/// arrived. Hosts that know the same entries compute the same assignment.
 pub fn assign_pieces(pieces: u32, entries: &[RelayEntry]) -> Vec<RelayEntry> {
     let names: Vec<String> = entries.iter().map(|e| e.address.to_string()).collect();
-    let all_mbps: f64 = entries.iter().map(|entry| entry.link_mbps).sum();
-    let most = |entry: &RelayEntry| {
-        let share = f64::from(pieces) * entry.link_mbps / all_mbps.max(f64::MIN_POSITIVE);
-        (share * SHARE_SLACK).ceil() as u32
+    let total_mbps: f64 = entries.iter().map(|entry| entry.link_mbps).sum();
+    let max_pieces = |entry: &RelayEntry| {
+        let share = f64::from(pieces) * entry.link_mbps / total_mbps.max(f64::MIN_POSITIVE);
+        (share * MAX_SHARE_FACTOR).ceil() as u32
     };
-    let mut carried = vec![0u32; entries.len()];
+    let mut assigned = vec![0u32; entries.len()];
     let mut chosen = Vec::with_capacity(pieces as usize);
     for piece in 0..pieces {
-        let open = |index: &usize| carried[*index] < most(&entries[*index]);
+        let has_room = |index: &usize| assigned[*index] < max_pieces(&entries[*index]);
         let weighted = (0..entries.len())
-            .filter(open)
+            .filter(has_room)
             .map(|index| (names[index].as_str(), entries[index].link_mbps, index));
         let Some(index) = rotation_first_weighted(weighted, u64::from(piece)) else {
             break;
         };
-        carried[index] += 1;
+        assigned[index] += 1;
         chosen.push(entries[index]);
     }
     chosen
--- a/src/staging/settings.rs
+++ b/src/staging/settings.rs
@@ -1,28 +1,29 @@
 use std::net::SocketAddr;
 
-/// What an endpoint process is told at its start.
+/// Settings of an endpoint process.
 #[derive(Debug, Clone)]
 pub struct StagingSettings {
     /// Name of the host.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Region of each failure domain.
+    /// Pairs of a failure domain and its region.
     pub regions: Vec<(String, String)>,
     /// Address of the replica on this host.
     pub replica: SocketAddr,
-    /// Service of the replica.
+    /// Service to which the replica belongs.
     pub service: String,
     /// Address for datagrams and internal calls.
     pub internal: SocketAddr,
-    /// Address on which metrics are read.
+    /// Address that serves metrics.
     pub metrics: SocketAddr,
-    /// Time within which new weights must answer every request.
+    /// Time after the declaration of a version within which it must serve every
+    /// request, in ms.
     pub weights_apply_ms: u64,
 }
 
 impl StagingSettings {
-    /// Region of a failure domain; its own name when it is not listed.
+    /// Returns the region of a failure domain, or its own name when it is not listed.
     pub fn region<'a>(&'a self, failure_domain: &'a str) -> &'a str {
         self.regions
             .iter()
