--- a/src/staging/next_load.rs
+++ b/src/staging/next_load.rs
@@ -1,73 +1,76 @@
 use crate::fleet::Declaration;
 
-/// Time that gathering a whole version takes, in ms: its size over the link of
-/// a host, with some reserve.
-const GATHER_MS: i64 = 2_500;
+/// Estimated time to download a complete version, in ms: its size divided by the
+/// bandwidth of a host's link, with some reserve.
+const DOWNLOAD_MS: i64 = 2_500;
 
-/// Time without a new piece after which gathering is taken for stuck, in ms.
-const STUCK_MS: i64 = 900;
+/// Time without a new piece after which a download counts as stalled, in ms.
+const STALL_MS: i64 = 900;
 
-/// Time before the bound on new weights at which entries stop sending to
-/// engines that lack them, in ms.
+/// Time before the deadline of a version from which entries send no requests to
+/// engines that have not loaded it, in ms.
 const APPLY_MARGIN_MS: i64 = 1_300;
 
-/// Time before that at which the last engine gets its order, in ms.
+/// Time before that moment at which the last engine gets its load order, in ms.
 const ORDER_MARGIN_MS: i64 = 300;
 
-/// Age of a declaration at which an empty engine starts with it, in ms: its
-/// pieces lie on the entries by then.
-const SETTLED_MS: i64 = 1_000;
+/// Minimum age of the newest declaration for an empty engine to start with it,
+/// in ms: by then the entries have cached its pieces.
+const EMPTY_ENGINE_MIN_AGE_MS: i64 = 1_000;
 
-/// Where gathering a version stands.
+/// Progress of the download of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DownloadProgress {
-    /// Version.
+    /// Version of the weights.
     pub version: u64,
-    /// Steady time at which it began.
+    /// Monotonic time at which the download started, in ms.
     pub started_ms: i64,
-    /// Steady time of the last new piece.
+    /// Monotonic time of the last new piece, in ms.
     pub last_progress_ms: i64,
-    /// Whether every piece is staged.
+    /// Whether every piece is held, in the staging area or in memory.
     pub is_complete: bool,
 }
 
-/// All that the next version to load depends on.
+/// Input of [`next_load`].
 #[derive(Debug, Clone, Copy)]
 pub struct NextLoadInput<'a> {
-    /// Steady time.
+    /// Current monotonic time, in ms.
     pub now_ms: i64,
-    /// Version that the engine holds, or was ordered to load; 0 for none.
+    /// Version that the engine has loaded or was ordered to load; 0 for none.
     pub engine_version: u64,
-    /// Declarations, by rising version.
+    /// Declared versions of the model, in ascending order.
     pub declared: &'a [Declaration],
-    /// What was gathered of each version.
+    /// Progress of the downloads of this model, one for each version.
     pub downloads: &'a [DownloadProgress],
-    /// Time within which new weights must answer every request.
+    /// Time after its declaration within which a version must serve every request,
+    /// in ms.
     pub apply_ms: i64,
-    /// Place of this engine among those of its service, from 0 to 1.
+    /// Load slot of this engine: its position among the engines of its service,
+    /// from 0 to 1.
     pub load_slot: f64,
 }
 
-/// What to load next, and when.
+/// The version to load next, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextLoad {
-    /// Version.
+    /// Version of the weights to load.
     pub version: u64,
-    /// Steady time before which it is not to be loaded.
+    /// Monotonic time before which the load must not be ordered, in ms.
     pub not_before_ms: i64,
 }
 
-/// Chooses the version to load next; None when nothing newer is declared.
+/// Chooses the version to load next; `None` when no newer version is declared.
 ///
-/// Loading takes an engine out of service for a while. So a version is passed
-/// over for a newer one that can be gathered before the first is due, unless
-/// the newer one can't be had. Engines that serve take turns from the time at
-/// which all have the pieces until the version is due.
+/// Loading takes an engine out of service for a while. A version is therefore
+/// skipped in favour of a newer one that can be downloaded before the first is due,
+/// unless the download of the newer one has stalled. The load slots of the engines
+/// spread the loads over the time from when all hosts have the pieces until the
+/// version is due.
 pub fn next_load(input: &NextLoadInput<'_>) -> Option<NextLoad> {
-    let open = input
+    let loaded_count = input
         .declared
         .partition_point(|d| d.version <= input.engine_version);
-    let (first, newest) = match &input.declared[open..] {
+    let (first, newest) = match &input.declared[loaded_count..] {
         [] => return None,
         [only] => (only, only),
         [first, .., newest] => (first, newest),
@@ -76,13 +79,14 @@
     let chosen = if first.version == newest.version {
         first
     } else {
-        choose(input, first, newest, due_ms)
+        choose_version(input, first, newest, due_ms)
     };
-    // Engines that passed an earlier version over load until that one is due.
-    let gathered_ms = chosen.learned_ms + GATHER_MS;
-    let first_ms = match input.declared[..open].last() {
-        Some(earlier) => gathered_ms.max(earlier.learned_ms + input.apply_ms - APPLY_MARGIN_MS),
-        None => gathered_ms,
+    // Until the previous version is due, the engines that skipped it load this one.
+    // An engine that loaded the previous version waits until then.
+    let downloaded_ms = chosen.learned_ms + DOWNLOAD_MS;
+    let first_ms = match input.declared[..loaded_count].last() {
+        Some(earlier) => downloaded_ms.max(earlier.learned_ms + input.apply_ms - APPLY_MARGIN_MS),
+        None => downloaded_ms,
     };
     let last_ms = due_ms - ORDER_MARGIN_MS;
     let not_before_ms = if input.engine_version == 0 || last_ms <= first_ms {
@@ -96,33 +100,41 @@
     })
 }
 
-fn choose<'a>(
+/// Chooses between the first version that the engine lacks and the newest one.
+fn choose_version<'a>(
     input: &NextLoadInput<'_>,
     first: &'a Declaration,
     newest: &'a Declaration,
     due_ms: i64,
 ) -> &'a Declaration {
-    let of = |version| input.downloads.iter().find(|g| g.version == version);
-    let is_stuck = |version| {
-        of(version).is_some_and(|g| !g.is_complete && input.now_ms >= g.last_progress_ms + STUCK_MS)
+    let download_of = |version| {
+        input
+            .downloads
+            .iter()
+            .find(|download| download.version == version)
+    };
+    let is_stalled = |version| {
+        download_of(version).is_some_and(|download| {
+            !download.is_complete && input.now_ms >= download.last_progress_ms + STALL_MS
+        })
     };
     if input.engine_version == 0 {
-        let is_settled = input.now_ms >= newest.learned_ms + SETTLED_MS;
-        return if is_settled && !is_stuck(newest.version) {
+        let is_cached = input.now_ms >= newest.learned_ms + EMPTY_ENGINE_MIN_AGE_MS;
+        return if is_cached && !is_stalled(newest.version) {
             newest
         } else {
             first
         };
     }
-    let ready_ms = match of(newest.version) {
-        Some(g) if g.is_complete => input.now_ms,
-        Some(g) => (g.started_ms + GATHER_MS).max(input.now_ms),
-        None => input.now_ms + GATHER_MS,
+    let newest_ready_ms = match download_of(newest.version) {
+        Some(download) if download.is_complete => input.now_ms,
+        Some(download) => (download.started_ms + DOWNLOAD_MS).max(input.now_ms),
+        None => input.now_ms + DOWNLOAD_MS,
     };
-    if is_stuck(newest.version) {
+    if is_stalled(newest.version) {
         return first;
     }
-    if is_stuck(first.version) || ready_ms <= due_ms || input.now_ms >= due_ms {
+    if is_stalled(first.version) || newest_ready_ms <= due_ms || input.now_ms >= due_ms {
         return newest;
     }
     first
--- a/src/staging/staged_model.rs
+++ b/src/staging/staged_model.rs
@@ -4,39 +4,39 @@
 use crate::weights::HaveMap;
 use crate::weights::PieceManifest;
 
-/// Versions kept of one model: the one held and the next two.
-const MAX_DOWNLOADS: usize = 3;
+/// Versions kept of one model: the loaded one and the next two.
+const MAX_VERSIONS: usize = 3;
 
-/// One version of weights that is gathered, or was.
+/// The download of one version of weights, in progress or complete.
 #[derive(Debug)]
 pub struct VersionDownload {
-    /// Digests of its pieces.
+    /// Manifest with the digest of each piece.
     pub manifest: PieceManifest,
-    /// Where gathering it stands; times are steady.
+    /// Monotonic time at which the download started, in ms.
     pub started_ms: i64,
-    /// Steady time of the last new piece.
+    /// Monotonic time of the last new piece, in ms.
     pub last_progress_ms: i64,
-    // Pieces in memory, until the engine was ordered to load them.
-    pieces: Vec<Option<Rc<Vec<u8>>>>,
+    // Pieces held in memory until the engine is ordered to load this version.
+    buffered: Vec<Option<Rc<Vec<u8>>>>,
 }
 
-/// The weights of one model on this host: what lies in the engine's staging
-/// area, and the pieces in memory.
+/// Weights of one model on this host: the pieces in the engine's staging area and
+/// those buffered in memory.
 ///
-/// The staging area holds one piece of each index. While a version that lies
-/// there waits for its order, a later one gathers in memory.
+/// The staging area holds one piece for each index. While a complete version there
+/// waits to be loaded, a later version is downloaded into memory.
 #[derive(Debug)]
 pub struct StagedModel {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version of each staged piece, as checked; 0 when unknown.
+    // Verified version of each staged piece; 0 when unknown.
     staged_versions: Vec<u64>,
-    // By rising version.
+    // In ascending order of versions.
     downloads: Vec<VersionDownload>,
 }
 
 impl StagedModel {
-    /// Nothing known of `model`.
+    /// Creates the state of `model`, with no piece and no download.
     pub fn new(model: &str) -> Self {
         Self {
             model: model.to_owned(),
@@ -45,7 +45,9 @@
         }
     }
 
-    /// Begins to gather a version, or goes on with it.
+    /// Starts the download of a version, or resumes it when there is one.
+    ///
+    /// Drops the lowest version when more than `MAX_VERSIONS` would be kept.
     pub fn start_download(&mut self, manifest: PieceManifest, now_ms: i64) {
         self.staged_versions.resize(manifest.digests.len(), 0);
         let found = self
@@ -54,24 +56,24 @@
         match found {
             Ok(at) => self.downloads[at].last_progress_ms = now_ms,
             Err(at) => {
-                let pieces = vec![None; manifest.digests.len()];
+                let buffered = vec![None; manifest.digests.len()];
                 self.downloads.insert(
                     at,
                     VersionDownload {
                         manifest,
                         started_ms: now_ms,
                         last_progress_ms: now_ms,
-                        pieces,
+                        buffered,
                     },
                 );
-                if self.downloads.len() > MAX_DOWNLOADS {
+                if self.downloads.len() > MAX_VERSIONS {
                     self.downloads.remove(0);
                 }
             }
         }
     }
 
-    /// Copy of `version`.
+    /// Returns the download of `version`, if there is one.
     pub fn version_download(&self, version: u64) -> Option<&VersionDownload> {
         let at = self
             .downloads
@@ -80,12 +82,12 @@
         Some(&self.downloads[at])
     }
 
-    /// All downloads, by rising version.
+    /// Returns all downloads, in ascending order of versions.
     pub fn downloads(&self) -> &[VersionDownload] {
         &self.downloads
     }
 
-    /// Version of the staged piece `index`; 0 when unknown.
+    /// Returns the verified version of the staged piece `index`; 0 when unknown.
     pub fn staged_version(&self, index: u32) -> u64 {
         self.staged_versions
             .get(index as usize)
@@ -93,36 +95,36 @@
             .unwrap_or(0)
     }
 
-    /// Notes the version of the staged piece `index`.
+    /// Records the verified version of the staged piece `index`; 0 for unknown.
     pub fn set_staged_version(&mut self, index: u32, version: u64) {
         if let Some(staged) = self.staged_versions.get_mut(index as usize) {
             *staged = version;
         }
     }
 
-    /// A piece in memory.
+    /// Returns a piece of `version` that is buffered in memory.
     pub fn buffered_piece(&self, version: u64, index: u32) -> Option<Rc<Vec<u8>>> {
         self.version_download(version)?
-            .pieces
+            .buffered
             .get(index as usize)?
             .clone()
     }
 
-    /// Keeps a piece in memory.
+    /// Buffers a piece of `version` in memory.
     pub fn buffer_piece(&mut self, version: u64, index: u32, bytes: Vec<u8>, now_ms: i64) {
         let download = self
             .downloads
             .iter_mut()
             .find(|download| download.manifest.version == version);
         if let Some(download) = download
-            && let Some(piece) = download.pieces.get_mut(index as usize)
+            && let Some(piece) = download.buffered.get_mut(index as usize)
         {
             *piece = Some(Rc::new(bytes));
             download.last_progress_ms = now_ms;
         }
     }
 
-    /// Notes that gathering `version` goes on.
+    /// Records that the download of `version` got a new piece.
     pub fn record_progress(&mut self, version: u64, now_ms: i64) {
         for download in &mut self.downloads {
             if download.manifest.version == version {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Pieces of `version` that are held.
+    /// Returns the pieces of `version` that are staged or buffered.
     pub fn held_pieces(&self, version: u64) -> HaveMap {
         let mut have =
             HaveMap::empty(u32::try_from(self.staged_versions.len()).unwrap_or(u32::MAX));
@@ -143,12 +145,12 @@
         have
     }
 
-    /// Whether every piece of `version` is held.
+    /// Returns whether every piece of `version` is staged or buffered.
     pub fn is_complete(&self, version: u64) -> bool {
         self.version_download(version).is_some() && self.held_pieces(version).is_complete()
     }
 
-    /// Where gathering each version stands.
+    /// Returns the progress of each download.
     pub fn download_progress(&self) -> Vec<DownloadProgress> {
         self.downloads
             .iter()
@@ -161,11 +163,11 @@
             .collect()
     }
 
-    /// Frees the pieces in memory of `version` and those before it.
+    /// Frees the buffered pieces of `version` and of all earlier versions.
     pub fn free_buffers(&mut self, version: u64) {
         for download in &mut self.downloads {
             if download.manifest.version <= version {
-                download.pieces.iter_mut().for_each(|piece| *piece = None);
+                download.buffered.iter_mut().for_each(|piece| *piece = None);
             }
         }
     }
