--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -29,20 +29,21 @@
 use crate::staging::next_load::next_load;
 use crate::weights::HaveMap;
 
-/// Version that engines hold before any was declared.
-const FIRST_VERSION: u64 = 1;
+/// Version to load while no version has been declared.
+const INITIAL_VERSION: u64 = 1;
 
-/// Time that an entry is told of the load after its last sign, in ms: longer
-/// than a restart takes, so that a new process soon knows every load.
-const ENTRY_KEPT_MS: u64 = 60_000;
+/// Time after its last heartbeat during which an entry still gets load reports,
+/// in ms: longer than a restart, so that a restarted entry soon knows every load.
+const ENTRY_RETENTION_MS: u64 = 60_000;
 
-/// Silence after which an entry is not asked for weights, in ms: several beats.
-const ENTRY_ALIVE_MS: u64 = 1_600;
+/// Time without a heartbeat after which no weights are fetched from an entry, in
+/// ms: several heartbeat intervals.
+const ENTRY_TIMEOUT_MS: u64 = 1_600;
 
-/// Time that a note of another host is kept, in ms.
+/// Time for which the report of another host on its pieces is kept, in ms.
 const PEER_PIECES_KEPT_MS: u64 = 10_000;
 
-/// An entry that was heard from.
+/// An entry that sent a heartbeat.
 #[derive(Debug)]
 struct KnownEntry {
     address: SocketAddr,
@@ -52,7 +53,7 @@
 }
 
 impl KnownEntry {
-    fn relay_entry(&self) -> RelayEntry {
+    fn to_relay_entry(&self) -> RelayEntry {
         RelayEntry {
             address: self.address,
             link_mbps: self.link_mbps,
@@ -60,50 +61,50 @@
     }
 }
 
-/// What another host says that it holds.
+/// Pieces of one version that another host reported to hold.
 #[derive(Debug, Clone)]
 pub struct PeerPieces {
-    /// Where its endpoint process answers.
+    /// Address of the endpoint process of that host.
     pub address: SocketAddr,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version of the weights.
     pub version: u64,
-    /// Pieces.
+    /// Pieces that the host holds.
     pub have: HaveMap,
-    /// Steady time of the note.
+    /// Monotonic time at which the report was received, in ms.
     pub last_received_ms: u64,
 }
 
-/// What an endpoint process knows, shared by its tasks.
+/// State of an endpoint process, shared by its tasks.
 #[derive(Debug)]
 pub struct StagingState {
     /// Settings of the process.
     pub settings: StagingSettings,
-    /// Configuration in force.
+    /// Configuration in force; `None` until it is read.
     pub catalog: Option<Rc<Catalog>>,
-    /// Replicas of the own service, by id.
+    /// Replicas of the service of this host.
     pub replicas: Vec<ReplicaRecord>,
-    /// Last report of the engine; None when it did not answer.
+    /// Last report of the engine; `None` when the engine did not answer.
     pub engine_report: Option<EngineReport>,
-    /// Whether the engine is about to get an order.
+    /// Whether load reports announce a load that the engine does not report yet.
     pub is_load_announced: bool,
-    /// Staging area, one entry a model.
+    /// Weights on this host, one item for each model.
     pub staged_models: Vec<StagedModel>,
-    /// What other hosts hold.
+    /// Pieces that other hosts hold, one item for each host, model and version.
     pub peer_pieces: Vec<PeerPieces>,
-    // Ascending by address.
+    // In ascending order of addresses.
     entries: Vec<KnownEntry>,
-    /// Model and version of the order under way.
+    /// Model and version of the load order that the engine has not carried out yet.
     pub pending_order: Option<(String, u64)>,
-    /// Versions of weights that were declared.
+    /// Declared versions of weights.
     pub declared: Declarations,
     ledgers: [Ledger; 3],
-    started: Instant,
+    started_at: Instant,
 }
 
 impl StagingState {
-    /// State at the start of a process.
+    /// Creates the state of a process that has just started.
     pub fn new(settings: StagingSettings) -> Rc<RefCell<Self>> {
         Rc::new(RefCell::new(Self {
             settings,
@@ -117,21 +118,21 @@
             pending_order: None,
             declared: Declarations::default(),
             ledgers: Default::default(),
-            started: Instant::now(),
+            started_at: Instant::now(),
         }))
     }
 
-    /// Steady time since the start of the process.
+    /// Returns the monotonic time since the start of the process, in ms.
     pub fn now_ms(&self) -> u64 {
-        u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Notes a sign of an entry.
+    /// Records the heartbeat of an entry and drops entries without recent heartbeats.
     pub fn record_heartbeat(&mut self, beat: &EntryBeat) {
         let address = beat.internal;
         let now_ms = self.now_ms();
         self.entries
-            .retain(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_KEPT_MS);
+            .retain(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_RETENTION_MS);
         match self.entries.binary_search_by(|e| e.address.cmp(&address)) {
             Ok(at) => self.entries[at].last_received_ms = now_ms,
             Err(at) => self.entries.insert(
@@ -146,33 +147,37 @@
         }
     }
 
-    /// Entries to tell the load.
+    /// Returns the addresses of the entries that get load reports.
     pub fn entry_addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.entries.iter().map(|entry| entry.address)
     }
 
-    /// Entries heard from lately; those of the own region, if there are any.
+    /// Returns the entries with a recent heartbeat: those of the region of this host,
+    /// or all when the region has none.
     pub fn relay_entries(&self) -> Vec<RelayEntry> {
         let now_ms = self.now_ms();
-        let alive: Vec<&KnownEntry> = self
+        let available: Vec<&KnownEntry> = self
             .entries
             .iter()
-            .filter(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_ALIVE_MS)
+            .filter(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_TIMEOUT_MS)
             .collect();
         let region = self.settings.region(&self.settings.failure_domain);
         let is_near = |entry: &&&KnownEntry| self.settings.region(&entry.failure_domain) == region;
-        let near: Vec<RelayEntry> = alive
+        let near: Vec<RelayEntry> = available
             .iter()
             .filter(is_near)
-            .map(|e| e.relay_entry())
+            .map(|e| e.to_relay_entry())
             .collect();
         if near.is_empty() {
-            return alive.iter().map(|entry| entry.relay_entry()).collect();
+            return available
+                .iter()
+                .map(|entry| entry.to_relay_entry())
+                .collect();
         }
         near
     }
 
-    /// Steady time of the last sign of any entry.
+    /// Returns the monotonic time of the last heartbeat of any entry, in ms.
     pub fn last_heartbeat_ms(&self) -> Option<u64> {
         self.entries
             .iter()
@@ -180,7 +185,7 @@
             .max()
     }
 
-    /// Models of the own engine.
+    /// Returns the models that the configuration assigns to the engine of this host.
     pub fn models(&self) -> Vec<String> {
         let service = self
             .catalog
@@ -192,7 +197,7 @@
         })
     }
 
-    /// Where weights come from.
+    /// Returns the origin of weights, if one is configured.
     pub fn origin(&self) -> Option<OriginProfile> {
         self.catalog
             .as_ref()?
@@ -201,26 +206,25 @@
             .find_map(|service| service.origin.clone())
     }
 
-    /// Version of `model` that the engine holds, or was ordered to load.
+    /// Returns the version of `model` that the engine has loaded or was ordered to
+    /// load; 0 for none.
     pub fn engine_version(&self, model: &str) -> u64 {
         let reported = self
             .engine_report
             .as_ref()
             .map_or(0, |report| report.version(model));
-        let pending_order = self
-            .pending_order
-            .iter()
-            .find(|pending_order| pending_order.0 == model);
-        reported.max(pending_order.map_or(0, |pending_order| pending_order.1))
+        let ordered = self.pending_order.iter().find(|order| order.0 == model);
+        reported.max(ordered.map_or(0, |order| order.1))
     }
 
-    /// What to load next of `model`; None when nothing newer is declared.
+    /// Returns the version of `model` to load next; `None` when no newer version is
+    /// declared.
     pub fn next_load(&self, model: &str) -> Option<NextLoad> {
         let mut declared: Vec<Declaration> = self.declared.of(model).cloned().collect();
         if declared.is_empty() {
             declared.push(Declaration {
                 model: model.to_owned(),
-                version: FIRST_VERSION,
+                version: INITIAL_VERSION,
                 learned_ms: 0,
                 is_exact: false,
             });
@@ -228,7 +232,7 @@
         let downloads: Vec<DownloadProgress> = self
             .staged_models
             .iter()
-            .filter(|stage| stage.model == model)
+            .filter(|staged| staged.model == model)
             .flat_map(StagedModel::download_progress)
             .collect();
         next_load(&NextLoadInput {
@@ -241,35 +245,39 @@
         })
     }
 
-    /// Version of `model` to gather now; None when nothing is lacking.
+    /// Returns the version of `model` to fetch now; `None` when no piece is missing.
     ///
-    /// While the next version to load waits for its turn, a later one is
-    /// gathered already.
+    /// While a complete version waits for its load slot, the latest declared version
+    /// is fetched.
     pub fn version_to_fetch(&self, model: &str) -> Option<u64> {
-        let goal = self.next_load(model);
-        if let Some(goal) = goal {
-            if !self.is_complete(model, goal.version) {
-                return Some(goal.version);
+        let next = self.next_load(model);
+        if let Some(next) = next {
+            if !self.is_complete(model, next.version) {
+                return Some(next.version);
             }
-            if self.now_ms() as i64 >= goal.not_before_ms {
+            if self.now_ms() as i64 >= next.not_before_ms {
                 return None;
             }
             let latest = self.declared.of(model).last()?.version;
             return (!self.is_complete(model, latest)).then_some(latest);
         }
-        // Others may lack pieces that only lie here unchecked.
-        let held = self.engine_version(model);
-        (self.is_missing_on_peers(model, held) && !self.is_complete(model, held)).then_some(held)
+        // Other hosts may lack pieces that are in the staging area here, but not
+        // verified yet.
+        let engine_version = self.engine_version(model);
+        (self.is_missing_on_peers(model, engine_version)
+            && !self.is_complete(model, engine_version))
+        .then_some(engine_version)
     }
 
-    /// Whether another host still lacks pieces of the version.
+    /// Returns whether another host reported that it lacks pieces of the version.
     fn is_missing_on_peers(&self, model: &str, version: u64) -> bool {
-        self.peer_pieces.iter().any(|holder| {
-            holder.model == model && holder.version == version && !holder.have.is_complete()
-        })
+        self.peer_pieces
+            .iter()
+            .any(|peer| peer.model == model && peer.version == version && !peer.have.is_complete())
     }
 
-    /// Place of the own engine among those of its service, from 0 to 1.
+    /// Returns the load slot of the engine: its position among the engines of its
+    /// service, from 0 to 1.
     fn load_slot(&self) -> f64 {
         let own = self.settings.replica.to_string();
         let names: Vec<String> = self
@@ -281,35 +289,35 @@
         slot.min(names.len()) as f64 / names.len().max(1) as f64
     }
 
-    /// Whether every piece of `version` is held.
+    /// Returns whether every piece of `version` is staged or buffered in memory.
     pub fn is_complete(&self, model: &str, version: u64) -> bool {
         self.staged_models
             .iter()
-            .any(|stage| stage.model == model && stage.is_complete(version))
+            .any(|staged| staged.model == model && staged.is_complete(version))
     }
 
-    /// Whether pieces of `version` may go to the staging area at once: no version
-    /// before it waits there for its order.
+    /// Returns whether pieces of `version` may be written to the staging area right
+    /// away: no complete earlier version waits to be loaded.
     pub fn can_overwrite_staged(&self, model: &str, version: u64) -> bool {
-        let held = self.engine_version(model);
-        let waits = |stage: &StagedModel| {
-            stage.downloads().iter().any(|download| {
+        let engine_version = self.engine_version(model);
+        let has_waiting = |staged: &StagedModel| {
+            staged.downloads().iter().any(|download| {
                 let other = download.manifest.version;
-                other > held && other < version && stage.is_complete(other)
+                other > engine_version && other < version && staged.is_complete(other)
             })
         };
         !self
             .staged_models
             .iter()
-            .any(|s| s.model == model && waits(s))
+            .any(|staged| staged.model == model && has_waiting(staged))
     }
 
-    /// Staging area of `model`.
+    /// Returns the weights of `model` on this host, created when missing.
     pub fn staged_model(&mut self, model: &str) -> &mut StagedModel {
         let at = match self
             .staged_models
             .iter()
-            .position(|stage| stage.model == model)
+            .position(|staged| staged.model == model)
         {
             Some(at) => at,
             None => {
@@ -320,22 +328,23 @@
         &mut self.staged_models[at]
     }
 
-    /// Takes a note of what another host holds.
-    pub fn record_peer_pieces(&mut self, holder: PeerPieces) {
-        let same = |known: &&mut PeerPieces| {
-            known.address == holder.address
-                && known.model == holder.model
-                && known.version == holder.version
+    /// Records which pieces another host holds and drops outdated reports.
+    pub fn record_peer_pieces(&mut self, reported: PeerPieces) {
+        let is_same = |known: &&mut PeerPieces| {
+            known.address == reported.address
+                && known.model == reported.model
+                && known.version == reported.version
         };
         let now_ms = self.now_ms();
         self.peer_pieces
             .retain(|known| now_ms.saturating_sub(known.last_received_ms) < PEER_PIECES_KEPT_MS);
-        match self.peer_pieces.iter_mut().find(same) {
-            Some(known) => *known = holder,
-            None => self.peer_pieces.push(holder),
+        match self.peer_pieces.iter_mut().find(is_same) {
+            Some(known) => *known = reported,
+            None => self.peer_pieces.push(reported),
         }
     }
 
+    /// Records a version that the operator declared in the store.
     fn record_declaration(&mut self, model: String, version: u64, offset: u64) {
         let record = DeclaredRecord {
             model,
