--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -34,38 +34,46 @@
 use crate::staging::weights_manager::manage_weights;
 use crate::weights::OriginPort;
 
-/// Interval at which log lines are handed to their writer.
+/// Interval at which buffered log lines are passed to the log writer.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Interval of the notes on pieces while any host lacks some.
-const NOTE_INTERVAL: Duration = Duration::from_millis(60);
+/// Interval of have messages while any host lacks pieces.
+const HAVE_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Interval of the notes while entries hand out the pieces: only a host that
-/// loses all entries needs them.
-const SPARE_NOTE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of have messages while entries serve the pieces: only a host that can
+/// reach no entry needs them then.
+const BACKUP_HAVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Hosts beyond which the notes become rarer, so that their number stays bounded.
-const NOTE_HOSTS: u32 = 20;
+/// Number of hosts for each multiple of the interval, so that the rate of have
+/// messages that a host sends stays bounded.
+const HOSTS_PER_HAVE_INTERVAL: u32 = 20;
 
-/// Time without a sign of an entry after which the store is read, in ms.
-const ENTRIES_SILENT_MS: u64 = 2_500;
+/// Time without a heartbeat of any entry after which the store is read, in ms.
+const ENTRIES_TIMEOUT_MS: u64 = 2_500;
 
-/// Pause before the store is read again, and the longest to which it grows: the
-/// entries take some seconds to find a host that has just started.
-const STORE_PAUSE: (Duration, Duration) =
+/// Shortest and longest pause before the store is read again. The pause doubles
+/// from read to read: entries take some seconds to find a host that has just
+/// started.
+const STORE_READ_PAUSES: (Duration, Duration) =
     (Duration::from_millis(700), Duration::from_millis(2_800));
 
-/// Time that pieces are still given out after a stop signal.
-const STOP_TIME: Duration = Duration::from_millis(300);
+/// Time for which pieces are still served after a stop signal.
+const STOP_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest wait before records are read from an entry, in ms: less than the time
-/// in which a configuration must be in force.
+/// Longest random delay before records are fetched from an entry, in ms: less than
+/// the time within which a configuration must be in force.
 const MAX_FETCH_DELAY_MS: u64 = 1_500;
 
 /// Topics that an endpoint process follows.
 const TOPICS: [Topic; 2] = [Topic::Operator, Topic::Replicas];
 
 /// Runs an endpoint process until a stop signal.
+///
+/// `changed` returns the settings when their file has changed since the last call.
+///
+/// # Errors
+///
+/// Returns an error when a socket can't be bound or a signal handler can't be set.
 pub async fn run_endpoint_process<S: RecordSource + 'static>(
     settings: StagingSettings,
     engine: impl EnginePort,
@@ -75,22 +83,26 @@
     mut changed: impl FnMut() -> Option<StagingSettings>,
 ) -> io::Result<()> {
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
-    let mut hang_up = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())?;
+    let mut hangup = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())?;
     let metrics = Rc::new(Metrics::new());
     let state = StagingState::new(settings.clone());
     for address in [settings.internal, settings.metrics] {
-        let pieces = PieceHandler {
+        let handler = PieceHandler {
             state: state.clone(),
             engine: engine.clone(),
             metrics: metrics.clone(),
         };
-        actix_rt::spawn(serve_internal(TcpListener::bind(address).await?, pieces));
+        actix_rt::spawn(serve_internal(TcpListener::bind(address).await?, handler));
     }
     let socket = Rc::new(UdpSocket::bind(settings.internal).await?);
-    actix_rt::spawn(read_store(state.clone(), source(), decoder.clone()));
+    actix_rt::spawn(read_store_without_entries(
+        state.clone(),
+        source(),
+        decoder.clone(),
+    ));
     actix_rt::spawn(receive_datagrams(state.clone(), socket.clone(), decoder));
     actix_rt::spawn(report_load(state.clone(), engine.clone(), socket.clone()));
-    actix_rt::spawn(send_notes(state.clone(), socket));
+    actix_rt::spawn(send_have_messages(state.clone(), socket));
     actix_rt::spawn(manage_weights(state.clone(), engine, origin, metrics));
     actix_rt::spawn(flush_log_every(LOG_INTERVAL));
     LogLine::new(Event::ProcessStarted)
@@ -101,44 +113,44 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            new = changed_settings(&mut hang_up, &mut changed) => {
-                state.borrow_mut().settings.weights_apply_ms = new.weights_apply_ms;
+            reloaded = changed_settings(&mut hangup, &mut changed) => {
+                state.borrow_mut().settings.weights_apply_ms = reloaded.weights_apply_ms;
                 LogLine::new(Event::SettingsReloaded)
-                    .number("weights_apply_ms", new.weights_apply_ms)
+                    .number("weights_apply_ms", reloaded.weights_apply_ms)
                     .write();
             }
         }
     }
     LogLine::new(Event::ProcessStopping).write();
-    tokio::time::sleep(STOP_TIME).await;
+    tokio::time::sleep(STOP_DELAY).await;
     LogLine::new(Event::ProcessStopped).write();
     flush_log();
     tokio::time::sleep(LOG_INTERVAL / 10).await;
     Ok(())
 }
 
-/// Reads the topics from the store at the start, and while no entry is heard.
-async fn read_store(
+/// Reads the topics from the store at the start, and while no entry sends heartbeats.
+async fn read_store_without_entries(
     state: Rc<RefCell<StagingState>>,
     mut source: impl RecordSource,
     decoder: Rc<impl RecordDecoder>,
 ) {
-    let (shortest, longest) = STORE_PAUSE;
+    let (shortest, longest) = STORE_READ_PAUSES;
     let mut pause = shortest;
     loop {
         let must_read = {
             let state = state.borrow();
             let is_known = TOPICS.iter().all(|topic| state.ledger(*topic).is_known());
             let now_ms = state.now_ms();
-            let is_silent = state.last_heartbeat_ms().is_none_or(|last_received_ms| {
-                now_ms.saturating_sub(last_received_ms) >= ENTRIES_SILENT_MS
+            let is_without_entries = state.last_heartbeat_ms().is_none_or(|last_received_ms| {
+                now_ms.saturating_sub(last_received_ms) >= ENTRIES_TIMEOUT_MS
             });
-            !is_known || is_silent
+            !is_known || is_without_entries
         };
         if must_read {
             for topic in TOPICS {
                 if let Err(error) = read_listing(&state, topic, &mut source, &*decoder).await {
-                    log::debug!("the store was not read: {error}");
+                    log::debug!("cannot read topic {topic:?} from the store: {error}");
                 }
             }
             tokio::time::sleep(pause).await;
@@ -150,7 +162,7 @@
     }
 }
 
-/// Takes beats of entries and notes of other hosts.
+/// Receives heartbeats of entries and have messages of other hosts.
 async fn receive_datagrams(
     state: Rc<RefCell<StagingState>>,
     socket: Rc<UdpSocket>,
@@ -172,8 +184,8 @@
                         && (topic == Topic::Operator || state.has_missing_pieces());
                     (is_behind, state.now_ms())
                 };
-                let wait_ms = rand::rng().random_range(0..MAX_FETCH_DELAY_MS);
-                if is_behind && schedules.borrow_mut()[topic as usize].try_start(now_ms, wait_ms) {
+                let delay_ms = rand::rng().random_range(0..MAX_FETCH_DELAY_MS);
+                if is_behind && schedules.borrow_mut()[topic as usize].try_start(now_ms, delay_ms) {
                     let (state, decoder, schedules) =
                         (state.clone(), decoder.clone(), schedules.clone());
                     actix_rt::spawn(async move {
@@ -194,87 +206,89 @@
                 last_received_ms,
             });
         }
-        // Load reports are for entries.
+        // Load reports are sent to entries only.
         Datagram::Load(_) => {}
     })
     .await;
 }
 
-/// Tells the other hosts which pieces are held, while anybody lacks some.
-async fn send_notes(state: Rc<RefCell<StagingState>>, socket: Rc<UdpSocket>) {
+/// Sends have messages, which list the pieces held here, to the other hosts while
+/// any host lacks pieces.
+async fn send_have_messages(state: Rc<RefCell<StagingState>>, socket: Rc<UdpSocket>) {
     loop {
         let interval = {
             let state = state.borrow();
             let hosts = u32::try_from(state.replicas.len()).unwrap_or(u32::MAX);
             let interval = if state.relay_entries().is_empty() {
-                NOTE_INTERVAL
+                HAVE_INTERVAL
             } else {
-                SPARE_NOTE_INTERVAL
+                BACKUP_HAVE_INTERVAL
             };
             if state.has_missing_pieces() {
-                for (bytes, target) in notes(&state) {
-                    // A lost note is made good by the next one.
+                for (bytes, target) in have_messages(&state) {
+                    // The next message makes up for a lost one.
                     if let Err(error) = socket.try_send_to(&bytes, target) {
-                        log::debug!("a note to {target} was not sent: {error}");
+                        log::debug!("cannot send a have message to {target}: {error}");
                     }
                 }
             }
-            interval * hosts.div_ceil(NOTE_HOSTS).max(1)
+            interval * hosts.div_ceil(HOSTS_PER_HAVE_INTERVAL).max(1)
         };
         tokio::time::sleep(interval).await;
     }
 }
 
-/// Notes on what is held, to the hosts of the own region while entries live.
-fn notes(state: &StagingState) -> Vec<(Vec<u8>, SocketAddr)> {
-    let own = state.settings.internal;
+/// Returns the encoded have messages with their targets: the hosts of the region
+/// while entries are available, else all known hosts.
+fn have_messages(state: &StagingState) -> Vec<(Vec<u8>, SocketAddr)> {
+    let own_address = state.settings.internal;
     let settings = &state.settings;
-    let is_alone = state.relay_entries().is_empty();
+    let has_no_entries = state.relay_entries().is_empty();
     let region = settings.region(&settings.failure_domain);
     let replicas = state
         .replicas
         .iter()
-        .filter(|replica| is_alone || settings.region(&replica.failure_domain) == region)
-        .map(|replica| SocketAddr::new(replica.address.ip(), own.port()));
-    let peer_pieces = state
+        .filter(|replica| has_no_entries || settings.region(&replica.failure_domain) == region)
+        .map(|replica| SocketAddr::new(replica.address.ip(), own_address.port()));
+    let peers = state
         .peer_pieces
         .iter()
-        .filter(|_| is_alone)
-        .map(|holder| holder.address);
+        .filter(|_| has_no_entries)
+        .map(|peer| peer.address);
     let mut targets: Vec<SocketAddr> = replicas
-        .chain(peer_pieces)
-        .filter(|address| *address != own)
+        .chain(peers)
+        .filter(|address| *address != own_address)
         .collect();
     targets.sort_unstable();
     targets.dedup();
-    let mut notes = Vec::new();
-    for stage in &state.staged_models {
-        for download in stage.downloads() {
+    let mut messages = Vec::new();
+    for staged in &state.staged_models {
+        for download in staged.downloads() {
             let version = download.manifest.version;
-            let note = Datagram::Have(HaveNote {
-                address: own,
-                model: stage.model.clone(),
+            let message = Datagram::Have(HaveNote {
+                address: own_address,
+                model: staged.model.clone(),
                 version,
-                have: stage.held_pieces(version),
+                have: staged.held_pieces(version),
             });
-            let bytes = note.encode();
-            notes.extend(targets.iter().map(|target| (bytes.clone(), *target)));
+            let bytes = message.encode();
+            messages.extend(targets.iter().map(|target| (bytes.clone(), *target)));
         }
     }
-    notes
+    messages
 }
 
 impl StagingState {
-    /// Whether this host or another one lacks pieces of a wanted version.
+    /// Returns whether this host or another one lacks pieces of a wanted version.
     fn has_missing_pieces(&self) -> bool {
         let now_ms = self.now_ms();
         let models = self.models();
-        let is_own = models
+        let is_missing_here = models
             .iter()
             .any(|model| self.version_to_fetch(model).is_some());
-        let is_others = self.peer_pieces.iter().any(|holder| {
-            !holder.have.is_complete() && now_ms.saturating_sub(holder.last_received_ms) < 3_000
+        let is_missing_elsewhere = self.peer_pieces.iter().any(|peer| {
+            !peer.have.is_complete() && now_ms.saturating_sub(peer.last_received_ms) < 3_000
         });
-        is_own || is_others
+        is_missing_here || is_missing_elsewhere
     }
 }
