--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -12,20 +12,25 @@
 use crate::weights::PieceManifest;
 use crate::weights::agreed_manifest;
 
-/// Time for a manifest from another host.
+/// Timeout of a request for a manifest to another host or an entry.
 const MANIFEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that each further host waits before it asks the origin for a manifest.
-const MANIFEST_STAGGER: Duration = Duration::from_millis(120);
+/// Additional delay of each further host before it requests a manifest from the
+/// origin, so that not all hosts request it at once.
+const MANIFEST_SLOT_DELAY: Duration = Duration::from_millis(120);
 
-/// Pause before the origin is asked for a manifest again.
-const MANIFEST_PAUSE: Duration = Duration::from_millis(150);
+/// Delay before a failed search for a manifest is repeated.
+const MANIFEST_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
-    /// Reads the manifest from a host that has it, or from the origin.
-    pub(super) async fn manifest(&self) -> Option<PieceManifest> {
+    /// Returns the manifest: the known one, or one fetched from a host, an entry or the
+    /// origin.
+    ///
+    /// Repeats the search until it succeeds; `None` once the version is not wanted any
+    /// more. The origin is contacted only while no entry is available.
+    pub(super) async fn fetch_manifest(&self) -> Option<PieceManifest> {
         if let Some(known) = self.known_manifest() {
-            return Some(self.keep_manifest(known));
+            return Some(self.store_manifest(known));
         }
         let slot = {
             let state = self.state.borrow();
@@ -37,31 +42,32 @@
             let own = state.settings.replica.to_string();
             rotation_slot(&own, names.iter().map(String::as_str), self.version)
         };
-        let mut wait = MANIFEST_STAGGER * u32::try_from(slot).unwrap_or(u32::MAX).min(16);
+        let mut delay = MANIFEST_SLOT_DELAY * u32::try_from(slot).unwrap_or(u32::MAX).min(16);
         loop {
             if !self.is_wanted() {
                 return None;
             }
-            for address in self.manifest_holders() {
-                if let Some(manifest) = self.manifest_from(address).await {
-                    return Some(self.keep_manifest(manifest));
+            for address in self.manifest_sources() {
+                if let Some(manifest) = self.fetch_manifest_from_host(address).await {
+                    return Some(self.store_manifest(manifest));
                 }
             }
-            if wait.is_zero() {
+            if delay.is_zero() {
                 if self.state.borrow().relay_entries().is_empty()
-                    && let Some(manifest) = self.manifest_from_origin().await
+                    && let Some(manifest) = self.fetch_manifest_from_origin().await
                 {
-                    return Some(self.keep_manifest(manifest));
+                    return Some(self.store_manifest(manifest));
                 }
-                tokio::time::sleep(MANIFEST_PAUSE).await;
+                tokio::time::sleep(MANIFEST_RETRY_DELAY).await;
             } else {
-                let step = wait.min(MANIFEST_STAGGER);
+                let step = delay.min(MANIFEST_SLOT_DELAY);
                 tokio::time::sleep(step).await;
-                wait -= step;
+                delay -= step;
             }
         }
     }
 
+    /// Returns the manifest if it was fetched before.
     pub(super) fn known_manifest(&self) -> Option<PieceManifest> {
         let mut state = self.state.borrow_mut();
         let download = state
@@ -70,7 +76,8 @@
         download.map(|download| download.manifest.clone())
     }
 
-    fn keep_manifest(&self, manifest: PieceManifest) -> PieceManifest {
+    /// Stores the manifest, which starts the download of its version.
+    fn store_manifest(&self, manifest: PieceManifest) -> PieceManifest {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms() as i64;
         state
@@ -79,37 +86,40 @@
         manifest
     }
 
-    /// Hosts that have the manifest, and an entry that can get it.
-    fn manifest_holders(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses to fetch the manifest from: a host that has it, and an
+    /// entry, which fetches it from the origin when needed.
+    fn manifest_sources(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let peer_pieces = state
+        let peers = state
             .peer_pieces
             .iter()
-            .filter(|h| h.model == self.model && h.version == self.version);
-        let hosts = peer_pieces.map(|holder| holder.address).take(1);
+            .filter(|peer| peer.model == self.model && peer.version == self.version);
+        let hosts = peers.map(|peer| peer.address).take(1);
         let entry = assign_pieces(1, &state.relay_entries()).first().copied();
         hosts.chain(entry.map(|entry| entry.address)).collect()
     }
 
-    async fn manifest_from(&self, address: SocketAddr) -> Option<PieceManifest> {
+    /// Fetches the manifest from another host or an entry.
+    async fn fetch_manifest_from_host(&self, address: SocketAddr) -> Option<PieceManifest> {
         let target = format!("{MANIFEST_PATH}{}/{}", self.model, self.version);
         let mut client = Client::new(address, Duration::ZERO);
         match client.ask(&Ask::get(&target, MANIFEST_TIMEOUT)).await {
             Ok(reply) if reply.status == 200 => rmp_serde::from_slice(&reply.body).ok(),
             Ok(_) => None,
             Err(error) => {
-                log::debug!("{address} gave no manifest: {error}");
+                log::debug!("cannot fetch a manifest from {address}: {error}");
                 None
             }
         }
     }
 
-    async fn manifest_from_origin(&self) -> Option<PieceManifest> {
+    /// Fetches the manifest from the origin.
+    async fn fetch_manifest_from_origin(&self) -> Option<PieceManifest> {
         let origin = self.state.borrow().origin()?.address;
         match agreed_manifest(self.origin, origin, self.model, self.version).await {
             Ok(manifest) => Some(manifest),
             Err(error) => {
-                log::debug!("the origin gave no manifest: {error}");
+                log::debug!("cannot fetch a manifest from the origin: {error}");
                 None
             }
         }
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -29,7 +29,7 @@
 use crate::staging::StagingState;
 use crate::staging::fetch_schedule::FetchSchedule;
 use crate::staging::piece_handler::PieceHandler;
-use crate::staging::reporter::report_load;
+use crate::staging::reporter::send_load_reports;
 use crate::staging::state::PeerPieces;
 use crate::staging::weights_manager::manage_weights;
 use crate::weights::OriginPort;
@@ -101,7 +101,11 @@
         decoder.clone(),
     ));
     actix_rt::spawn(receive_datagrams(state.clone(), socket.clone(), decoder));
-    actix_rt::spawn(report_load(state.clone(), engine.clone(), socket.clone()));
+    actix_rt::spawn(send_load_reports(
+        state.clone(),
+        engine.clone(),
+        socket.clone(),
+    ));
     actix_rt::spawn(send_have_messages(state.clone(), socket));
     actix_rt::spawn(manage_weights(state.clone(), engine, origin, metrics));
     actix_rt::spawn(flush_log_every(LOG_INTERVAL));
--- a/src/staging/reporter.rs
+++ b/src/staging/reporter.rs
@@ -13,20 +13,20 @@
 use crate::staging::EngineReport;
 use crate::staging::StagingState;
 
-/// Interval of the load reports: about the time in which a replica gets one
-/// request at the peak.
+/// Interval of the load reports: about the mean time between two requests to one
+/// replica at peak load.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reports for each one that also goes to entries of other regions, whose links
-/// are thin.
-const REPORTS_PER_FAR_REPORT: u64 = 4;
+/// Number of reports of which one also goes to the entries of other regions: the
+/// links between regions are narrow.
+const REPORTS_PER_REMOTE_REPORT: u64 = 4;
 
-/// Reports for each one that also tells the ages of declarations, which only
-/// processes that have just started lack.
-const REPORTS_PER_AGES: u64 = 8;
+/// Number of reports of which one also carries the ages of the declarations: only
+/// processes that have just started lack these.
+const REPORTS_PER_DECLARATIONS: u64 = 8;
 
-/// Reads the engine's state and tells the entries, again and again.
-pub async fn report_load(
+/// Reads the engine's state and sends it to the entries, once an interval.
+pub async fn send_load_reports(
     state: Rc<RefCell<StagingState>>,
     mut engine: impl EnginePort,
     socket: Rc<UdpSocket>,
@@ -34,47 +34,50 @@
     let mut count = 0u64;
     loop {
         count += 1;
-        let to_far = count.is_multiple_of(REPORTS_PER_FAR_REPORT);
-        let with_ages = count.is_multiple_of(REPORTS_PER_AGES);
+        let to_other_regions = count.is_multiple_of(REPORTS_PER_REMOTE_REPORT);
+        let with_declarations = count.is_multiple_of(REPORTS_PER_DECLARATIONS);
         let report = match engine.report().await {
             Ok(report) => Some(report),
             Err(error) => {
-                log::debug!("the engine gave no report: {error}");
+                log::debug!("cannot read the report of the engine: {error}");
                 None
             }
         };
-        tell_entries(&state, report, &socket, to_far, with_ages);
+        publish_report(&state, report, &socket, to_other_regions, with_declarations);
         tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
-/// Keeps the report and tells the entries.
-fn tell_entries(
+/// Stores the report in the state and sends it to the entries.
+fn publish_report(
     state: &RefCell<StagingState>,
     report: Option<EngineReport>,
     socket: &UdpSocket,
-    to_far: bool,
-    with_ages: bool,
+    to_other_regions: bool,
+    with_declarations: bool,
 ) {
     let mut state = state.borrow_mut();
-    log_change(state.engine_report.as_ref(), report.as_ref());
+    log_engine_change(state.engine_report.as_ref(), report.as_ref());
     state.engine_report = report;
-    let bytes = Datagram::Load(load_report(&state, with_ages)).encode();
+    let bytes = Datagram::Load(load_report(&state, with_declarations)).encode();
     let near = state.relay_entries();
     let is_near = |address: &SocketAddr| near.iter().any(|entry| entry.address == *address);
-    let targets = state.entry_addresses().filter(|e| to_far || is_near(e));
+    let targets = state
+        .entry_addresses()
+        .filter(|e| to_other_regions || is_near(e));
     for entry in targets {
-        // A lost report is made good by the next one.
+        // The next report makes up for a lost one.
         if let Err(error) = socket.try_send_to(&bytes, entry) {
-            log::debug!("a load report to {entry} was not sent: {error}");
+            log::debug!("cannot send a load report to {entry}: {error}");
         }
     }
 }
 
-fn load_report(state: &StagingState, with_ages: bool) -> LoadReport {
+/// Builds the load report that is sent to the entries.
+fn load_report(state: &StagingState, with_declarations: bool) -> LoadReport {
     let port = state.settings.replica.port();
     let models = state.models();
-    let declared = if with_ages {
+    let declared = if with_declarations {
         state.declared.notes(state.now_ms() as i64)
     } else {
         Vec::new()
@@ -106,12 +109,13 @@
     }
 }
 
-/// Logs what changed of the engine, but not its load.
-fn log_change(before: Option<&EngineReport>, after: Option<&EngineReport>) {
-    let key = |report: Option<&EngineReport>| {
+/// Logs changes of the engine's availability, weights, order or incarnation, but not
+/// of its load.
+fn log_engine_change(before: Option<&EngineReport>, after: Option<&EngineReport>) {
+    let logged_state = |report: Option<&EngineReport>| {
         report.map(|r| (r.weights.clone(), r.is_busy, r.born_unix_ms))
     };
-    if key(before) == key(after) {
+    if logged_state(before) == logged_state(after) {
         return;
     }
     let mut line = LogLine::new(Event::EngineChanged).flag("up", after.is_some());
--- a/src/staging/swarm_fetches.rs
+++ b/src/staging/swarm_fetches.rs
@@ -18,30 +18,35 @@
 use crate::weights::SwarmHost;
 use crate::weights::next_fetches;
 
-/// Silence after which a host is not counted on, in ms: several notes.
-const PEER_SILENT_MS: u64 = 900;
+/// Time without a have message after which a host counts as failed, in ms: several
+/// intervals of these messages.
+const PEER_TIMEOUT_MS: u64 = 900;
 
-/// Time in which a host that was never heard from is counted on, in ms.
-const PEER_AWAITED_MS: u64 = 1_200;
+/// Time after the start of the download during which a host that has sent no have
+/// message yet does not count as failed, in ms.
+const PEER_STARTUP_MS: u64 = 1_200;
 
-/// Reads in progress at a time.
-const PLAN: PlanSettings = PlanSettings {
+/// Limits of the fetches in progress at a time.
+const PLAN_SETTINGS: PlanSettings = PlanSettings {
     max_fetches: 3,
     max_per_peer: 2,
     max_duties: 3,
     takeover_wait_ms: 500,
 };
 
-/// The hosts that take part, in one order for all of them.
+/// Hosts that take part in the swarm, in the same order on each of them.
 pub(super) struct SwarmView {
+    /// Addresses of the endpoint processes, ascending; a `PeerKey` is an index here.
     pub(super) addresses: Vec<SocketAddr>,
-    pub(super) homes: Homes,
-    pub(super) me: PeerKey,
+    /// Primary holders of each piece.
+    pub(super) primary_holders: Homes,
+    /// Key of this host.
+    pub(super) own_key: PeerKey,
 }
 
 impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
-    /// Endpoint processes of the replicas of the service, ascending.
-    pub(super) fn hosts(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses of the endpoint processes of the service, ascending.
+    pub(super) fn swarm_addresses(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
         let port = state.settings.internal.port();
         let mut hosts: Vec<SocketAddr> = state
@@ -55,8 +60,9 @@
         hosts
     }
 
-    pub(super) fn swarm(&self, manifest: &PieceManifest) -> SwarmView {
-        let addresses = self.hosts();
+    /// Builds the view of the swarm from the known replicas.
+    pub(super) fn swarm_view(&self, manifest: &PieceManifest) -> SwarmView {
+        let addresses = self.swarm_addresses();
         let state = self.state.borrow();
         let settings = &state.settings;
         let domain_of = |address: &SocketAddr| {
@@ -80,19 +86,24 @@
             settings.region(&origin.failure_domain).to_owned()
         });
         let digest = Digest::of(manifest.digests.as_flattened());
-        let homes = Homes::new(digest, manifest.chunks(), &hosts, &origin_region);
-        let me = addresses
+        let primary_holders = Homes::new(digest, manifest.chunks(), &hosts, &origin_region);
+        let own_index = addresses
             .iter()
             .position(|address| *address == settings.internal)
-            .expect("the own address is among the hosts");
+            .expect("the swarm addresses include this host");
         SwarmView {
             addresses,
-            homes,
-            me: PeerKey(u32::try_from(me).unwrap_or(u32::MAX)),
+            primary_holders,
+            own_key: PeerKey(u32::try_from(own_index).unwrap_or(u32::MAX)),
         }
     }
 
-    /// Reads from the swarm to start now.
+    /// Returns the fetches from the swarm to start now.
+    ///
+    /// `blocked` lists the sources that failed, each with the monotonic time in ms until
+    /// which nothing is fetched from it. `started_ms` is the start of the download,
+    /// `progress_ms` the time of the last new piece. `seed` breaks ties and has to differ
+    /// from call to call.
     pub(super) fn swarm_fetches(
         &self,
         swarm: &SwarmView,
@@ -102,16 +113,16 @@
         (started_ms, progress_ms): (u64, u64),
         seed: u64,
     ) -> Vec<PieceFetch> {
-        // What comes through an entry need not be planned.
-        let mut held = have.clone();
+        // Pieces that are being fetched from an entry need not be planned.
+        let mut held_or_expected = have.clone();
         let mut planned = Vec::new();
-        for read in in_flight {
-            match read.place {
+        for fetch in in_flight {
+            match fetch.source {
                 PieceSource::Entry(_) => {
-                    held.insert(read.chunk);
+                    held_or_expected.insert(fetch.index);
                 }
                 PieceSource::Swarm(source) => planned.push(Fetch {
-                    chunk: read.chunk,
+                    chunk: fetch.index,
                     source,
                 }),
             }
@@ -119,57 +130,57 @@
         let state = self.state.borrow();
         let now_ms = state.now_ms();
         let blocked_until = |source: Source| {
-            let mine = blocked
+            let blocks = blocked
                 .iter()
                 .filter(|block| block.0 == PieceSource::Swarm(source));
-            mine.map(|block| block.1).max().unwrap_or(0)
+            blocks.map(|block| block.1).max().unwrap_or(0)
         };
         let neighbours: Vec<Neighbour> = (0u32..)
             .zip(&swarm.addresses)
             .map(|(index, address)| {
                 let key = PeerKey(index);
-                let note = state.peer_pieces.iter().find(|holder| {
-                    holder.address == *address
-                        && holder.model == self.model
-                        && holder.version == self.version
+                let reported = state.peer_pieces.iter().find(|peer| {
+                    peer.address == *address
+                        && peer.model == self.model
+                        && peer.version == self.version
                 });
-                let is_lost = match note {
-                    Some(note) => now_ms.saturating_sub(note.last_received_ms) >= PEER_SILENT_MS,
-                    None => now_ms.saturating_sub(started_ms) >= PEER_AWAITED_MS,
+                let is_lost = match reported {
+                    Some(peer) => now_ms.saturating_sub(peer.last_received_ms) >= PEER_TIMEOUT_MS,
+                    None => now_ms.saturating_sub(started_ms) >= PEER_STARTUP_MS,
                 };
                 Neighbour {
                     key,
-                    have: note
-                        .filter(|note| note.have.len() == have.len())
-                        .map_or_else(|| HaveMap::empty(have.len()), |note| note.have.clone()),
+                    have: reported
+                        .filter(|peer| peer.have.len() == have.len())
+                        .map_or_else(|| HaveMap::empty(have.len()), |peer| peer.have.clone()),
                     queue: 0,
                     blocked_until_ms: blocked_until(Source::Peer(key)),
-                    lost: is_lost && key != swarm.me,
+                    lost: is_lost && key != swarm.own_key,
                 }
             })
             .collect();
         let fetches = next_fetches(&PlanInput {
             now_ms,
             progress_ms,
-            me: swarm.me,
-            homes: &swarm.homes,
-            have: &held,
+            me: swarm.own_key,
+            homes: &swarm.primary_holders,
+            have: &held_or_expected,
             in_flight: &planned,
             neighbours: &neighbours,
-            // While entries live, they alone read the origin.
+            // While entries are available, only they fetch from the origin.
             origin_blocked_until_ms: if state.relay_entries().is_empty() {
                 blocked_until(Source::Origin)
             } else {
                 u64::MAX
             },
-            settings: &PLAN,
+            settings: &PLAN_SETTINGS,
             seed,
         });
         fetches
             .into_iter()
             .map(|fetch| PieceFetch {
-                chunk: fetch.chunk,
-                place: PieceSource::Swarm(fetch.source),
+                index: fetch.chunk,
+                source: PieceSource::Swarm(fetch.source),
             })
             .collect()
     }
--- a/src/staging/weights_download.rs
+++ b/src/staging/weights_download.rs
@@ -22,76 +22,80 @@
 use crate::weights::ReadFault;
 use crate::weights::Source;
 
-/// Longest time between two looks at the plan.
-const PLAN_INTERVAL: Duration = Duration::from_millis(60);
+/// Longest time between two passes that plan the next fetches.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Pause before a failed source is asked again, in ms.
-const SOURCE_PAUSE_MS: u64 = 250;
+/// Delay before the next fetch from a host or the origin that failed, in ms.
+const SWARM_RETRY_DELAY_MS: u64 = 250;
 
-/// Time for one piece from another host: several pieces share its link.
+/// Timeout for one piece from another host or an entry: several pieces share its
+/// link.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reads from entries in progress at a time: what is under way delays the
-/// requests to the replica, whose link it shares.
+/// Fetches from entries in progress at a time: the pieces in flight delay the
+/// requests to the replica, which share the link of the host.
 const MAX_ENTRY_FETCHES: usize = 2;
 
-/// Time of one read beyond which only one is in progress, in ms: the link is
-/// narrower than it should be.
+/// Duration from which a fetch counts as slow, in ms. The link is then narrower than
+/// expected, and only one fetch from entries is in progress at a time.
 const SLOW_FETCH_MS: u64 = 300;
 
-/// Pause before an entry that failed is asked again, in ms: the origin may be away.
-const ENTRY_PAUSE_MS: u64 = 1_000;
+/// Delay before the next fetch from an entry that failed, in ms: the origin behind
+/// it may be unavailable.
+const ENTRY_RETRY_DELAY_MS: u64 = 1_000;
 
-/// Where a piece is read.
+/// Where a piece is fetched from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PieceSource {
-    /// From an entry that it passes through.
+    /// An entry, which relays the piece.
     Entry(SocketAddr),
-    /// From another host or the origin.
+    /// Another host of the swarm, or the origin.
     Swarm(Source),
 }
 
 impl PieceSource {
-    /// Pause before it is asked again after a failure.
-    fn pause_ms(self) -> u64 {
+    /// Returns the delay before the next fetch from this source after a failure, in ms.
+    fn retry_delay_ms(self) -> u64 {
         match self {
-            Self::Entry(_) => ENTRY_PAUSE_MS,
-            Self::Swarm(_) => SOURCE_PAUSE_MS,
+            Self::Entry(_) => ENTRY_RETRY_DELAY_MS,
+            Self::Swarm(_) => SWARM_RETRY_DELAY_MS,
         }
     }
 }
 
-/// One read of a piece.
+/// The fetch of one piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PieceFetch {
-    pub(super) chunk: u32,
-    pub(super) place: PieceSource,
+    /// Index of the piece.
+    pub(super) index: u32,
+    /// Where it is fetched from.
+    pub(super) source: PieceSource,
 }
 
-/// Gathers the pieces of one version into the staging area.
+/// Downloads the pieces of one version to this host and stages them.
 #[derive(Debug)]
 pub struct WeightsDownload<'a, E, O> {
-    /// What the process knows.
+    /// Shared state of the process.
     pub state: &'a Rc<RefCell<StagingState>>,
-    /// The engine on the own host.
+    /// Engine on this host.
     pub engine: &'a E,
-    /// The origin of weights.
+    /// Connection to the origin of weights.
     pub origin: &'a O,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: &'a Metrics,
-    /// Model.
+    /// Name of the model.
     pub model: &'a str,
-    /// Version.
+    /// Version to download.
     pub version: u64,
 }
 
 impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
-    /// Gathers until the version is complete or no longer wanted.
+    /// Fetches pieces until the version is complete or no longer wanted.
     pub async fn fetch_version(&self) {
-        let Some(manifest) = self.manifest().await else {
+        let Some(manifest) = self.fetch_manifest().await else {
             return;
         };
-        self.take_inventory(&manifest).await;
+        self.verify_unknown_pieces(&manifest).await;
         LogLine::new(Event::TransferStarted)
             .text("model", self.model)
             .number("version", self.version)
@@ -101,10 +105,12 @@
         self.fetch_missing(&manifest).await;
     }
 
+    /// Returns whether this is still the version to fetch.
     pub(super) fn is_wanted(&self) -> bool {
         self.state.borrow().version_to_fetch(self.model) == Some(self.version)
     }
 
+    /// Returns the pieces of this version that the host holds.
     pub(super) fn held_pieces(&self) -> HaveMap {
         self.state
             .borrow_mut()
@@ -112,23 +118,23 @@
             .held_pieces(self.version)
     }
 
-    /// Checks the staged pieces whose version is not known.
-    async fn take_inventory(&self, manifest: &PieceManifest) {
+    /// Verifies the staged pieces whose version is unknown, as after a restart.
+    async fn verify_unknown_pieces(&self, manifest: &PieceManifest) {
         let mut engine = self.engine.clone();
         for index in 0..manifest.chunks() {
-            let staged = self
+            let staged_version = self
                 .state
                 .borrow_mut()
                 .staged_model(self.model)
                 .staged_version(index);
-            if staged == 0 {
-                self.check_piece(&mut engine, manifest, index).await;
+            if staged_version == 0 {
+                self.verify_staged_piece(&mut engine, manifest, index).await;
             }
         }
     }
 
-    /// Puts every piece into the staging area and checks what lies there;
-    /// returns whether all are right.
+    /// Writes every piece of this version to the staging area and verifies it there;
+    /// returns whether all pieces are valid.
     pub async fn stage_pieces(&self) -> bool {
         let Some(manifest) = self.known_manifest() else {
             return false;
@@ -136,58 +142,74 @@
         let mut engine = self.engine.clone();
         let mut all_staged = true;
         for index in 0..manifest.chunks() {
-            let (staged, bytes) = {
+            let (staged_version, bytes) = {
                 let mut state = self.state.borrow_mut();
-                let stage = state.staged_model(self.model);
+                let staged_model = state.staged_model(self.model);
                 (
-                    stage.staged_version(index),
-                    stage.buffered_piece(self.version, index),
+                    staged_model.staged_version(index),
+                    staged_model.buffered_piece(self.version, index),
                 )
             };
-            if staged == self.version && self.check_piece(&mut engine, &manifest, index).await {
+            if staged_version == self.version
+                && self
+                    .verify_staged_piece(&mut engine, &manifest, index)
+                    .await
+            {
                 continue;
             }
             let is_written = match bytes {
                 Some(bytes) => self.write_piece(&mut engine, index, &bytes).await,
                 None => false,
             };
-            all_staged &= is_written && self.check_piece(&mut engine, &manifest, index).await;
+            all_staged &= is_written
+                && self
+                    .verify_staged_piece(&mut engine, &manifest, index)
+                    .await;
         }
         all_staged
     }
 
+    /// Writes a piece to the staging area; returns whether it succeeded.
     async fn write_piece(&self, engine: &mut E, index: u32, bytes: &[u8]) -> bool {
         match engine.write_piece(self.model, index, bytes).await {
             Ok(()) => true,
             Err(error) => {
-                log::debug!("piece {index} was not staged: {error}");
+                log::debug!("cannot write piece {index} to the staging area: {error}");
                 false
             }
         }
     }
 
-    async fn check_piece(&self, engine: &mut E, manifest: &PieceManifest, index: u32) -> bool {
-        let is_right = match engine.read_piece(self.model, index).await {
+    /// Compares a staged piece with its digest and records the result.
+    async fn verify_staged_piece(
+        &self,
+        engine: &mut E,
+        manifest: &PieceManifest,
+        index: u32,
+    ) -> bool {
+        let is_valid = match engine.read_piece(self.model, index).await {
             Ok(Some(bytes)) => manifest.matches(index, &bytes),
             Ok(None) => false,
             Err(error) => {
-                log::debug!("staged piece {index} cannot be read: {error}");
+                log::debug!("cannot read piece {index} from the staging area: {error}");
                 false
             }
         };
-        let staged = if is_right { self.version } else { 0 };
+        let staged_version = if is_valid { self.version } else { 0 };
         let mut state = self.state.borrow_mut();
         state
             .staged_model(self.model)
-            .set_staged_version(index, staged);
-        is_right
+            .set_staged_version(index, staged_version);
+        is_valid
     }
 
+    /// Fetches the missing pieces from entries, or from the swarm when no entry is
+    /// available.
     async fn fetch_missing(&self, manifest: &PieceManifest) {
         let mut in_flight: Vec<PieceFetch> = Vec::new();
-        let mut reads = FuturesUnordered::new();
+        let mut fetches = FuturesUnordered::new();
         let mut blocked: Vec<(PieceSource, u64)> = Vec::new();
-        let mut swarm = self.swarm(manifest);
+        let mut swarm = self.swarm_view(manifest);
         let mut engine = self.engine.clone();
         let started_ms = self.state.borrow().now_ms();
         let mut progress_ms = started_ms;
@@ -206,8 +228,8 @@
             if !self.is_wanted() {
                 return;
             }
-            if self.hosts() != swarm.addresses && in_flight.is_empty() {
-                swarm = self.swarm(manifest);
+            if self.swarm_addresses() != swarm.addresses && in_flight.is_empty() {
+                swarm = self.swarm_view(manifest);
             }
             seed = seed.wrapping_add(1);
             let now_ms = self.state.borrow().now_ms();
@@ -218,35 +240,39 @@
                     let times = (started_ms, progress_ms);
                     self.swarm_fetches(&swarm, &have, &in_flight, &blocked, times, seed)
                 });
-            for read in planned {
-                in_flight.push(read);
-                let address = match read.place {
+            for fetch in planned {
+                in_flight.push(fetch);
+                let address = match fetch.source {
                     PieceSource::Entry(address) => Some(address),
                     PieceSource::Swarm(Source::Origin) => None,
                     PieceSource::Swarm(Source::Peer(key)) => Some(swarm.addresses[key.0 as usize]),
                 };
-                reads.push(async move { (read, now_ms, self.read(read.chunk, address).await) });
+                fetches.push(async move {
+                    (fetch, now_ms, self.fetch_piece(fetch.index, address).await)
+                });
             }
             tokio::select! {
-                Some((read, read_started_ms, result)) = reads.next() => {
-                    in_flight.retain(|other| *other != read);
+                Some((fetch, fetch_started_ms, result)) = fetches.next() => {
+                    in_flight.retain(|other| *other != fetch);
                     let now_ms = self.state.borrow().now_ms();
-                    is_slow = now_ms.saturating_sub(read_started_ms) >= SLOW_FETCH_MS;
-                    if self.take_piece(manifest, read, result, &mut engine).await {
+                    is_slow = now_ms.saturating_sub(fetch_started_ms) >= SLOW_FETCH_MS;
+                    if self.accept_piece(manifest, fetch, result, &mut engine).await {
                         progress_ms = now_ms;
                     } else {
-                        blocked.push((read.place, now_ms + read.place.pause_ms()));
+                        blocked.push((fetch.source, now_ms + fetch.source.retry_delay_ms()));
                     }
                 }
-                () = tokio::time::sleep(PLAN_INTERVAL) => {}
+                () = tokio::time::sleep(MAX_PLAN_INTERVAL) => {}
             }
         }
     }
 
-    /// Reads from entries to start now; None when no entry can be asked.
+    /// Returns the fetches from entries to start now; `None` when no entry is available.
     ///
-    /// All hosts ask in the same order, so that a piece is read from the origin
-    /// when the first of them wants it, and lies ready for the others.
+    /// All hosts fetch the pieces in the same order, so that the first request makes the
+    /// entry fetch a piece from the origin, and the entry has it for the others. `blocked`
+    /// lists the sources that failed, each with the monotonic time in ms until which
+    /// nothing is fetched from it.
     fn entry_fetches(
         &self,
         have: &HaveMap,
@@ -264,35 +290,40 @@
         if entries.is_empty() {
             return None;
         }
-        let most = if is_slow { 1 } else { MAX_ENTRY_FETCHES };
-        let room = most.saturating_sub(in_flight.len());
-        if room == 0 {
+        let max_fetches = if is_slow { 1 } else { MAX_ENTRY_FETCHES };
+        let free_slots = max_fetches.saturating_sub(in_flight.len());
+        if free_slots == 0 {
             return Some(Vec::new());
         }
-        let carriers = assign_pieces(have.len(), &entries);
-        let is_free = |chunk: &u32| {
-            !have.contains(*chunk) && in_flight.iter().all(|read| read.chunk != *chunk)
+        let assigned = assign_pieces(have.len(), &entries);
+        let is_missing = |index: &u32| {
+            !have.contains(*index) && in_flight.iter().all(|fetch| fetch.index != *index)
         };
-        let reads = (0..have.len()).filter(is_free).take(room);
+        let indices = (0..have.len()).filter(is_missing).take(free_slots);
         Some(
-            reads
-                .filter_map(|chunk| {
-                    let place = PieceSource::Entry(carriers.get(chunk as usize)?.address);
-                    Some(PieceFetch { chunk, place })
+            indices
+                .filter_map(|index| {
+                    let source = PieceSource::Entry(assigned.get(index as usize)?.address);
+                    Some(PieceFetch { index, source })
                 })
                 .collect(),
         )
     }
 
-    /// Reads one piece from another host, or from the origin.
-    async fn read(&self, index: u32, address: Option<SocketAddr>) -> Result<Vec<u8>, ReadFault> {
+    /// Fetches one piece from a host or an entry, or from the origin when `address` is
+    /// `None`.
+    async fn fetch_piece(
+        &self,
+        index: u32,
+        address: Option<SocketAddr>,
+    ) -> Result<Vec<u8>, ReadFault> {
         let Some(address) = address else {
             let origin = self.state.borrow().origin().map(|origin| origin.address);
             let Some(origin) = origin else {
                 return Err(ReadFault::Unreachable("no origin is configured".to_owned()));
             };
-            let read = self.origin.piece(origin, self.model, self.version, index);
-            return read.await;
+            let piece = self.origin.piece(origin, self.model, self.version, index);
+            return piece.await;
         };
         let target = format!("{PIECE_PATH}{}/{}/{index}", self.model, self.version);
         let mut client = Client::new(address, Duration::ZERO);
@@ -303,50 +334,51 @@
         }
     }
 
-    /// Checks a piece and stages it.
-    async fn take_piece(
+    /// Verifies a fetched piece and stores it in the staging area or in memory; returns
+    /// whether the piece was valid.
+    async fn accept_piece(
         &self,
         manifest: &PieceManifest,
-        read: PieceFetch,
+        fetch: PieceFetch,
         result: Result<Vec<u8>, ReadFault>,
         engine: &mut E,
     ) -> bool {
         let bytes = match result {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::debug!("piece {} was not read: {error}", read.chunk);
+                log::debug!("cannot fetch piece {}: {error}", fetch.index);
                 return false;
             }
         };
-        let from = match read.place {
+        let from = match fetch.source {
             PieceSource::Entry(_) => "entry",
             PieceSource::Swarm(Source::Origin) => "origin",
             PieceSource::Swarm(Source::Peer(_)) => "host",
         };
         self.metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
-        if !manifest.matches(read.chunk, &bytes) {
+        if !manifest.matches(fetch.index, &bytes) {
             LogLine::new(Event::PieceRejected)
                 .text("model", self.model)
                 .number("version", self.version)
-                .number("piece", read.chunk)
+                .number("piece", fetch.index)
                 .text("from", from)
                 .write();
             return false;
         }
-        let is_free = self
+        let can_stage = self
             .state
             .borrow()
             .can_overwrite_staged(self.model, self.version);
-        let is_staged = is_free && self.write_piece(engine, read.chunk, &bytes).await;
+        let is_staged = can_stage && self.write_piece(engine, fetch.index, &bytes).await;
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms() as i64;
-        let stage = state.staged_model(self.model);
+        let staged_model = state.staged_model(self.model);
         if is_staged {
-            stage.set_staged_version(read.chunk, self.version);
-            stage.record_progress(self.version, now_ms);
+            staged_model.set_staged_version(fetch.index, self.version);
+            staged_model.record_progress(self.version, now_ms);
         } else {
-            stage.buffer_piece(self.version, read.chunk, bytes, now_ms);
+            staged_model.buffer_piece(self.version, fetch.index, bytes, now_ms);
         }
         true
     }
--- a/src/staging/weights_manager.rs
+++ b/src/staging/weights_manager.rs
@@ -11,21 +11,23 @@
 use crate::staging::weights_download::WeightsDownload;
 use crate::weights::OriginPort;
 
-/// Pause between looks at what the engine holds.
-const LOOK_INTERVAL: Duration = Duration::from_millis(60);
+/// Interval at which the state of the engine is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Time between the word that an engine is about to load and its order: entries
-/// stop sending in it.
-const ANNOUNCE_TIME: Duration = Duration::from_millis(150);
+/// Time between the announcement of a load in the load reports and the load order:
+/// meanwhile the entries stop sending requests to the engine.
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(150);
 
-/// Time before its turn at which an engine's pieces are staged and checked, in ms:
-/// two calls to the engine a piece. A check is good for some seconds.
+/// Time before the load slot at which the pieces are staged and verified, in ms. It
+/// covers two calls to the engine for each piece. The result of a verification remains
+/// valid for some seconds.
 const STAGE_LEAD_MS: i64 = 700;
 
-/// Time in which an order shows in the engine's report.
-const ORDER_SEEN: Duration = Duration::from_millis(600);
+/// Longest time until a load order shows in the report of the engine.
+const ORDER_REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Brings the engine to the wanted version of each model, again and again.
+/// Downloads the wanted version of each model and orders the engine to load it, until
+/// the process ends.
 pub async fn manage_weights(
     state: Rc<RefCell<StagingState>>,
     engine: impl EnginePort,
@@ -39,7 +41,7 @@
                 continue;
             }
             state.borrow_mut().clear_finished_order(&model);
-            let transfer = |version| WeightsDownload {
+            let download = |version| WeightsDownload {
                 state: &state,
                 engine: &engine,
                 origin: &origin,
@@ -49,85 +51,94 @@
             };
             let version_to_fetch = state.borrow().version_to_fetch(&model);
             if let Some(version) = version_to_fetch {
-                transfer(version).fetch_version().await;
+                download(version).fetch_version().await;
             }
-            let goal = state.borrow().next_load(&model);
-            if let Some(goal) = goal {
-                order(&transfer(goal.version), goal).await;
+            let next = state.borrow().next_load(&model);
+            if let Some(next) = next {
+                order_when_due(&download(next.version), next).await;
             }
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Orders the engine to load, if its turn has come and it is not busy.
+/// Orders the engine to load a version if its load slot is due and it is not busy.
 ///
-/// The pieces are staged and checked before, while the engine still serves.
-async fn order<E: EnginePort, O: OriginPort>(transfer: &WeightsDownload<'_, E, O>, goal: NextLoad) {
-    let state = transfer.state;
-    if !is_due(&state.borrow(), transfer.model, goal, STAGE_LEAD_MS)
-        || !transfer.stage_pieces().await
+/// Before that the pieces are staged and verified, while the engine still serves.
+async fn order_when_due<E: EnginePort, O: OriginPort>(
+    download: &WeightsDownload<'_, E, O>,
+    next: NextLoad,
+) {
+    let state = download.state;
+    if !is_due(&state.borrow(), download.model, next, STAGE_LEAD_MS)
+        || !download.stage_pieces().await
     {
         return;
     }
-    let left_ms = goal.not_before_ms - state.borrow().now_ms() as i64;
+    let left_ms = next.not_before_ms - state.borrow().now_ms() as i64;
     tokio::time::sleep(Duration::from_millis(u64::try_from(left_ms).unwrap_or(0))).await;
-    let now_wanted = state.borrow().next_load(transfer.model);
-    if now_wanted.is_none_or(|wanted| wanted.version != goal.version)
-        || !is_due(&state.borrow(), transfer.model, goal, 0)
+    let current = state.borrow().next_load(download.model);
+    if current.is_none_or(|current| current.version != next.version)
+        || !is_due(&state.borrow(), download.model, next, 0)
     {
         return;
     }
     state.borrow_mut().is_load_announced = true;
-    tokio::time::sleep(ANNOUNCE_TIME).await;
-    let mut engine = transfer.engine.clone();
-    let line = match engine.order_load(transfer.model, transfer.version).await {
+    tokio::time::sleep(ANNOUNCE_DELAY).await;
+    let mut engine = download.engine.clone();
+    let line = match engine.order_load(download.model, download.version).await {
         Ok(()) => {
-            let pending_order = (transfer.model.to_owned(), transfer.version);
+            let order = (download.model.to_owned(), download.version);
             let mut state = state.borrow_mut();
-            state.pending_order = Some(pending_order);
+            state.pending_order = Some(order);
             state
-                .staged_model(transfer.model)
-                .free_buffers(transfer.version);
+                .staged_model(download.model)
+                .free_buffers(download.version);
             LogLine::new(Event::OrderGiven)
         }
         Err(error) => LogLine::new(Event::OrderFailed).text("error", error.to_string()),
     };
-    line.text("model", transfer.model)
-        .number("version", transfer.version)
+    line.text("model", download.model)
+        .number("version", download.version)
         .write();
-    let seen = tokio::time::Instant::now() + ORDER_SEEN;
-    while tokio::time::Instant::now() < seen {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+    let deadline = tokio::time::Instant::now() + ORDER_REPORT_TIMEOUT;
+    while tokio::time::Instant::now() < deadline {
+        tokio::time::sleep(POLL_INTERVAL).await;
         let state = state.borrow();
-        let is_seen = state.engine_report.as_ref().is_none_or(|report| {
-            report.is_busy || report.version(transfer.model) == transfer.version
+        let is_reported = state.engine_report.as_ref().is_none_or(|report| {
+            report.is_busy || report.version(download.model) == download.version
         });
-        if is_seen {
+        if is_reported {
             break;
         }
     }
     state.borrow_mut().is_load_announced = false;
 }
 
-/// Whether an order for `goal` may be given in `ahead_ms`.
-fn is_due(state: &StagingState, model: &str, goal: NextLoad, ahead_ms: i64) -> bool {
-    let is_turn = state.now_ms() as i64 + ahead_ms >= goal.not_before_ms;
-    let is_free = state
+/// Returns whether the load of `next` may be ordered `lead_ms` from now.
+fn is_due(state: &StagingState, model: &str, next: NextLoad, lead_ms: i64) -> bool {
+    let is_slot_due = state.now_ms() as i64 + lead_ms >= next.not_before_ms;
+    let is_idle = state
         .engine_report
         .as_ref()
         .is_some_and(|report| !report.is_busy);
-    is_turn && is_free && state.is_complete(model, goal.version)
+    is_slot_due && is_idle && state.is_complete(model, next.version)
 }
 
 impl StagingState {
-    /// Forgets an order that the engine has carried out, or no longer knows.
+    /// Clears the pending order for `model` once the engine is no longer busy: it has
+    /// carried the order out, or lost it.
     fn clear_finished_order(&mut self, model: &str) {
         let is_busy = self
             .engine_report
             .as_ref()
             .is_some_and(|report| report.is_busy);
-        if !is_busy && self.pending_order.as_ref().is_some_and(|o| o.0 == model) {
+        if !is_busy
+            && self
+                .pending_order
+                .as_ref()
+                .is_some_and(|order| order.0 == model)
+        {
             self.pending_order = None;
         }
     }
