--- a/src/staging/reporter.rs
+++ b/src/staging/reporter.rs
@@ -60,11 +60,12 @@
     log_engine_change(state.engine_report.as_ref(), report.as_ref());
     state.engine_report = report;
     let bytes = Datagram::Load(load_report(&state, with_declarations)).encode();
-    let near = state.relay_entries();
-    let is_near = |address: &SocketAddr| near.iter().any(|entry| entry.address == *address);
+    let relay_entries = state.relay_entries();
+    let is_relay_entry =
+        |address: &SocketAddr| relay_entries.iter().any(|entry| entry.address == *address);
     let targets = state
         .entry_addresses()
-        .filter(|e| to_other_regions || is_near(e));
+        .filter(|e| to_other_regions || is_relay_entry(e));
     for entry in targets {
         // The next report makes up for a lost one.
         if let Err(error) = socket.try_send_to(&bytes, entry) {
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -1,7 +1,7 @@
-//! Which version an engine loads next and when, what a host holds of each, and
-//! how pieces reach many hosts.
+//! Tests of the choice of the next version to load, of the pieces that a host
+//! holds, and of the distribution of pieces to many hosts.
 
-mod piece_spread;
+mod piece_distribution;
 
 use bergamotfork::fleet::Declaration;
 use bergamotfork::staging::DownloadProgress;
@@ -14,8 +14,8 @@
 
 const APPLY_MS: i64 = 8_000;
 
-fn declared(entries: &[(u64, i64)]) -> Vec<Declaration> {
-    entries
+fn declared(versions: &[(u64, i64)]) -> Vec<Declaration> {
+    versions
         .iter()
         .map(|(version, learned_ms)| Declaration {
             model: "m".to_owned(),
@@ -40,17 +40,17 @@
     }
 }
 
-fn goal(
+fn load_with(
     now_ms: i64,
     engine_version: u64,
-    entries: &[(u64, i64)],
+    versions: &[(u64, i64)],
     downloads: &[DownloadProgress],
     load_slot: f64,
 ) -> Option<NextLoad> {
     next_load(&NextLoadInput {
         now_ms,
         engine_version,
-        declared: &declared(entries),
+        declared: &declared(versions),
         downloads,
         apply_ms: APPLY_MS,
         load_slot,
@@ -58,84 +58,111 @@
 }
 
 #[test]
-fn next_load_nothing_newer() {
-    assert_eq!(goal(0, 2, &[(1, 0), (2, 0)], &[], 0.0), None);
+fn next_load_no_newer_version() {
+    assert_eq!(load_with(0, 2, &[(1, 0), (2, 0)], &[], 0.0), None);
 }
 
 #[test]
-fn next_load_turns_spread_until_due() {
-    let turns: Vec<i64> = (0..20)
+fn next_load_slots_spread_until_due() {
+    let starts_ms: Vec<i64> = (0..20)
         .map(|slot| {
-            let turn = f64::from(slot) / 20.0;
-            goal(0, 1, &[(2, 0)], &[], turn).unwrap().not_before_ms
+            let load_slot = f64::from(slot) / 20.0;
+            load_with(0, 1, &[(2, 0)], &[], load_slot)
+                .unwrap()
+                .not_before_ms
         })
         .collect();
-    assert!(turns.is_sorted());
-    assert!(turns[0] > 0, "the first waits until all have the pieces");
-    assert!(turns[19] < APPLY_MS, "the last loads before the bound");
-    let busiest = turns
+    assert!(starts_ms.is_sorted());
+    assert!(
+        starts_ms[0] > 0,
+        "the first engine waits until all hosts have the pieces"
+    );
+    assert!(
+        starts_ms[19] < APPLY_MS,
+        "the last engine loads before the deadline"
+    );
+    let busiest = starts_ms
         .iter()
-        .map(|start| {
-            let second = *start..*start + 1_000;
-            turns.iter().filter(|turn| second.contains(*turn)).count()
+        .map(|start_ms| {
+            let second = *start_ms..*start_ms + 1_000;
+            starts_ms
+                .iter()
+                .filter(|other_ms| second.contains(*other_ms))
+                .count()
         })
         .max()
         .unwrap();
-    assert!(busiest <= 7, "{busiest} of 20 load within a second");
+    assert!(
+        busiest <= 7,
+        "{busiest} of 20 engines load within one second"
+    );
 }
 
 #[test]
-fn next_load_turns_spread_after_first_version() {
-    // The margins before a version that nothing precedes once wrapped around.
-    let early = goal(100, 1, &[(2, 0)], &[], 0.0).unwrap();
-    let late = goal(100, 1, &[(2, 0)], &[], 0.95).unwrap();
+fn next_load_slots_spread_without_earlier_declaration() {
+    // Guards against an overflow: the time margins once wrapped around when no
+    // earlier version was declared.
+    let early = load_with(100, 1, &[(2, 0)], &[], 0.0).unwrap();
+    let late = load_with(100, 1, &[(2, 0)], &[], 0.95).unwrap();
     assert!(late.not_before_ms > early.not_before_ms + 2_000);
 }
 
 #[test]
-fn next_load_empty_engine_loads_at_once() {
+fn next_load_empty_engine_immediate() {
     assert_eq!(
-        goal(9_000, 0, &[(1, 0)], &[], 0.9).unwrap().not_before_ms,
+        load_with(9_000, 0, &[(1, 0)], &[], 0.9)
+            .unwrap()
+            .not_before_ms,
         9_000
     );
 }
 
 #[test]
-fn next_load_unknown_age_loads_at_once() {
-    // A restarted process takes what it finds for due.
-    let goal = goal(50, 1, &[(2, 50 - APPLY_MS)], &[], 0.9).unwrap();
-    assert!(goal.not_before_ms <= 50);
+fn next_load_unknown_age_immediate() {
+    // A restarted process takes the declarations in the store for due.
+    let load = load_with(50, 1, &[(2, 50 - APPLY_MS)], &[], 0.9).unwrap();
+    assert!(load.not_before_ms <= 50);
 }
 
 #[test]
-fn next_load_later_version_in_time_passes_first_over() {
-    let goal = goal(4_100, 1, &[(2, 0), (3, 4_000)], &[], 0.9).unwrap();
-    assert_eq!(goal.version, 3);
+fn next_load_newest_in_time_skips_first() {
+    let load = load_with(4_100, 1, &[(2, 0), (3, 4_000)], &[], 0.9).unwrap();
+    assert_eq!(load.version, 3);
 }
 
 #[test]
-fn next_load_stuck_later_version_falls_back() {
-    let held = [
+fn next_load_newest_stalled_keeps_first() {
+    let downloads = [
         progress(2, 100, 2_400, true),
         progress(3, 2_100, 2_500, false),
     ];
-    let entries = [(2, 0), (3, 2_000)];
-    assert_eq!(goal(2_600, 1, &entries, &held, 0.9).unwrap().version, 3);
-    assert_eq!(goal(3_500, 1, &entries, &held, 0.9).unwrap().version, 2);
+    let versions = [(2, 0), (3, 2_000)];
+    assert_eq!(
+        load_with(2_600, 1, &versions, &downloads, 0.9)
+            .unwrap()
+            .version,
+        3
+    );
+    assert_eq!(
+        load_with(3_500, 1, &versions, &downloads, 0.9)
+            .unwrap()
+            .version,
+        2
+    );
 }
 
 #[test]
-fn next_load_too_late_for_later_version_keeps_first() {
-    let held = [progress(2, 100, 2_400, true)];
-    let goal = goal(5_900, 1, &[(2, 0), (3, 5_800)], &held, 0.9).unwrap();
-    assert_eq!(goal.version, 2);
+fn next_load_newest_too_late_keeps_first() {
+    let downloads = [progress(2, 100, 2_400, true)];
+    let load = load_with(5_900, 1, &[(2, 0), (3, 5_800)], &downloads, 0.9).unwrap();
+    assert_eq!(load.version, 2);
 }
 
 #[test]
-fn next_load_after_passed_over_version_waits_for_its_due_time() {
-    // Those that passed version 2 over load until it is due.
-    let goal = goal(6_000, 2, &[(2, 0), (3, 4_000)], &[], 0.0).unwrap();
-    assert!(goal.not_before_ms >= APPLY_MS - 1_500);
+fn next_load_loaded_version_due_first() {
+    // Engines that skipped version 2 load version 3 until version 2 is due.
+    let load = load_with(6_000, 2, &[(2, 0), (3, 4_000)], &[], 0.0).unwrap();
+    assert!(load.not_before_ms >= APPLY_MS - 1_500);
 }
 
 fn manifest(version: u64) -> PieceManifest {
@@ -176,7 +203,7 @@
 }
 
 #[test]
-fn manifest_matches_its_bytes_only() {
+fn piece_manifest_matches_own_bytes_only() {
     let empty_sha256 = [
         0xe3, 0xb0, 0xc4, 0x42, 0x98, 0xfc, 0x1c, 0x14, 0x9a, 0xfb, 0xf4, 0xc8, 0x99, 0x6f, 0xb9,
         0x24, 0x27, 0xae, 0x41, 0xe4, 0x64, 0x9b, 0x93, 0x4c, 0xa4, 0x95, 0x99, 0x1b, 0x78, 0x52,
@@ -191,14 +218,18 @@
     assert!(!manifest.matches(1, b""));
 }
 
-/// What hosts need at once is in the beats: they do not all read at once.
+/// Guards against all hosts fetching records from the entries at once. What hosts need
+/// immediately is in the heartbeats, so a fetch may be delayed.
 #[test]
-fn fetch_schedule_waits_and_runs_once() {
-    let mut plan = FetchSchedule::default();
-    assert!(!plan.try_start(1_000, 400));
-    assert!(!plan.try_start(1_300, 0), "the first wait stands");
-    assert!(plan.try_start(1_400, 400));
-    assert!(!plan.try_start(5_000, 0), "one read at a time");
-    plan.finish();
-    assert!(!plan.try_start(5_000, 400));
+fn fetch_schedule_try_start_delayed_once() {
+    let mut schedule = FetchSchedule::default();
+    assert!(!schedule.try_start(1_000, 400));
+    assert!(
+        !schedule.try_start(1_300, 0),
+        "a later call does not change the delay"
+    );
+    assert!(schedule.try_start(1_400, 400));
+    assert!(!schedule.try_start(5_000, 0), "only one fetch at a time");
+    schedule.finish();
+    assert!(!schedule.try_start(5_000, 400));
 }
--- a/tests/staging/piece_spread.rs
+++ b/tests/staging/piece_distribution.rs
@@ -9,13 +9,13 @@
 const HOST_MBPS: f64 = 9.4;
 const STEP_MS: f64 = 2.0;
 
-/// Part of an entry's link that pieces may take.
-const ENTRY_SHARE: f64 = 0.6;
+/// Share of an entry's link that pieces may use.
+const PIECE_LINK_SHARE: f64 = 0.6;
 
 struct Host {
-    asked: u32,
+    requested: u32,
     held: u32,
-    // When the reads under way, and those that ended, leave the link.
+    // Time at which the link of the host has carried all pieces sent so far.
     link_free_ms: f64,
     in_flight: usize,
 }
@@ -24,7 +24,7 @@
     PIECE_BITS / (link_mbps * 1_000.0)
 }
 
-/// Two entries with wide links and ten with narrow ones, as in one region.
+/// Returns the entries of one region: two with wide links and ten with narrow ones.
 fn entries() -> Vec<RelayEntry> {
     (0..12)
         .map(|index| RelayEntry {
@@ -34,16 +34,16 @@
         .collect()
 }
 
-/// Time until `hosts` hosts of a region hold a version whose pieces leave the
-/// origin one after the other, each host with two reads under way.
-fn spread_ms(hosts: usize) -> f64 {
+/// Returns the time until `hosts` hosts of a region hold a version, in ms. The pieces
+/// leave the origin one after the other, and each host has two fetches in progress.
+fn distribution_ms(hosts: usize) -> f64 {
     let entries = entries();
-    let carriers = assign_pieces(PIECES, &entries);
+    let assigned = assign_pieces(PIECES, &entries);
     let mut queues: Vec<VecDeque<(usize, u32)>> = vec![VecDeque::new(); entries.len()];
-    let mut link_free_ms = vec![0.0f64; entries.len()];
+    let mut entry_free_ms = vec![0.0f64; entries.len()];
     let mut hosts: Vec<Host> = (0..hosts)
         .map(|_| Host {
-            asked: 0,
+            requested: 0,
             held: 0,
             link_free_ms: 0.0,
             in_flight: 0,
@@ -53,35 +53,35 @@
     let mut now_ms = 0.0;
     while hosts.iter().any(|host| host.held < PIECES) {
         arrivals.retain(|(at_ms, host)| {
-            let is_here = *at_ms <= now_ms;
-            if is_here {
+            let is_arrived = *at_ms <= now_ms;
+            if is_arrived {
                 hosts[*host].held += 1;
                 hosts[*host].in_flight -= 1;
             }
-            !is_here
+            !is_arrived
         });
         for (index, host) in hosts.iter_mut().enumerate() {
-            while host.in_flight < 2 && host.asked < PIECES {
-                let piece = host.asked;
-                let entry = carriers[piece as usize];
+            while host.in_flight < 2 && host.requested < PIECES {
+                let piece = host.requested;
+                let entry = assigned[piece as usize];
                 let at = entries.iter().position(|e| *e == entry).unwrap();
                 queues[at].push_back((index, piece));
-                host.asked += 1;
+                host.requested += 1;
                 host.in_flight += 1;
             }
         }
         for (at, queue) in queues.iter_mut().enumerate() {
-            let is_there = |piece: u32| f64::from(piece + 1) * piece_ms(ORIGIN_MBPS) <= now_ms;
-            while link_free_ms[at] <= now_ms {
-                let Some(next) = queue.iter().position(|(_, piece)| is_there(*piece)) else {
+            let is_at_entry = |piece: u32| f64::from(piece + 1) * piece_ms(ORIGIN_MBPS) <= now_ms;
+            while entry_free_ms[at] <= now_ms {
+                let Some(next) = queue.iter().position(|(_, piece)| is_at_entry(*piece)) else {
                     break;
                 };
                 let (host, _) = queue.remove(next).unwrap();
-                let took_ms = piece_ms(entries[at].link_mbps * ENTRY_SHARE);
-                link_free_ms[at] = link_free_ms[at].max(now_ms) + took_ms;
+                let took_ms = piece_ms(entries[at].link_mbps * PIECE_LINK_SHARE);
+                entry_free_ms[at] = entry_free_ms[at].max(now_ms) + took_ms;
                 let host_ms = hosts[host].link_free_ms.max(now_ms) + piece_ms(HOST_MBPS);
                 hosts[host].link_free_ms = host_ms;
-                arrivals.push((host_ms.max(link_free_ms[at]), host));
+                arrivals.push((host_ms.max(entry_free_ms[at]), host));
             }
         }
         now_ms += STEP_MS;
@@ -89,25 +89,29 @@
     now_ms
 }
 
-/// Engines must answer from new weights 9.7 s after their declaration, and load
-/// them in turns before that: half of the time is for the pieces.
+/// A new version must serve every request 9.7 s after its declaration. Half of that
+/// time is reserved for the load slots, so the pieces have to arrive in the other half.
 #[test]
 fn assign_pieces_many_hosts_in_time() {
-    let took_ms = spread_ms(25);
+    let took_ms = distribution_ms(25);
     assert!(took_ms < 9_700.0 / 2.0, "{took_ms} ms");
 }
 
-/// Links carry pieces by their width, and few pieces move when an entry leaves.
+/// Guards against an entry with more pieces than its share of the bandwidth, and
+/// against many reassigned pieces when an entry leaves.
 #[test]
 fn assign_pieces_by_bandwidth() {
     let all = entries();
     let chosen = assign_pieces(PIECES, &all);
     assert_eq!(chosen.len(), PIECES as usize);
-    let all_mbps: f64 = all.iter().map(|entry| entry.link_mbps).sum();
+    let total_mbps: f64 = all.iter().map(|entry| entry.link_mbps).sum();
     for entry in &all {
-        let carried = chosen.iter().filter(|other| *other == entry).count() as f64;
-        let share = f64::from(PIECES) * entry.link_mbps / all_mbps;
-        assert!(carried <= (share * 1.1).ceil(), "{carried} of {share}");
+        let count = chosen.iter().filter(|other| *other == entry).count() as f64;
+        let share = f64::from(PIECES) * entry.link_mbps / total_mbps;
+        assert!(
+            count <= (share * 1.1).ceil(),
+            "{count} pieces for a share of {share}"
+        );
     }
     let fewer = assign_pieces(PIECES, &all[..11]);
     let moved = chosen
