--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -174,17 +174,18 @@
 ) {
     let schedules: Rc<RefCell<[FetchSchedule; 3]>> = Rc::default();
     for_each_datagram(&socket, |datagram, _| match datagram {
-        Datagram::Beat(beat) => {
+        Datagram::Beat(heartbeat) => {
             {
                 let mut state = state.borrow_mut();
-                state.record_heartbeat(&beat);
+                state.record_heartbeat(&heartbeat);
                 let now_ms = state.now_ms() as i64;
-                state.declared.merge(&beat.declared, now_ms);
+                state.declared.merge(&heartbeat.declared, now_ms);
             }
             for topic in TOPICS {
                 let (is_behind, now_ms) = {
                     let state = state.borrow();
-                    let is_behind = beat.ends[topic as usize] > state.ledger(topic).end_offset()
+                    let is_behind = heartbeat.ends[topic as usize]
+                        > state.ledger(topic).end_offset()
                         && (topic == Topic::Operator || state.has_missing_pieces());
                     (is_behind, state.now_ms())
                 };
@@ -193,20 +194,20 @@
                     let (state, decoder, schedules) =
                         (state.clone(), decoder.clone(), schedules.clone());
                     actix_rt::spawn(async move {
-                        pull_records(&state, topic, beat.internal, &*decoder).await;
+                        pull_records(&state, topic, heartbeat.internal, &*decoder).await;
                         schedules.borrow_mut()[topic as usize].finish();
                     });
                 }
             }
         }
-        Datagram::Have(note) => {
+        Datagram::Have(message) => {
             let mut state = state.borrow_mut();
             let last_received_ms = state.now_ms();
             state.record_peer_pieces(PeerPieces {
-                address: note.address,
-                model: note.model,
-                version: note.version,
-                have: note.have,
+                address: message.address,
+                model: message.model,
+                version: message.version,
+                have: message.have,
                 last_received_ms,
             });
         }
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -128,8 +128,8 @@
     }
 
     /// Records the heartbeat of an entry and drops entries without recent heartbeats.
-    pub fn record_heartbeat(&mut self, beat: &EntryBeat) {
-        let address = beat.internal;
+    pub fn record_heartbeat(&mut self, heartbeat: &EntryBeat) {
+        let address = heartbeat.internal;
         let now_ms = self.now_ms();
         self.entries
             .retain(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_RETENTION_MS);
@@ -139,8 +139,8 @@
                 at,
                 KnownEntry {
                     address,
-                    failure_domain: beat.failure_domain.clone(),
-                    link_mbps: beat.link_mbps,
+                    failure_domain: heartbeat.failure_domain.clone(),
+                    link_mbps: heartbeat.link_mbps,
                     last_received_ms: now_ms,
                 },
             ),
