--- a/src/staging/mod.rs
+++ b/src/staging/mod.rs
@@ -1,36 +1,37 @@
-//! The endpoint process on a platform with its own wire: brings weights to the
-//! replica beside it, orders their loading, and reports the replica's load.
+//! The endpoint process on a platform with its own protocol. It downloads weights
+//! for the replica on its host, orders the replica to load them, and reports the
+//! replica's load to the entries.
 //!
-//! Pieces spread as a swarm by the plan of [`crate::weights`]: about one copy
-//! leaves the origin, and each link between regions carries each piece once.
-//! What the wire calls things is behind the traits in `ports`.
+//! Pieces of weights are distributed as a swarm, planned by [`crate::weights`]:
+//! about one copy leaves the origin, and each link between regions carries each
+//! piece once. The traits in `ports` hide the protocol of the platform.
 
-mod goal;
-mod keeper;
+mod fetch_schedule;
 mod manifest;
-mod near_entry;
-mod pieces;
+mod next_load;
+mod piece_handler;
 mod ports;
 mod process;
-mod pull_plan;
+mod relay_entry;
 mod reporter;
 mod settings;
-mod stage;
+mod staged_model;
 mod state;
-mod swarm_reads;
-mod transfer;
+mod swarm_fetches;
+mod weights_download;
+mod weights_manager;
 
-pub use goal::Gathering;
-pub use goal::Goal;
-pub use goal::GoalInput;
-pub use goal::next_goal;
-pub use near_entry::NearEntry;
-pub use near_entry::entries_for;
+pub use fetch_schedule::FetchSchedule;
+pub use next_load::DownloadProgress;
+pub use next_load::NextLoad;
+pub use next_load::NextLoadInput;
+pub use next_load::next_load;
 pub use ports::EnginePort;
 pub use ports::EngineReport;
-pub use process::run;
-pub use pull_plan::PullPlan;
+pub use process::run_endpoint_process;
+pub use relay_entry::RelayEntry;
+pub use relay_entry::assign_pieces;
 pub use settings::StagingSettings;
-pub use stage::Stage;
-pub use stage::WeightsCopy;
+pub use staged_model::StagedModel;
+pub use staged_model::VersionDownload;
 pub use state::StagingState;
--- /dev/null
+++ b/src/staging/next_load.rs
@@ -0,0 +1,141 @@
+use crate::fleet::Declaration;
+
+/// Estimated time to download a complete version, in ms: its size divided by the
+/// bandwidth of a host's link, with some reserve.
+const DOWNLOAD_MS: i64 = 2_500;
+
+/// Time without a new piece after which a download counts as stalled, in ms.
+const STALL_MS: i64 = 900;
+
+/// Time before the deadline of a version from which entries send no requests to
+/// engines that have not loaded it, in ms.
+const APPLY_MARGIN_MS: i64 = 1_300;
+
+/// Time before that moment at which the last engine gets its load order, in ms.
+const ORDER_MARGIN_MS: i64 = 300;
+
+/// Minimum age of the newest declaration for an empty engine to start with it,
+/// in ms: by then the entries have cached its pieces.
+const EMPTY_ENGINE_MIN_AGE_MS: i64 = 1_000;
+
+/// Progress of the download of one version.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct DownloadProgress {
+    /// Version of the weights.
+    pub version: u64,
+    /// Monotonic time at which the download started, in ms.
+    pub started_ms: i64,
+    /// Monotonic time of the last new piece, in ms.
+    pub last_progress_ms: i64,
+    /// Whether every piece is held, in the staging area or in memory.
+    pub is_complete: bool,
+}
+
+/// Input of [`next_load`].
+#[derive(Debug, Clone, Copy)]
+pub struct NextLoadInput<'a> {
+    /// Current monotonic time, in ms.
+    pub now_ms: i64,
+    /// Version that the engine has loaded or was ordered to load; 0 for none.
+    pub engine_version: u64,
+    /// Declared versions of the model, in ascending order.
+    pub declared: &'a [Declaration],
+    /// Progress of the downloads of this model, one for each version.
+    pub downloads: &'a [DownloadProgress],
+    /// Time after its declaration within which a version must serve every request,
+    /// in ms.
+    pub apply_ms: i64,
+    /// Load slot of this engine: its position among the engines of its service,
+    /// from 0 to 1.
+    pub load_slot: f64,
+}
+
+/// The version to load next, and when.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct NextLoad {
+    /// Version of the weights to load.
+    pub version: u64,
+    /// Monotonic time before which the load must not be ordered, in ms.
+    pub not_before_ms: i64,
+}
+
+/// Chooses the version to load next; `None` when no newer version is declared.
+///
+/// Loading takes an engine out of service for a while. A version is therefore
+/// skipped in favour of a newer one that can be downloaded before the first is due,
+/// unless the download of the newer one has stalled. The load slots of the engines
+/// spread the loads over the time from when all hosts have the pieces until the
+/// version is due.
+pub fn next_load(input: &NextLoadInput<'_>) -> Option<NextLoad> {
+    let loaded_count = input
+        .declared
+        .partition_point(|d| d.version <= input.engine_version);
+    let (first, newest) = match &input.declared[loaded_count..] {
+        [] => return None,
+        [only] => (only, only),
+        [first, .., newest] => (first, newest),
+    };
+    let due_ms = first.learned_ms + input.apply_ms - APPLY_MARGIN_MS;
+    let chosen = if first.version == newest.version {
+        first
+    } else {
+        choose_version(input, first, newest, due_ms)
+    };
+    // Until the previous version is due, the engines that skipped it load this one.
+    // An engine that loaded the previous version waits until then.
+    let downloaded_ms = chosen.learned_ms + DOWNLOAD_MS;
+    let first_ms = match input.declared[..loaded_count].last() {
+        Some(earlier) => downloaded_ms.max(earlier.learned_ms + input.apply_ms - APPLY_MARGIN_MS),
+        None => downloaded_ms,
+    };
+    let last_ms = due_ms - ORDER_MARGIN_MS;
+    let not_before_ms = if input.engine_version == 0 || last_ms <= first_ms {
+        input.now_ms
+    } else {
+        first_ms + ((last_ms - first_ms) as f64 * input.load_slot) as i64
+    };
+    Some(NextLoad {
+        version: chosen.version,
+        not_before_ms,
+    })
+}
+
+/// Chooses between the first version that the engine lacks and the newest one.
+fn choose_version<'a>(
+    input: &NextLoadInput<'_>,
+    first: &'a Declaration,
+    newest: &'a Declaration,
+    due_ms: i64,
+) -> &'a Declaration {
+    let download_of = |version| {
+        input
+            .downloads
+            .iter()
+            .find(|download| download.version == version)
+    };
+    let is_stalled = |version| {
+        download_of(version).is_some_and(|download| {
+            !download.is_complete && input.now_ms >= download.last_progress_ms + STALL_MS
+        })
+    };
+    if input.engine_version == 0 {
+        let is_cached = input.now_ms >= newest.learned_ms + EMPTY_ENGINE_MIN_AGE_MS;
+        return if is_cached && !is_stalled(newest.version) {
+            newest
+        } else {
+            first
+        };
+    }
+    let newest_ready_ms = match download_of(newest.version) {
+        Some(download) if download.is_complete => input.now_ms,
+        Some(download) => (download.started_ms + DOWNLOAD_MS).max(input.now_ms),
+        None => input.now_ms + DOWNLOAD_MS,
+    };
+    if is_stalled(newest.version) {
+        return first;
+    }
+    if is_stalled(first.version) || newest_ready_ms <= due_ms || input.now_ms >= due_ms {
+        return newest;
+    }
+    first
+}
--- a/src/staging/pieces.rs
+++ b/src/staging/piece_handler.rs
@@ -10,39 +10,44 @@
 use crate::staging::EnginePort;
 use crate::staging::StagingState;
 
-/// Path of the metrics.
+/// Path that serves the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Gives pieces and manifests to other hosts.
+/// Serves pieces and manifests to other hosts, and the metrics.
 #[derive(Debug)]
-pub struct Pieces<E> {
-    /// What the process knows.
+pub struct PieceHandler<E> {
+    /// Shared state of the process.
     pub state: Rc<RefCell<StagingState>>,
-    /// The engine whose staging area holds the pieces.
+    /// Engine whose staging area holds the pieces.
     pub engine: E,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
-impl<E: EnginePort> Pieces<E> {
-    async fn piece(&self, question: &str) -> Option<InternalReply> {
-        let mut parts = question.split('/');
+impl<E: EnginePort> PieceHandler<E> {
+    /// Returns the piece at `rest`, the path `MODEL/VERSION/INDEX`; `None` when it is
+    /// not held.
+    async fn piece(&self, rest: &str) -> Option<InternalReply> {
+        let mut parts = rest.split('/');
         let model = parts.next()?;
         let version: u64 = parts.next()?.parse().ok()?;
         let index: u32 = parts.next()?.parse().ok()?;
-        let (staged, in_memory) = {
+        let (staged_version, buffered) = {
             let mut state = self.state.borrow_mut();
-            let stage = state.stage(model);
-            (stage.staged(index), stage.piece(version, index))
+            let staged = state.staged_model(model);
+            (
+                staged.staged_version(index),
+                staged.buffered_piece(version, index),
+            )
         };
-        if let Some(bytes) = in_memory {
+        if let Some(bytes) = buffered {
             return Some(InternalReply {
                 status: 200,
                 content_type: "application/octet-stream",
                 body: bytes.to_vec(),
             });
         }
-        if staged != version {
+        if staged_version != version {
             return None;
         }
         let mut engine = self.engine.clone();
@@ -54,17 +59,24 @@
             }),
             Ok(None) => None,
             Err(error) => {
-                log::debug!("piece {index} of {model} cannot be read: {error}");
+                log::debug!(
+                    "cannot read piece {index} of model {model} from the staging area: {error}"
+                );
                 None
             }
         }
     }
 
-    fn manifest(&self, question: &str) -> Option<InternalReply> {
-        let (model, version) = question.split_once('/')?;
+    /// Returns the manifest at `rest`, the path `MODEL/VERSION`; `None` when it is not
+    /// known.
+    fn manifest(&self, rest: &str) -> Option<InternalReply> {
+        let (model, version) = rest.split_once('/')?;
         let version: u64 = version.parse().ok()?;
         let mut state = self.state.borrow_mut();
-        let manifest = &state.stage(model).copy(version)?.manifest;
+        let manifest = &state
+            .staged_model(model)
+            .version_download(version)?
+            .manifest;
         Some(InternalReply {
             status: 200,
             content_type: "application/msgpack",
@@ -73,16 +85,16 @@
     }
 }
 
-impl<E: EnginePort> InternalHandler for Pieces<E> {
+impl<E: EnginePort> InternalHandler for PieceHandler<E> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
         let path = request.head.path();
         if path == METRICS_PATH {
             return InternalReply::metrics(self.metrics.render());
         }
-        let reply = if let Some(question) = path.strip_prefix(PIECE_PATH) {
-            self.piece(question).await
-        } else if let Some(question) = path.strip_prefix(MANIFEST_PATH) {
-            self.manifest(question)
+        let reply = if let Some(rest) = path.strip_prefix(PIECE_PATH) {
+            self.piece(rest).await
+        } else if let Some(rest) = path.strip_prefix(MANIFEST_PATH) {
+            self.manifest(rest)
         } else {
             None
         };
--- /dev/null
+++ b/src/staging/staged_model.rs
@@ -0,0 +1,174 @@
+use std::rc::Rc;
+
+use crate::staging::DownloadProgress;
+use crate::weights::HaveMap;
+use crate::weights::PieceManifest;
+
+/// Versions kept of one model: the loaded one and the next two.
+const MAX_VERSIONS: usize = 3;
+
+/// The download of one version of weights, in progress or complete.
+#[derive(Debug)]
+pub struct VersionDownload {
+    /// Manifest with the digest of each piece.
+    pub manifest: PieceManifest,
+    /// Monotonic time at which the download started, in ms.
+    pub started_ms: i64,
+    /// Monotonic time of the last new piece, in ms.
+    pub last_progress_ms: i64,
+    // Pieces held in memory until the engine is ordered to load this version.
+    buffered: Vec<Option<Rc<Vec<u8>>>>,
+}
+
+/// Weights of one model on this host: the pieces in the engine's staging area and
+/// those buffered in memory.
+///
+/// The staging area holds one piece for each index. While a complete version there
+/// waits to be loaded, a later version is downloaded into memory.
+#[derive(Debug)]
+pub struct StagedModel {
+    /// Name of the model.
+    pub model: String,
+    // Verified version of each staged piece; 0 when unknown.
+    staged_versions: Vec<u64>,
+    // In ascending order of versions.
+    downloads: Vec<VersionDownload>,
+}
+
+impl StagedModel {
+    /// Creates the state of `model`, with no piece and no download.
+    pub fn new(model: &str) -> Self {
+        Self {
+            model: model.to_owned(),
+            staged_versions: Vec::new(),
+            downloads: Vec::new(),
+        }
+    }
+
+    /// Starts the download of a version, or resumes it when there is one.
+    ///
+    /// Drops the lowest version when more than `MAX_VERSIONS` would be kept.
+    pub fn start_download(&mut self, manifest: PieceManifest, now_ms: i64) {
+        self.staged_versions.resize(manifest.digests.len(), 0);
+        let found = self
+            .downloads
+            .binary_search_by_key(&manifest.version, |download| download.manifest.version);
+        match found {
+            Ok(at) => self.downloads[at].last_progress_ms = now_ms,
+            Err(at) => {
+                let buffered = vec![None; manifest.digests.len()];
+                self.downloads.insert(
+                    at,
+                    VersionDownload {
+                        manifest,
+                        started_ms: now_ms,
+                        last_progress_ms: now_ms,
+                        buffered,
+                    },
+                );
+                if self.downloads.len() > MAX_VERSIONS {
+                    self.downloads.remove(0);
+                }
+            }
+        }
+    }
+
+    /// Returns the download of `version`, if there is one.
+    pub fn version_download(&self, version: u64) -> Option<&VersionDownload> {
+        let at = self
+            .downloads
+            .binary_search_by_key(&version, |download| download.manifest.version)
+            .ok()?;
+        Some(&self.downloads[at])
+    }
+
+    /// Returns all downloads, in ascending order of versions.
+    pub fn downloads(&self) -> &[VersionDownload] {
+        &self.downloads
+    }
+
+    /// Returns the verified version of the staged piece `index`; 0 when unknown.
+    pub fn staged_version(&self, index: u32) -> u64 {
+        self.staged_versions
+            .get(index as usize)
+            .copied()
+            .unwrap_or(0)
+    }
+
+    /// Records the verified version of the staged piece `index`; 0 for unknown.
+    pub fn set_staged_version(&mut self, index: u32, version: u64) {
+        if let Some(staged) = self.staged_versions.get_mut(index as usize) {
+            *staged = version;
+        }
+    }
+
+    /// Returns a piece of `version` that is buffered in memory.
+    pub fn buffered_piece(&self, version: u64, index: u32) -> Option<Rc<Vec<u8>>> {
+        self.version_download(version)?
+            .buffered
+            .get(index as usize)?
+            .clone()
+    }
+
+    /// Buffers a piece of `version` in memory.
+    pub fn buffer_piece(&mut self, version: u64, index: u32, bytes: Vec<u8>, now_ms: i64) {
+        let download = self
+            .downloads
+            .iter_mut()
+            .find(|download| download.manifest.version == version);
+        if let Some(download) = download
+            && let Some(piece) = download.buffered.get_mut(index as usize)
+        {
+            *piece = Some(Rc::new(bytes));
+            download.last_progress_ms = now_ms;
+        }
+    }
+
+    /// Records that the download of `version` got a new piece.
+    pub fn record_progress(&mut self, version: u64, now_ms: i64) {
+        for download in &mut self.downloads {
+            if download.manifest.version == version {
+                download.last_progress_ms = now_ms;
+            }
+        }
+    }
+
+    /// Returns the pieces of `version` that are staged or buffered.
+    pub fn held_pieces(&self, version: u64) -> HaveMap {
+        let mut have =
+            HaveMap::empty(u32::try_from(self.staged_versions.len()).unwrap_or(u32::MAX));
+        for (index, staged) in (0u32..).zip(&self.staged_versions) {
+            if *staged == version || self.buffered_piece(version, index).is_some() {
+                have.insert(index);
+            }
+        }
+        have
+    }
+
+    /// Returns whether every piece of `version` is staged or buffered.
+    pub fn is_complete(&self, version: u64) -> bool {
+        self.version_download(version).is_some() && self.held_pieces(version).is_complete()
+    }
+
+    /// Returns the progress of each download.
+    pub fn download_progress(&self) -> Vec<DownloadProgress> {
+        self.downloads
+            .iter()
+            .map(|download| DownloadProgress {
+                version: download.manifest.version,
+                started_ms: download.started_ms,
+                last_progress_ms: download.last_progress_ms,
+                is_complete: self.is_complete(download.manifest.version),
+            })
+            .collect()
+    }
+
+    /// Frees the buffered pieces of `version` and of all earlier versions.
+    pub fn free_buffers(&mut self, version: u64) {
+        for download in &mut self.downloads {
+            if download.manifest.version <= version {
+                download.buffered.iter_mut().for_each(|piece| *piece = None);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/staging/weights_download.rs
@@ -0,0 +1,385 @@
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use futures_util::StreamExt;
+use futures_util::stream::FuturesUnordered;
+
+use crate::gateway::PIECE_PATH;
+use crate::http1::Ask;
+use crate::http1::Client;
+use crate::observe::Event;
+use crate::observe::LogLine;
+use crate::observe::Metrics;
+use crate::observe::Tally;
+use crate::staging::EnginePort;
+use crate::staging::StagingState;
+use crate::staging::assign_pieces;
+use crate::weights::HaveMap;
+use crate::weights::OriginPort;
+use crate::weights::PieceManifest;
+use crate::weights::ReadFault;
+use crate::weights::Source;
+
+/// Longest time between two passes that plan the next fetches.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(60);
+
+/// Delay before the next fetch from a host or the origin that failed, in ms.
+const SWARM_RETRY_DELAY_MS: u64 = 250;
+
+/// Timeout for one piece from another host or an entry: several pieces share its
+/// link.
+const PIECE_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// Fetches from entries in progress at a time: the pieces in flight delay the
+/// requests to the replica, which share the link of the host.
+const MAX_ENTRY_FETCHES: usize = 2;
+
+/// Duration from which a fetch counts as slow, in ms. The link is then narrower than
+/// expected, and only one fetch from entries is in progress at a time.
+const SLOW_FETCH_MS: u64 = 300;
+
+/// Delay before the next fetch from an entry that failed, in ms: the origin behind
+/// it may be unavailable.
+const ENTRY_RETRY_DELAY_MS: u64 = 1_000;
+
+/// Where a piece is fetched from.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum PieceSource {
+    /// An entry, which relays the piece.
+    Entry(SocketAddr),
+    /// Another host of the swarm, or the origin.
+    Swarm(Source),
+}
+
+impl PieceSource {
+    /// Returns the delay before the next fetch from this source after a failure, in ms.
+    fn retry_delay_ms(self) -> u64 {
+        match self {
+            Self::Entry(_) => ENTRY_RETRY_DELAY_MS,
+            Self::Swarm(_) => SWARM_RETRY_DELAY_MS,
+        }
+    }
+}
+
+/// The fetch of one piece.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct PieceFetch {
+    /// Index of the piece.
+    pub(super) index: u32,
+    /// Where it is fetched from.
+    pub(super) source: PieceSource,
+}
+
+/// Downloads the pieces of one version to this host and stages them.
+#[derive(Debug)]
+pub struct WeightsDownload<'a, E, O> {
+    /// Shared state of the process.
+    pub state: &'a Rc<RefCell<StagingState>>,
+    /// Engine on this host.
+    pub engine: &'a E,
+    /// Connection to the origin of weights.
+    pub origin: &'a O,
+    /// Metrics of the process.
+    pub metrics: &'a Metrics,
+    /// Name of the model.
+    pub model: &'a str,
+    /// Version to download.
+    pub version: u64,
+}
+
+impl<E: EnginePort, O: OriginPort> WeightsDownload<'_, E, O> {
+    /// Fetches pieces until the version is complete or no longer wanted.
+    pub async fn fetch_version(&self) {
+        let Some(manifest) = self.fetch_manifest().await else {
+            return;
+        };
+        self.verify_unknown_pieces(&manifest).await;
+        LogLine::new(Event::TransferStarted)
+            .text("model", self.model)
+            .number("version", self.version)
+            .number("held", self.held_pieces().count())
+            .number("pieces", manifest.chunks())
+            .write();
+        self.fetch_missing(&manifest).await;
+    }
+
+    /// Returns whether this is still the version to fetch.
+    pub(super) fn is_wanted(&self) -> bool {
+        self.state.borrow().version_to_fetch(self.model) == Some(self.version)
+    }
+
+    /// Returns the pieces of this version that the host holds.
+    pub(super) fn held_pieces(&self) -> HaveMap {
+        self.state
+            .borrow_mut()
+            .staged_model(self.model)
+            .held_pieces(self.version)
+    }
+
+    /// Verifies the staged pieces whose version is unknown, as after a restart.
+    async fn verify_unknown_pieces(&self, manifest: &PieceManifest) {
+        let mut engine = self.engine.clone();
+        for index in 0..manifest.chunks() {
+            let staged_version = self
+                .state
+                .borrow_mut()
+                .staged_model(self.model)
+                .staged_version(index);
+            if staged_version == 0 {
+                self.verify_staged_piece(&mut engine, manifest, index).await;
+            }
+        }
+    }
+
+    /// Writes every piece of this version to the staging area and verifies it there;
+    /// returns whether all pieces are valid.
+    pub async fn stage_pieces(&self) -> bool {
+        let Some(manifest) = self.known_manifest() else {
+            return false;
+        };
+        let mut engine = self.engine.clone();
+        let mut all_staged = true;
+        for index in 0..manifest.chunks() {
+            let (staged_version, bytes) = {
+                let mut state = self.state.borrow_mut();
+                let staged_model = state.staged_model(self.model);
+                (
+                    staged_model.staged_version(index),
+                    staged_model.buffered_piece(self.version, index),
+                )
+            };
+            if staged_version == self.version
+                && self
+                    .verify_staged_piece(&mut engine, &manifest, index)
+                    .await
+            {
+                continue;
+            }
+            let is_written = match bytes {
+                Some(bytes) => self.write_piece(&mut engine, index, &bytes).await,
+                None => false,
+            };
+            all_staged &= is_written
+                && self
+                    .verify_staged_piece(&mut engine, &manifest, index)
+                    .await;
+        }
+        all_staged
+    }
+
+    /// Writes a piece to the staging area; returns whether it succeeded.
+    async fn write_piece(&self, engine: &mut E, index: u32, bytes: &[u8]) -> bool {
+        match engine.write_piece(self.model, index, bytes).await {
+            Ok(()) => true,
+            Err(error) => {
+                log::debug!("cannot write piece {index} to the staging area: {error}");
+                false
+            }
+        }
+    }
+
+    /// Compares a staged piece with its digest and records the result.
+    async fn verify_staged_piece(
+        &self,
+        engine: &mut E,
+        manifest: &PieceManifest,
+        index: u32,
+    ) -> bool {
+        let is_valid = match engine.read_piece(self.model, index).await {
+            Ok(Some(bytes)) => manifest.matches(index, &bytes),
+            Ok(None) => false,
+            Err(error) => {
+                log::debug!("cannot read piece {index} from the staging area: {error}");
+                false
+            }
+        };
+        let staged_version = if is_valid { self.version } else { 0 };
+        let mut state = self.state.borrow_mut();
+        state
+            .staged_model(self.model)
+            .set_staged_version(index, staged_version);
+        is_valid
+    }
+
+    /// Fetches the missing pieces from entries, or from the swarm when no entry is
+    /// available.
+    async fn fetch_missing(&self, manifest: &PieceManifest) {
+        let mut in_flight: Vec<PieceFetch> = Vec::new();
+        let mut fetches = FuturesUnordered::new();
+        let mut blocked: Vec<(PieceSource, u64)> = Vec::new();
+        let mut swarm = self.swarm_view(manifest);
+        let mut engine = self.engine.clone();
+        let started_ms = self.state.borrow().now_ms();
+        let mut progress_ms = started_ms;
+        let mut is_slow = false;
+        let mut seed = started_ms;
+        loop {
+            let have = self.held_pieces();
+            if have.is_complete() {
+                LogLine::new(Event::WeightsStaged)
+                    .text("model", self.model)
+                    .number("version", self.version)
+                    .number("took_ms", self.state.borrow().now_ms() - started_ms)
+                    .write();
+                return;
+            }
+            if !self.is_wanted() {
+                return;
+            }
+            if self.swarm_addresses() != swarm.addresses && in_flight.is_empty() {
+                swarm = self.swarm_view(manifest);
+            }
+            seed = seed.wrapping_add(1);
+            let now_ms = self.state.borrow().now_ms();
+            blocked.retain(|block| block.1 > now_ms);
+            let planned = self
+                .entry_fetches(&have, &in_flight, &blocked, is_slow)
+                .unwrap_or_else(|| {
+                    let times = (started_ms, progress_ms);
+                    self.swarm_fetches(&swarm, &have, &in_flight, &blocked, times, seed)
+                });
+            for fetch in planned {
+                in_flight.push(fetch);
+                let address = match fetch.source {
+                    PieceSource::Entry(address) => Some(address),
+                    PieceSource::Swarm(Source::Origin) => None,
+                    PieceSource::Swarm(Source::Peer(key)) => Some(swarm.addresses[key.0 as usize]),
+                };
+                fetches.push(async move {
+                    (fetch, now_ms, self.fetch_piece(fetch.index, address).await)
+                });
+            }
+            tokio::select! {
+                Some((fetch, fetch_started_ms, result)) = fetches.next() => {
+                    in_flight.retain(|other| *other != fetch);
+                    let now_ms = self.state.borrow().now_ms();
+                    is_slow = now_ms.saturating_sub(fetch_started_ms) >= SLOW_FETCH_MS;
+                    if self.accept_piece(manifest, fetch, result, &mut engine).await {
+                        progress_ms = now_ms;
+                    } else {
+                        blocked.push((fetch.source, now_ms + fetch.source.retry_delay_ms()));
+                    }
+                }
+                () = tokio::time::sleep(MAX_PLAN_INTERVAL) => {}
+            }
+        }
+    }
+
+    /// Returns the fetches from entries to start now; `None` when no entry is available.
+    ///
+    /// All hosts fetch the pieces in the same order, so that the first request makes the
+    /// entry fetch a piece from the origin, and the entry has it for the others. `blocked`
+    /// lists the sources that failed, each with the monotonic time in ms until which
+    /// nothing is fetched from it.
+    fn entry_fetches(
+        &self,
+        have: &HaveMap,
+        in_flight: &[PieceFetch],
+        blocked: &[(PieceSource, u64)],
+        is_slow: bool,
+    ) -> Option<Vec<PieceFetch>> {
+        let mut entries = self.state.borrow().relay_entries();
+        let is_blocked = |address: SocketAddr| {
+            blocked
+                .iter()
+                .any(|block| block.0 == PieceSource::Entry(address))
+        };
+        entries.retain(|entry| !is_blocked(entry.address));
+        if entries.is_empty() {
+            return None;
+        }
+        let max_fetches = if is_slow { 1 } else { MAX_ENTRY_FETCHES };
+        let free_slots = max_fetches.saturating_sub(in_flight.len());
+        if free_slots == 0 {
+            return Some(Vec::new());
+        }
+        let assigned = assign_pieces(have.len(), &entries);
+        let is_missing = |index: &u32| {
+            !have.contains(*index) && in_flight.iter().all(|fetch| fetch.index != *index)
+        };
+        let indices = (0..have.len()).filter(is_missing).take(free_slots);
+        Some(
+            indices
+                .filter_map(|index| {
+                    let source = PieceSource::Entry(assigned.get(index as usize)?.address);
+                    Some(PieceFetch { index, source })
+                })
+                .collect(),
+        )
+    }
+
+    /// Fetches one piece from a host or an entry, or from the origin when `address` is
+    /// `None`.
+    async fn fetch_piece(
+        &self,
+        index: u32,
+        address: Option<SocketAddr>,
+    ) -> Result<Vec<u8>, ReadFault> {
+        let Some(address) = address else {
+            let origin = self.state.borrow().origin().map(|origin| origin.address);
+            let Some(origin) = origin else {
+                return Err(ReadFault::Unreachable("no origin is configured".to_owned()));
+            };
+            let piece = self.origin.piece(origin, self.model, self.version, index);
+            return piece.await;
+        };
+        let target = format!("{PIECE_PATH}{}/{}/{index}", self.model, self.version);
+        let mut client = Client::new(address, Duration::ZERO);
+        match client.ask(&Ask::get(&target, PIECE_TIMEOUT)).await {
+            Ok(reply) if reply.status == 200 => Ok(reply.body),
+            Ok(reply) => Err(ReadFault::Refused(reply.status)),
+            Err(error) => Err(ReadFault::Unreachable(error.to_string())),
+        }
+    }
+
+    /// Verifies a fetched piece and stores it in the staging area or in memory; returns
+    /// whether the piece was valid.
+    async fn accept_piece(
+        &self,
+        manifest: &PieceManifest,
+        fetch: PieceFetch,
+        result: Result<Vec<u8>, ReadFault>,
+        engine: &mut E,
+    ) -> bool {
+        let bytes = match result {
+            Ok(bytes) => bytes,
+            Err(error) => {
+                log::debug!("cannot fetch piece {}: {error}", fetch.index);
+                return false;
+            }
+        };
+        let from = match fetch.source {
+            PieceSource::Entry(_) => "entry",
+            PieceSource::Swarm(Source::Origin) => "origin",
+            PieceSource::Swarm(Source::Peer(_)) => "host",
+        };
+        self.metrics
+            .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
+        if !manifest.matches(fetch.index, &bytes) {
+            LogLine::new(Event::PieceRejected)
+                .text("model", self.model)
+                .number("version", self.version)
+                .number("piece", fetch.index)
+                .text("from", from)
+                .write();
+            return false;
+        }
+        let can_stage = self
+            .state
+            .borrow()
+            .can_overwrite_staged(self.model, self.version);
+        let is_staged = can_stage && self.write_piece(engine, fetch.index, &bytes).await;
+        let mut state = self.state.borrow_mut();
+        let now_ms = state.now_ms() as i64;
+        let staged_model = state.staged_model(self.model);
+        if is_staged {
+            staged_model.set_staged_version(fetch.index, self.version);
+            staged_model.record_progress(self.version, now_ms);
+        } else {
+            staged_model.buffer_piece(self.version, fetch.index, bytes, now_ms);
+        }
+        true
+    }
+}
