--- a/src/fleet/ledger.rs
+++ b/src/fleet/topic_table.rs
@@ -30,7 +30,7 @@
 
 /// The newest record of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LedgerRecord {
+pub struct TopicRecord {
     /// Key.
     pub key: String,
     /// Offset of the record.
@@ -44,15 +44,15 @@
 /// Records may come in any order, from the log or from other entries: the one
 /// with the higher offset stays, so that nothing ever reverts.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct TopicTable {
     // Ascending by key.
-    records: Vec<LedgerRecord>,
+    records: Vec<TopicRecord>,
     end_offset: u64,
-    complete_from: u64,
-    is_known: bool,
+    complete_from_offset: u64,
+    has_listing: bool,
 }
 
-impl Ledger {
+impl TopicTable {
     /// Offset after the last record that is covered.
     pub fn end_offset(&self) -> u64 {
         self.end_offset
@@ -60,19 +60,19 @@
 
     /// Offset from which on every change is known. A listing tells nothing of the
     /// keys that were dropped before it.
-    pub fn complete_from(&self) -> u64 {
-        self.complete_from
+    pub fn complete_from_offset(&self) -> u64 {
+        self.complete_from_offset
     }
 
     /// Whether the topic was ever read as a whole.
-    pub fn is_known(&self) -> bool {
-        self.is_known
+    pub fn has_listing(&self) -> bool {
+        self.has_listing
     }
 
     /// Takes one record; returns whether it is news.
     ///
-    /// It says nothing of the records before it: [`Ledger::advance`] does.
-    pub fn apply(&mut self, record: LedgerRecord) -> bool {
+    /// It says nothing of the records before it: [`TopicTable::advance_end_offset`] does.
+    pub fn apply_record(&mut self, record: TopicRecord) -> bool {
         match self.records.binary_search_by(|r| r.key.cmp(&record.key)) {
             Ok(at) if self.records[at].offset >= record.offset => false,
             Ok(at) => {
@@ -90,13 +90,13 @@
     ///
     /// Returns the keys that changed; those that the listing lacks are dropped,
     /// unless a later record of theirs is known.
-    pub fn apply_listing(&mut self, listing: Vec<LedgerRecord>, end_offset: u64) -> Vec<String> {
+    pub fn apply_listing(&mut self, listing: Vec<TopicRecord>, end_offset: u64) -> Vec<String> {
         let mut changed = Vec::new();
         let mut listed: Vec<String> = listing.iter().map(|record| record.key.clone()).collect();
         listed.sort_unstable();
         for record in listing {
             let key = record.key.clone();
-            if self.apply(record) {
+            if self.apply_record(record) {
                 changed.push(key);
             }
         }
@@ -108,22 +108,22 @@
             }
         }
         self.end_offset = self.end_offset.max(end_offset);
-        self.complete_from = self.complete_from.max(end_offset);
+        self.complete_from_offset = self.complete_from_offset.max(end_offset);
         changed
     }
 
     /// Notes that a listing was taken in whole.
-    pub fn set_known(&mut self) {
-        self.is_known = true;
+    pub fn mark_listed(&mut self) {
+        self.has_listing = true;
     }
 
     /// Extends what is covered, after a read that held every record before `offset`.
-    pub fn advance(&mut self, offset: u64) {
+    pub fn advance_end_offset(&mut self, offset: u64) {
         self.end_offset = self.end_offset.max(offset);
     }
 
     /// Newest record of `key`.
-    pub fn get(&self, key: &str) -> Option<&LedgerRecord> {
+    pub fn get(&self, key: &str) -> Option<&TopicRecord> {
         let at = self
             .records
             .binary_search_by(|r| r.key.as_str().cmp(key))
@@ -132,12 +132,12 @@
     }
 
     /// Newest records of the keys that are not dropped.
-    pub fn listing(&self) -> impl Iterator<Item = &LedgerRecord> {
+    pub fn live_records(&self) -> impl Iterator<Item = &TopicRecord> {
         self.records.iter().filter(|r| r.value.is_some())
     }
 
     /// Records at or after `offset`.
-    pub fn since(&self, offset: u64) -> impl Iterator<Item = &LedgerRecord> {
+    pub fn records_since(&self, offset: u64) -> impl Iterator<Item = &TopicRecord> {
         self.records.iter().filter(move |r| r.offset >= offset)
     }
 }
--- a/src/gateway/adopt.rs
+++ b/src/gateway/adopt.rs
@@ -1,10 +1,10 @@
 use std::rc::Rc;
 
 use crate::fleet::DeclaredRecord;
-use crate::fleet::Ledger;
-use crate::fleet::LedgerRecord;
 use crate::fleet::ReplicaState;
 use crate::fleet::Topic;
+use crate::fleet::TopicRecord;
+use crate::fleet::TopicTable;
 use crate::gateway::GatewayState;
 use crate::gateway::OperatorRecord;
 use crate::gateway::RecordDecoder;
@@ -18,11 +18,11 @@
 const LAPSE_GRACE_MS: u64 = 1_600;
 
 impl TopicSink for GatewayState {
-    fn ledger(&self, topic: Topic) -> &Ledger {
+    fn ledger(&self, topic: Topic) -> &TopicTable {
         &self.ledgers[topic as usize]
     }
 
-    fn ledger_mut(&mut self, topic: Topic) -> &mut Ledger {
+    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable {
         &mut self.ledgers[topic as usize]
     }
 
@@ -49,18 +49,18 @@
     fn take_records(
         &mut self,
         topic: Topic,
-        records: Vec<LedgerRecord>,
+        records: Vec<TopicRecord>,
         next_offset: u64,
         decoder: &impl RecordDecoder,
     ) {
         let mut changed = Vec::new();
         for record in records {
             let key = record.key.clone();
-            if self.ledgers[topic as usize].apply(record) && !changed.contains(&key) {
+            if self.ledgers[topic as usize].apply_record(record) && !changed.contains(&key) {
                 changed.push(key);
             }
         }
-        self.ledgers[topic as usize].advance(next_offset);
+        self.ledgers[topic as usize].advance_end_offset(next_offset);
         for key in changed {
             self.take_change(topic, &key, decoder);
         }
@@ -124,7 +124,7 @@
             model,
             version,
             offset,
-            is_fresh: self.ledger(Topic::Operator).is_known(),
+            is_fresh: self.ledger(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -118,7 +118,7 @@
     let own = state.settings.internal;
     let registered = state
         .ledger(Topic::Members)
-        .since(0)
+        .records_since(0)
         .filter_map(|record| rmp_serde::from_slice::<Member>(record.value.as_deref()?).ok())
         .map(|member| member.internal);
     let heard = state.peers.all().map(|peer| peer.internal);
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -4,9 +4,9 @@
 
 use rand::Rng;
 
-use crate::fleet::Ledger;
-use crate::fleet::LedgerRecord;
 use crate::fleet::Topic;
+use crate::fleet::TopicRecord;
+use crate::fleet::TopicTable;
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
@@ -16,29 +16,29 @@
 /// Takes the records of the topics.
 pub trait TopicSink {
     /// Newest records of a topic.
-    fn ledger(&self, topic: Topic) -> &Ledger;
+    fn ledger(&self, topic: Topic) -> &TopicTable;
     /// The same, to change.
-    fn ledger_mut(&mut self, topic: Topic) -> &mut Ledger;
+    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable;
     /// Learns from the newest record of a key that changed.
     fn take_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder);
     /// Takes the newest record of each key of a topic.
     fn take_listing(
         &mut self,
         topic: Topic,
-        records: Vec<LedgerRecord>,
+        records: Vec<TopicRecord>,
         end_offset: u64,
         decoder: &impl RecordDecoder,
     ) {
         for key in self.ledger_mut(topic).apply_listing(records, end_offset) {
             self.take_change(topic, &key, decoder);
         }
-        self.ledger_mut(topic).set_known();
+        self.ledger_mut(topic).mark_listed();
     }
     /// Takes records that followed; `next_offset` is where to go on.
     fn take_records(
         &mut self,
         topic: Topic,
-        records: Vec<LedgerRecord>,
+        records: Vec<TopicRecord>,
         next_offset: u64,
         decoder: &impl RecordDecoder,
     );
--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::fleet::Catalog;
-use crate::fleet::LedgerRecord;
 use crate::fleet::ReplicaRecord;
 use crate::fleet::Topic;
+use crate::fleet::TopicRecord;
 use crate::http1::RequestHead;
 use crate::http1::ResponseHead;
 
@@ -124,7 +124,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
     /// Records, one a key.
-    pub records: Vec<LedgerRecord>,
+    pub records: Vec<TopicRecord>,
     /// Offset up to which every record is covered.
     pub end_offset: u64,
 }
@@ -135,7 +135,7 @@
     /// Records in order, and the offset after the last.
     Next {
         /// Records, oldest first; those that are no keyed records are left out.
-        records: Vec<LedgerRecord>,
+        records: Vec<TopicRecord>,
         /// Offset to go on from.
         next_offset: u64,
     },
--- a/src/gateway/pull.rs
+++ b/src/gateway/pull.rs
@@ -25,7 +25,7 @@
     let (from, is_known) = {
         let state = state.borrow();
         let ledger = state.ledger(topic);
-        (ledger.end_offset(), ledger.is_known())
+        (ledger.end_offset(), ledger.has_listing())
     };
     let from = if is_known { from } else { 0 };
     let target = format!("{RECORDS_PATH}/{}/{from}", topic.label());
--- a/src/gateway/records_reply.rs
+++ b/src/gateway/records_reply.rs
@@ -1,8 +1,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::Ledger;
-use crate::fleet::LedgerRecord;
+use crate::fleet::TopicRecord;
+use crate::fleet::TopicTable;
 
 /// Largest answer that is unpacked, in bytes.
 const MAX_UNPACKED_BYTES: usize = 16 * 1024 * 1024;
@@ -47,14 +47,14 @@
 impl RecordsReply {
     /// What a process lacks that knows the topic up to `offset`: the changes since,
     /// or all records where `ledger` does not know every change.
-    pub fn since(ledger: &Ledger, offset: u64) -> Self {
-        let copy = |r: &LedgerRecord| (r.key.clone(), r.offset, r.value.clone());
-        let is_listing = offset < ledger.complete_from();
+    pub fn since(ledger: &TopicTable, offset: u64) -> Self {
+        let copy = |r: &TopicRecord| (r.key.clone(), r.offset, r.value.clone());
+        let is_listing = offset < ledger.complete_from_offset();
         Self {
             records: if is_listing {
-                ledger.listing().map(copy).collect()
+                ledger.live_records().map(copy).collect()
             } else {
-                ledger.since(offset).map(copy).collect()
+                ledger.records_since(offset).map(copy).collect()
             },
             end_offset: ledger.end_offset(),
             is_listing,
@@ -83,10 +83,10 @@
     }
 
     /// The records as a ledger takes them.
-    pub fn into_records(self) -> Vec<LedgerRecord> {
+    pub fn into_records(self) -> Vec<TopicRecord> {
         self.records
             .into_iter()
-            .map(|(key, offset, value)| LedgerRecord { key, offset, value })
+            .map(|(key, offset, value)| TopicRecord { key, offset, value })
             .collect()
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -11,13 +11,13 @@
 use crate::calls::SuspectTable;
 use crate::fleet::Catalog;
 use crate::fleet::Declarations;
-use crate::fleet::Ledger;
 use crate::fleet::Limits;
 use crate::fleet::PeerTable;
 use crate::fleet::RateMeter;
 use crate::fleet::ReplicaTable;
 use crate::fleet::RetryWindow;
 use crate::fleet::Topic;
+use crate::fleet::TopicTable;
 use crate::gateway::GatewaySettings;
 use crate::gateway::TopicSink;
 use crate::observe::Event;
@@ -94,7 +94,7 @@
     pub weights_notice: Rc<Notify>,
     /// Wakes the task that tells others what is new.
     pub news_notice: Rc<Notify>,
-    pub(super) ledgers: [Ledger; 3],
+    pub(super) ledgers: [TopicTable; 3],
     pub(super) budgets: Vec<(String, RetryWindow)>,
     demands: Vec<(String, RateMeter)>,
     longest_deadlines_ms: Vec<(String, u64)>,
@@ -161,7 +161,7 @@
     pub fn is_ready(&self) -> bool {
         self.stopping.is_none()
             && self.catalog.is_some()
-            && self.ledgers[Topic::Replicas as usize].is_known()
+            && self.ledgers[Topic::Replicas as usize].has_listing()
             && (self.weights.are_exact() || self.now_ms() >= AGES_AWAITED_MS)
     }
 
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -128,7 +128,9 @@
     loop {
         let must_read = {
             let state = state.borrow();
-            let is_known = TOPICS.iter().all(|topic| state.ledger(*topic).is_known());
+            let is_known = TOPICS
+                .iter()
+                .all(|topic| state.ledger(*topic).has_listing());
             let now_ms = state.now_ms();
             let is_silent = state
                 .last_entry_ms()
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -9,11 +9,11 @@
 use crate::fleet::Declarations;
 use crate::fleet::DeclaredRecord;
 use crate::fleet::EntryBeat;
-use crate::fleet::Ledger;
-use crate::fleet::LedgerRecord;
 use crate::fleet::OriginProfile;
 use crate::fleet::ReplicaRecord;
 use crate::fleet::Topic;
+use crate::fleet::TopicRecord;
+use crate::fleet::TopicTable;
 use crate::fleet::rotation_slot;
 use crate::gateway::OperatorRecord;
 use crate::gateway::RecordDecoder;
@@ -98,7 +98,7 @@
     pub ordered: Option<(String, u64)>,
     /// Versions of weights that were declared.
     pub declared: Declarations,
-    ledgers: [Ledger; 3],
+    ledgers: [TopicTable; 3],
     started: Instant,
 }
 
@@ -324,7 +324,7 @@
             model,
             version,
             offset,
-            is_fresh: self.ledger(Topic::Operator).is_known(),
+            is_fresh: self.ledger(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
@@ -333,11 +333,11 @@
 }
 
 impl TopicSink for StagingState {
-    fn ledger(&self, topic: Topic) -> &Ledger {
+    fn ledger(&self, topic: Topic) -> &TopicTable {
         &self.ledgers[topic as usize]
     }
 
-    fn ledger_mut(&mut self, topic: Topic) -> &mut Ledger {
+    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable {
         &mut self.ledgers[topic as usize]
     }
 
@@ -374,16 +374,16 @@
     fn take_records(
         &mut self,
         topic: Topic,
-        records: Vec<LedgerRecord>,
+        records: Vec<TopicRecord>,
         next_offset: u64,
         decoder: &impl RecordDecoder,
     ) {
         for record in records {
             let key = record.key.clone();
-            if self.ledgers[topic as usize].apply(record) {
+            if self.ledgers[topic as usize].apply_record(record) {
                 self.take_change(topic, &key, decoder);
             }
         }
-        self.ledgers[topic as usize].advance(next_offset);
+        self.ledgers[topic as usize].advance_end_offset(next_offset);
     }
 }
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/beliefs.rs
@@ -5,12 +5,12 @@
 use bergamotfork::fleet::Declaration;
 use bergamotfork::fleet::DeclarationNote;
 use bergamotfork::fleet::Declarations;
-use bergamotfork::fleet::Ledger;
-use bergamotfork::fleet::LedgerRecord;
 use bergamotfork::fleet::Limits;
 use bergamotfork::fleet::ReplicaState;
 use bergamotfork::fleet::Route;
 use bergamotfork::fleet::RouteKind;
+use bergamotfork::fleet::TopicRecord;
+use bergamotfork::fleet::TopicTable;
 use bergamotfork::fleet::Workspace;
 use bergamotfork::fleet::rotation_first_weighted;
 use bergamotfork::fleet::rotation_order;
@@ -31,8 +31,8 @@
     }
 }
 
-fn change(key: &str, offset: u64, value: Option<&str>) -> LedgerRecord {
-    LedgerRecord {
+fn change(key: &str, offset: u64, value: Option<&str>) -> TopicRecord {
+    TopicRecord {
         key: key.to_owned(),
         offset,
         value: value.map(|text| text.as_bytes().to_vec()),
@@ -74,18 +74,18 @@
 
 #[test]
 fn ledger_apply_never_goes_back() {
-    let mut ledger = Ledger::default();
-    assert!(ledger.apply(change("a", 5, Some("new"))));
-    assert!(!ledger.apply(change("a", 3, Some("old"))));
-    assert!(!ledger.apply(change("a", 5, Some("same"))));
+    let mut ledger = TopicTable::default();
+    assert!(ledger.apply_record(change("a", 5, Some("new"))));
+    assert!(!ledger.apply_record(change("a", 3, Some("old"))));
+    assert!(!ledger.apply_record(change("a", 5, Some("same"))));
     assert_eq!(
         ledger.get("a").unwrap().value.as_deref(),
         Some(b"new".as_slice())
     );
     // One record says nothing of those before it.
     assert_eq!(ledger.end_offset(), 0);
-    ledger.advance(6);
-    ledger.advance(4);
+    ledger.advance_end_offset(6);
+    ledger.advance_end_offset(4);
     assert_eq!(ledger.end_offset(), 6);
 }
 
@@ -98,9 +98,9 @@
         change("b", 3, Some("z")),
     ];
     let end = |order: &[usize]| {
-        let mut ledger = Ledger::default();
+        let mut ledger = TopicTable::default();
         for at in order {
-            ledger.apply(records[*at].clone());
+            ledger.apply_record(records[*at].clone());
         }
         (ledger.get("a").cloned(), ledger.get("b").cloned())
     };
@@ -111,9 +111,9 @@
 
 #[test]
 fn ledger_apply_listing_drops_what_it_lacks() {
-    let mut ledger = Ledger::default();
-    ledger.apply(change("gone", 1, Some("x")));
-    ledger.apply(change("later", 9, Some("y")));
+    let mut ledger = TopicTable::default();
+    ledger.apply_record(change("gone", 1, Some("x")));
+    ledger.apply_record(change("later", 9, Some("y")));
     let changed = ledger.apply_listing(vec![change("a", 4, Some("z"))], 6);
     assert!(changed.contains(&"gone".to_owned()));
     assert!(changed.contains(&"a".to_owned()));
@@ -126,12 +126,12 @@
 /// later page, and others before them on none: they are read again.
 #[test]
 fn ledger_apply_listing_does_not_cover_what_came_meanwhile() {
-    let mut ledger = Ledger::default();
+    let mut ledger = TopicTable::default();
     let listing = vec![change("a", 98, Some("old")), change("m", 102, Some("new"))];
     ledger.apply_listing(listing, 100);
     assert_eq!(ledger.end_offset(), 100, "the record 101 was not seen");
-    ledger.apply(change("a", 101, None));
-    ledger.advance(103);
+    ledger.apply_record(change("a", 101, None));
+    ledger.advance_end_offset(103);
     assert!(ledger.get("a").unwrap().value.is_none());
 }
 
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 
 use bergamotfork::fleet::EntryBeat;
-use bergamotfork::fleet::Ledger;
-use bergamotfork::fleet::LedgerRecord;
 use bergamotfork::fleet::PeerTable;
 use bergamotfork::fleet::ReplicaRecord;
 use bergamotfork::fleet::ReplicaState;
 use bergamotfork::fleet::Topic;
+use bergamotfork::fleet::TopicRecord;
+use bergamotfork::fleet::TopicTable;
 use bergamotfork::gateway::BadRecord;
 use bergamotfork::gateway::BadRecordsReply;
 use bergamotfork::gateway::EventSplitter;
@@ -127,8 +127,8 @@
     }
 }
 
-fn record(offset: u64, value: Option<&str>) -> LedgerRecord {
-    LedgerRecord {
+fn record(offset: u64, value: Option<&str>) -> TopicRecord {
+    TopicRecord {
         key: "i-1".to_owned(),
         offset,
         value: value.map(|text| text.as_bytes().to_vec()),
@@ -207,9 +207,9 @@
 
 #[test]
 fn records_reply_unpacks_what_was_packed() {
-    let mut ledger = Ledger::default();
-    ledger.apply(record(7, None));
-    ledger.advance(9);
+    let mut ledger = TopicTable::default();
+    ledger.apply_record(record(7, None));
+    ledger.advance_end_offset(9);
     let packed = RecordsReply::since(&ledger, 3).pack();
     let reply = RecordsReply::unpack(&packed).unwrap();
     assert_eq!((reply.end_offset, reply.is_listing), (9, false));
@@ -220,11 +220,11 @@
 /// never heard of that one, and still tells others that it is gone.
 #[test]
 fn records_reply_tells_of_drops_before_a_listing() {
-    let mut fresh = Ledger::default();
+    let mut fresh = TopicTable::default();
     fresh.apply_listing(Vec::new(), 6);
-    let mut reader = Ledger::default();
-    reader.apply(record(2, Some("127.0.0.1:9")));
-    reader.advance(4);
+    let mut reader = TopicTable::default();
+    reader.apply_record(record(2, Some("127.0.0.1:9")));
+    reader.advance_end_offset(4);
     let reply = RecordsReply::since(&fresh, reader.end_offset());
     assert!(reply.is_listing);
     let end_offset = reply.end_offset;
@@ -237,8 +237,8 @@
 
 #[test]
 fn records_reply_bad_bytes_are_refused() {
-    let mut ledger = Ledger::default();
-    ledger.apply(record(3, Some("x")));
+    let mut ledger = TopicTable::default();
+    ledger.apply_record(record(3, Some("x")));
     let packed = RecordsReply::since(&ledger, 0).pack();
     assert!(matches!(
         RecordsReply::unpack(&packed[..2]),
