--- a/src/fleet/declarations.rs
+++ b/src/fleet/declarations.rs
@@ -1,4 +1,4 @@
-use crate::fleet::DeclarationNote;
+use crate::fleet::DeclarationAge;
 use crate::observe::Event;
 use crate::observe::LogLine;
 
@@ -88,7 +88,7 @@
     }
 
     /// Takes what another process knows; returns whether a version is new.
-    pub fn merge(&mut self, notes: &[DeclarationNote], now_ms: i64) -> bool {
+    pub fn merge(&mut self, notes: &[DeclarationAge], now_ms: i64) -> bool {
         let mut is_news = false;
         for note in notes {
             let learned_ms = now_ms - i64::try_from(note.age_ms).unwrap_or(i64::MAX / 2);
@@ -110,7 +110,7 @@
     }
 
     /// Takes a version that only others knew; returns whether it is the latest.
-    fn insert(&mut self, note: &DeclarationNote, learned_ms: i64) -> bool {
+    fn insert(&mut self, note: &DeclarationAge, learned_ms: i64) -> bool {
         let declaration = Declaration {
             model: note.model.clone(),
             version: note.version,
@@ -153,13 +153,13 @@
     }
 
     /// The latest declarations with their ages, for others.
-    pub fn notes(&self, now_ms: i64) -> Vec<DeclarationNote> {
+    pub fn notes(&self, now_ms: i64) -> Vec<DeclarationAge> {
         self.entries
             .iter()
             .rev()
             .filter(|declaration| declaration.is_exact)
             .take(MAX_TOLD)
-            .map(|declaration| DeclarationNote {
+            .map(|declaration| DeclarationAge {
                 model: declaration.model.clone(),
                 version: declaration.version,
                 age_ms: u64::try_from(now_ms - declaration.learned_ms).unwrap_or(0),
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -23,7 +23,7 @@
 
 /// An entry, as it registers itself for the others to find.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
+pub struct EntryRegistration {
     /// Name of the host.
     pub name: String,
     /// Address for beats and internal calls.
@@ -34,7 +34,7 @@
 ///
 /// Its age is what a process that starts late can't learn from the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DeclarationNote {
+pub struct DeclarationAge {
     /// Model.
     pub model: String,
     /// Version.
@@ -45,7 +45,7 @@
 
 /// What an entry tells the others, several times a second.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct EntryBeat {
+pub struct EntryHeartbeat {
     /// Name of the host.
     pub name: String,
     /// Incarnation of the process.
@@ -67,7 +67,7 @@
     /// Age of its replicas' records, since the store confirmed them.
     pub replicas_age_ms: u64,
     /// Latest declarations of weights whose age is known.
-    pub declared: Vec<DeclarationNote>,
+    pub declared: Vec<DeclarationAge>,
     /// Requests that crashed replicas lately, and on how many.
     pub suspects: Vec<SuspectRecord>,
 }
@@ -92,13 +92,13 @@
     /// Slowness; 1 is the usual speed.
     pub pace: f32,
     /// Latest declarations of weights whose age is known.
-    pub declared: Vec<DeclarationNote>,
+    pub declared: Vec<DeclarationAge>,
 }
 
 /// One other entry.
 #[derive(Debug, Clone)]
 struct Peer {
-    beat: EntryBeat,
+    beat: EntryHeartbeat,
     heard_ms: u64,
 }
 
@@ -111,7 +111,7 @@
 
 impl PeerTable {
     /// Takes a beat; returns whether the entry is new or was silent.
-    pub fn heard(&mut self, beat: EntryBeat, now_ms: u64) -> bool {
+    pub fn record_heartbeat(&mut self, beat: EntryHeartbeat, now_ms: u64) -> bool {
         match self.peers.binary_search_by(|p| p.beat.name.cmp(&beat.name)) {
             Ok(at) => {
                 let peer = &mut self.peers[at];
@@ -135,7 +135,7 @@
     }
 
     /// Entries heard from lately.
-    pub fn alive(&self, now_ms: u64) -> impl Iterator<Item = &EntryBeat> {
+    pub fn live_entries(&self, now_ms: u64) -> impl Iterator<Item = &EntryHeartbeat> {
         self.peers
             .iter()
             .filter(move |peer| now_ms.saturating_sub(peer.heard_ms) < ENTRY_SILENT_MS)
@@ -147,9 +147,15 @@
     ///
     /// One entry a failure domain reads, by a rank that all agree on; who loses
     /// the store or falls silent is passed over.
-    pub fn has_reader(&self, own: &str, failure_domain: &str, now_ms: u64, age_ms: u64) -> bool {
+    pub fn has_other_reader(
+        &self,
+        own: &str,
+        failure_domain: &str,
+        now_ms: u64,
+        age_ms: u64,
+    ) -> bool {
         let readers = self
-            .alive(now_ms)
+            .live_entries(now_ms)
             .filter(|peer| peer.has_store && peer.failure_domain == failure_domain)
             .map(|peer| peer.name.as_str());
         let rank = rotation_slot(own, readers, READER_SEED) as u64;
@@ -158,7 +164,7 @@
     }
 
     /// Every entry ever heard from, for beats to those that may be back.
-    pub fn all(&self) -> impl Iterator<Item = &EntryBeat> {
+    pub fn all_entries(&self) -> impl Iterator<Item = &EntryHeartbeat> {
         self.peers.iter().map(|peer| &peer.beat)
     }
 }
--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -8,9 +8,9 @@
 use tokio::net::UdpSocket;
 
 use crate::fleet::EngineLoad;
-use crate::fleet::EntryBeat;
+use crate::fleet::EntryHeartbeat;
+use crate::fleet::EntryRegistration;
 use crate::fleet::LoadReport;
-use crate::fleet::Member;
 use crate::fleet::Topic;
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Datagram {
     /// An entry is alive.
-    Beat(EntryBeat),
+    Beat(EntryHeartbeat),
     /// Load of an engine.
     Load(LoadReport),
     /// Pieces of weights that a host holds.
@@ -94,10 +94,10 @@
     }
 }
 
-fn own_beat(state: &GatewayState) -> EntryBeat {
+fn own_beat(state: &GatewayState) -> EntryHeartbeat {
     let mut suspects = state.suspects.export(state.now_ms());
     suspects.truncate(MAX_TOLD_SUSPECTS);
-    EntryBeat {
+    EntryHeartbeat {
         name: state.settings.name.clone(),
         incarnation: state.incarnation,
         internal: state.settings.internal,
@@ -119,9 +119,11 @@
     let registered = state
         .ledger(Topic::Members)
         .records_since(0)
-        .filter_map(|record| rmp_serde::from_slice::<Member>(record.value.as_deref()?).ok())
+        .filter_map(|record| {
+            rmp_serde::from_slice::<EntryRegistration>(record.value.as_deref()?).ok()
+        })
         .map(|member| member.internal);
-    let heard = state.peers.all().map(|peer| peer.internal);
+    let heard = state.peers.all_entries().map(|peer| peer.internal);
     registered
         .chain(heard)
         .filter(|address| *address != own)
@@ -201,7 +203,7 @@
 
 fn take_beat(
     state: &Rc<RefCell<GatewayState>>,
-    beat: EntryBeat,
+    beat: EntryHeartbeat,
     decoder: &Rc<impl RecordDecoder + 'static>,
 ) {
     let mut known = state.borrow_mut();
@@ -223,7 +225,7 @@
     if ends[Topic::Replicas as usize] <= own_ends[Topic::Replicas as usize] {
         known.confirm_replicas(beat.replicas_age_ms);
     }
-    if known.peers.heard(beat, now_ms) {
+    if known.peers.record_heartbeat(beat, now_ms) {
         lines.write();
     }
     for topic in Topic::ALL {
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -33,7 +33,7 @@
         let state = self.state.borrow();
         let mut addresses: Vec<String> = state
             .peers
-            .alive(state.now_ms())
+            .live_entries(state.now_ms())
             .filter(|peer| peer.is_ready)
             .map(|peer| peer.front.to_string())
             .collect();
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -281,7 +281,7 @@
         let own = (state.settings.name.as_str(), None);
         let others = state
             .peers
-            .alive(state.now_ms())
+            .live_entries(state.now_ms())
             .map(|peer| (peer.name.as_str(), Some(peer.internal)));
         rotation_order(std::iter::once(own).chain(others), u64::from(index))
     }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
-use crate::fleet::Member;
+use crate::fleet::EntryRegistration;
 use crate::fleet::Topic;
 use crate::gateway::Dialect;
 use crate::gateway::GatewaySettings;
@@ -139,7 +139,7 @@
 async fn register(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
     let member = {
         let settings = &state.borrow().settings;
-        Member {
+        EntryRegistration {
             name: settings.name.clone(),
             internal: settings.internal,
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -201,7 +201,7 @@
     pub fn has_reader(&self) -> bool {
         let settings = &self.settings;
         let now_ms = self.now_ms();
-        self.peers.has_reader(
+        self.peers.has_other_reader(
             &settings.name,
             &settings.failure_domain,
             now_ms,
@@ -289,7 +289,7 @@
 
     /// Entries alive, this one among them.
     pub fn entry_count(&self) -> u32 {
-        let peers = self.peers.alive(self.now_ms()).count();
+        let peers = self.peers.live_entries(self.now_ms()).count();
         u32::try_from(peers).unwrap_or(u32::MAX - 1) + 1
     }
 
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Declaration;
 use crate::fleet::Declarations;
 use crate::fleet::DeclaredRecord;
-use crate::fleet::EntryBeat;
+use crate::fleet::EntryHeartbeat;
 use crate::fleet::OriginProfile;
 use crate::fleet::ReplicaRecord;
 use crate::fleet::Topic;
@@ -127,7 +127,7 @@
     }
 
     /// Notes a sign of an entry.
-    pub fn entry_heard(&mut self, beat: &EntryBeat) {
+    pub fn entry_heard(&mut self, beat: &EntryHeartbeat) {
         let address = beat.internal;
         let now_ms = self.now_ms();
         self.entries
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/beliefs.rs
@@ -3,7 +3,7 @@
 use crate::fixture::table;
 use bergamotfork::fleet::Catalog;
 use bergamotfork::fleet::Declaration;
-use bergamotfork::fleet::DeclarationNote;
+use bergamotfork::fleet::DeclarationAge;
 use bergamotfork::fleet::Declarations;
 use bergamotfork::fleet::Limits;
 use bergamotfork::fleet::ReplicaState;
@@ -230,7 +230,7 @@
 fn declarations_newer_version_is_learned_from_others() {
     let mut known = Declarations::default();
     known.add(declaration(2, 1_000, true));
-    let note = DeclarationNote {
+    let note = DeclarationAge {
         model: "m".to_owned(),
         version: 3,
         age_ms: 400,
@@ -253,7 +253,7 @@
 fn declarations_earliest_age_stays() {
     let mut known = Declarations::default();
     known.add(declaration(2, 1_000, true));
-    let note = |age_ms| DeclarationNote {
+    let note = |age_ms| DeclarationAge {
         model: "m".to_owned(),
         version: 2,
         age_ms,
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use bergamotfork::fleet::EntryBeat;
+use bergamotfork::fleet::EntryHeartbeat;
 use bergamotfork::fleet::PeerTable;
 use bergamotfork::fleet::ReplicaRecord;
 use bergamotfork::fleet::ReplicaState;
@@ -109,9 +109,9 @@
     }
 }
 
-fn beat(name: String) -> EntryBeat {
+fn beat(name: String) -> EntryHeartbeat {
     let any: SocketAddr = "127.0.0.1:2".parse().unwrap();
-    EntryBeat {
+    EntryHeartbeat {
         name,
         incarnation: 1,
         internal: any,
@@ -157,7 +157,9 @@
     let mut state = state.borrow_mut();
     for index in 0..8 {
         let now_ms = state.now_ms();
-        state.peers.heard(beat(format!("entry-{index}")), now_ms);
+        state
+            .peers
+            .record_heartbeat(beat(format!("entry-{index}")), now_ms);
     }
     let lost = SourceError::Refused(503);
     state.note_source(Topic::Replicas, Some(&lost));
@@ -193,9 +195,9 @@
         let reads = |own: &&String| {
             let mut peers = PeerTable::default();
             for name in names.iter().filter(|name| name != own) {
-                peers.heard(beat(name.clone()), 0);
+                peers.record_heartbeat(beat(name.clone()), 0);
             }
-            !peers.has_reader(own, "z", 1, age_ms)
+            !peers.has_other_reader(own, "z", 1, age_ms)
         };
         names.iter().filter(reads).count()
     };
