--- a/src/fleet/declarations.rs
+++ b/src/fleet/declarations.rs
@@ -3,10 +3,10 @@
 use crate::observe::LogLine;
 
 /// Declarations remembered.
-const MAX_DECLARED: usize = 32;
+const MAX_DECLARATIONS: usize = 32;
 
 /// Declarations told to others: older ones bind no further.
-const MAX_TOLD: usize = 4;
+const MAX_REPORTED: usize = 4;
 
 /// A version of weights that the operator declared.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,12 +19,12 @@
     /// process for one that is older.
     pub learned_ms: i64,
     /// Whether that time is known, and not only a bound.
-    pub is_exact: bool,
+    pub is_time_exact: bool,
 }
 
 /// A declaration as a record of the store holds it.
 #[derive(Debug)]
-pub struct DeclaredRecord {
+pub struct DeclarationRecord {
     /// Model.
     pub model: String,
     /// Version.
@@ -32,7 +32,7 @@
     /// Offset of the record.
     pub offset: u64,
     /// Whether the record came after the first listing, and so just now.
-    pub is_fresh: bool,
+    pub is_after_listing: bool,
 }
 
 /// The operator's declarations, each with its own time.
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct Declarations {
     // In the order of their arrival, which is that of rising versions.
-    entries: Vec<Declaration>,
+    declarations: Vec<Declaration>,
 }
 
 impl Declarations {
@@ -51,26 +51,26 @@
         let is_known = |known: &Declaration| {
             known.model == declaration.model && known.version >= declaration.version
         };
-        if self.entries.iter().any(is_known) {
+        if self.declarations.iter().any(is_known) {
             return false;
         }
-        if self.entries.len() >= MAX_DECLARED {
-            self.entries.remove(0);
+        if self.declarations.len() >= MAX_DECLARATIONS {
+            self.declarations.remove(0);
         }
-        self.entries.push(declaration);
+        self.declarations.push(declaration);
         true
     }
 
     /// Takes what a record of the store declares; returns whether it is new.
     ///
     /// What a first listing holds may be of any age: it counts as due.
-    pub fn declare(&mut self, record: DeclaredRecord, now_ms: i64, apply_ms: i64) -> bool {
+    pub fn add_record(&mut self, record: DeclarationRecord, now_ms: i64, apply_ms: i64) -> bool {
         let line = LogLine::new(Event::WeightsDeclared)
             .text("model", &record.model)
             .number("version", record.version)
             .number("offset", record.offset)
-            .flag("age_known", record.is_fresh);
-        let learned_ms = if record.is_fresh {
+            .flag("age_known", record.is_after_listing);
+        let learned_ms = if record.is_after_listing {
             now_ms
         } else {
             now_ms - apply_ms
@@ -79,7 +79,7 @@
             model: record.model,
             version: record.version,
             learned_ms,
-            is_exact: record.is_fresh,
+            is_time_exact: record.is_after_listing,
         });
         if is_new {
             line.write();
@@ -88,42 +88,42 @@
     }
 
     /// Takes what another process knows; returns whether a version is new.
-    pub fn merge(&mut self, notes: &[DeclarationAge], now_ms: i64) -> bool {
+    pub fn merge_ages(&mut self, notes: &[DeclarationAge], now_ms: i64) -> bool {
         let mut is_news = false;
         for note in notes {
             let learned_ms = now_ms - i64::try_from(note.age_ms).unwrap_or(i64::MAX / 2);
             let same = |known: &&mut Declaration| {
                 known.model == note.model && known.version == note.version
             };
-            match self.entries.iter_mut().find(same) {
-                Some(known) if known.is_exact => {
+            match self.declarations.iter_mut().find(same) {
+                Some(known) if known.is_time_exact => {
                     known.learned_ms = known.learned_ms.min(learned_ms);
                 }
                 Some(known) => {
                     known.learned_ms = learned_ms;
-                    known.is_exact = true;
+                    known.is_time_exact = true;
                 }
-                None => is_news |= self.insert(note, learned_ms),
+                None => is_news |= self.insert_by_version(note, learned_ms),
             }
         }
         is_news
     }
 
     /// Takes a version that only others knew; returns whether it is the latest.
-    fn insert(&mut self, note: &DeclarationAge, learned_ms: i64) -> bool {
+    fn insert_by_version(&mut self, note: &DeclarationAge, learned_ms: i64) -> bool {
         let declaration = Declaration {
             model: note.model.clone(),
             version: note.version,
             learned_ms,
-            is_exact: true,
+            is_time_exact: true,
         };
         let later = self
-            .entries
+            .declarations
             .iter()
             .position(|known| known.model == note.model && known.version > note.version);
         match later {
             Some(at) => {
-                self.entries.insert(at, declaration);
+                self.declarations.insert(at, declaration);
                 false
             }
             None => {
@@ -138,27 +138,29 @@
     }
 
     /// Declarations of `model`, by rising version.
-    pub fn of<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Declaration> {
-        self.entries.iter().filter(move |d| d.model == model)
+    pub fn for_model<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Declaration> {
+        self.declarations.iter().filter(move |d| d.model == model)
     }
 
     /// The latest declaration.
     pub fn latest(&self) -> Option<&Declaration> {
-        self.entries.last()
+        self.declarations.last()
     }
 
     /// Whether the age of every declaration is known.
-    pub fn are_exact(&self) -> bool {
-        self.entries.iter().all(|declaration| declaration.is_exact)
+    pub fn are_times_exact(&self) -> bool {
+        self.declarations
+            .iter()
+            .all(|declaration| declaration.is_time_exact)
     }
 
     /// The latest declarations with their ages, for others.
-    pub fn notes(&self, now_ms: i64) -> Vec<DeclarationAge> {
-        self.entries
+    pub fn recent_ages(&self, now_ms: i64) -> Vec<DeclarationAge> {
+        self.declarations
             .iter()
             .rev()
-            .filter(|declaration| declaration.is_exact)
-            .take(MAX_TOLD)
+            .filter(|declaration| declaration.is_time_exact)
+            .take(MAX_REPORTED)
             .map(|declaration| DeclarationAge {
                 model: declaration.model.clone(),
                 version: declaration.version,
--- a/src/gateway/adopt.rs
+++ b/src/gateway/adopt.rs
@@ -1,6 +1,6 @@
 use std::rc::Rc;
 
-use crate::fleet::DeclaredRecord;
+use crate::fleet::DeclarationRecord;
 use crate::fleet::ReplicaState;
 use crate::fleet::Topic;
 use crate::fleet::TopicRecord;
@@ -120,15 +120,15 @@
     }
 
     fn declare(&mut self, model: String, version: u64, offset: u64) {
-        let record = DeclaredRecord {
+        let record = DeclarationRecord {
             model,
             version,
             offset,
-            is_fresh: self.ledger(Topic::Operator).has_listing(),
+            is_after_listing: self.ledger(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
-        if self.weights.declare(record, now_ms, apply_ms) {
+        if self.weights.add_record(record, now_ms, apply_ms) {
             self.weights_notice.notify_one();
         }
     }
--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -108,7 +108,7 @@
         has_store: state.has_store(),
         ends: state.ends(),
         replicas_age_ms: state.replicas_age_ms(),
-        declared: state.weights.notes(state.now_ms() as i64),
+        declared: state.weights.recent_ages(state.now_ms() as i64),
         suspects,
     }
 }
@@ -196,7 +196,7 @@
     };
     state.replicas.take_load(from.ip(), report.port, load);
     let now_ms = state.now_ms() as i64;
-    if state.weights.merge(&report.declared, now_ms) {
+    if state.weights.merge_ages(&report.declared, now_ms) {
         state.weights_notice.notify_one();
     }
 }
@@ -212,7 +212,7 @@
     }
     let now_ms = known.now_ms();
     known.suspects.merge(beat.suspects.iter().cloned(), now_ms);
-    if known.weights.merge(&beat.declared, now_ms as i64) {
+    if known.weights.merge_ages(&beat.declared, now_ms as i64) {
         known.weights_notice.notify_one();
     }
     let own_ends = known.ends();
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -162,7 +162,7 @@
         self.stopping.is_none()
             && self.catalog.is_some()
             && self.ledgers[Topic::Replicas as usize].has_listing()
-            && (self.weights.are_exact() || self.now_ms() >= AGES_AWAITED_MS)
+            && (self.weights.are_times_exact() || self.now_ms() >= AGES_AWAITED_MS)
     }
 
     /// Ends of the topics, in the order of `Topic::ALL`.
@@ -372,7 +372,7 @@
         let now_ms = self.now_ms() as i64;
         let apply_ms = (self.settings.weights_apply_ms - WEIGHTS_CANCEL_MS) as i64;
         self.weights
-            .of(model)
+            .for_model(model)
             .filter(|declaration| declaration.version > version)
             .map(|declaration| declaration.learned_ms + apply_ms - now_ms)
             .min()
@@ -389,7 +389,7 @@
         let now_ms = self.now_ms() as i64;
         let due_ms = self.settings.weights_apply_ms.saturating_sub(ahead_ms) as i64;
         self.weights
-            .of(model)
+            .for_model(model)
             .filter(|declaration| now_ms - declaration.learned_ms >= due_ms)
             .map(|declaration| declaration.version)
             .max()
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -165,7 +165,7 @@
                 let mut state = state.borrow_mut();
                 state.entry_heard(&beat);
                 let now_ms = state.now_ms() as i64;
-                state.declared.merge(&beat.declared, now_ms);
+                state.declared.merge_ages(&beat.declared, now_ms);
             }
             for topic in TOPICS {
                 let (is_behind, now_ms) = {
--- a/src/staging/reporter.rs
+++ b/src/staging/reporter.rs
@@ -75,7 +75,7 @@
     let port = state.settings.replica.port();
     let models = state.models();
     let declared = if with_ages {
-        state.declared.notes(state.now_ms() as i64)
+        state.declared.recent_ages(state.now_ms() as i64)
     } else {
         Vec::new()
     };
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -6,8 +6,8 @@
 
 use crate::fleet::Catalog;
 use crate::fleet::Declaration;
+use crate::fleet::DeclarationRecord;
 use crate::fleet::Declarations;
-use crate::fleet::DeclaredRecord;
 use crate::fleet::EntryHeartbeat;
 use crate::fleet::OriginProfile;
 use crate::fleet::ReplicaRecord;
@@ -206,13 +206,13 @@
 
     /// What to load next of `model`; None when nothing newer is declared.
     pub fn goal(&self, model: &str) -> Option<Goal> {
-        let mut declared: Vec<Declaration> = self.declared.of(model).cloned().collect();
+        let mut declared: Vec<Declaration> = self.declared.for_model(model).cloned().collect();
         if declared.is_empty() {
             declared.push(Declaration {
                 model: model.to_owned(),
                 version: FIRST_VERSION,
                 learned_ms: 0,
-                is_exact: false,
+                is_time_exact: false,
             });
         }
         let gatherings: Vec<Gathering> = self
@@ -244,7 +244,7 @@
             if self.now_ms() as i64 >= goal.not_before_ms {
                 return None;
             }
-            let latest = self.declared.of(model).last()?.version;
+            let latest = self.declared.for_model(model).last()?.version;
             return (!self.is_whole(model, latest)).then_some(latest);
         }
         // Others may lack pieces that only lie here unchecked.
@@ -320,15 +320,15 @@
     }
 
     fn declare(&mut self, model: String, version: u64, offset: u64) {
-        let record = DeclaredRecord {
+        let record = DeclarationRecord {
             model,
             version,
             offset,
-            is_fresh: self.ledger(Topic::Operator).has_listing(),
+            is_after_listing: self.ledger(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
-        self.declared.declare(record, now_ms, apply_ms);
+        self.declared.add_record(record, now_ms, apply_ms);
     }
 }
 
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/beliefs.rs
@@ -200,12 +200,12 @@
     assert_eq!(table.get(keys[0]).known_requests(0.1, 260), Some(12));
 }
 
-fn declaration(version: u64, learned_ms: i64, is_exact: bool) -> Declaration {
+fn declaration(version: u64, learned_ms: i64, is_time_exact: bool) -> Declaration {
     Declaration {
         model: "m".to_owned(),
         version,
         learned_ms,
-        is_exact,
+        is_time_exact,
     }
 }
 
@@ -214,14 +214,17 @@
     let mut old = Declarations::default();
     old.add(declaration(2, 1_000, true));
     old.add(declaration(3, 3_000, true));
-    let notes = old.notes(5_000);
+    let notes = old.recent_ages(5_000);
     // A process that starts finds only the newest, and not its age.
     let mut late = Declarations::default();
     late.add(declaration(3, -8_000, false));
-    assert!(!late.are_exact());
-    late.merge(&notes, 100);
-    assert!(late.are_exact());
-    let known: Vec<(u64, i64)> = late.of("m").map(|d| (d.version, d.learned_ms)).collect();
+    assert!(!late.are_times_exact());
+    late.merge_ages(&notes, 100);
+    assert!(late.are_times_exact());
+    let known: Vec<(u64, i64)> = late
+        .for_model("m")
+        .map(|d| (d.version, d.learned_ms))
+        .collect();
     assert_eq!(known, [(2, 100 - 4_000), (3, 100 - 2_000)]);
 }
 
@@ -235,14 +238,14 @@
         version: 3,
         age_ms: 400,
     };
-    assert!(known.merge(std::slice::from_ref(&note), 5_000));
+    assert!(known.merge_ages(std::slice::from_ref(&note), 5_000));
     assert_eq!(*known.latest().unwrap(), declaration(3, 4_600, true));
     assert!(
-        !known.merge(std::slice::from_ref(&note), 5_100),
+        !known.merge_ages(std::slice::from_ref(&note), 5_100),
         "news only once"
     );
     assert!(
-        !known.merge(std::slice::from_ref(&note), 5_100),
+        !known.merge_ages(std::slice::from_ref(&note), 5_100),
         "news only once"
     );
     // Its record, which comes later, changes nothing.
@@ -258,9 +261,9 @@
         version: 2,
         age_ms,
     };
-    known.merge(&[note(100)], 2_000);
+    known.merge_ages(&[note(100)], 2_000);
     assert_eq!(known.latest().unwrap().learned_ms, 1_000);
-    known.merge(&[note(1_500)], 2_000);
+    known.merge_ages(&[note(1_500)], 2_000);
     assert_eq!(known.latest().unwrap().learned_ms, 500);
 }
 
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -21,7 +21,7 @@
             model: "m".to_owned(),
             version: *version,
             learned_ms: *learned_ms,
-            is_exact: true,
+            is_time_exact: true,
         })
         .collect()
 }
