--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -185,7 +185,7 @@
     fn has_budget(&self, request: &Request) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.budget(&request.service).has_room(now_ms)
+        state.budget(&request.service).can_resend(now_ms)
     }
 
     /// Learns from what became of a send; returns an answer to pass on.
@@ -278,7 +278,7 @@
         let now_ms = state.now_ms();
         let entries = state.entry_count();
         let budget = state.budget(&request.service);
-        budget.set_entries(entries, now_ms);
+        budget.set_entry_count(entries, now_ms);
         let allowed = budget.try_resend(now_ms);
         if allowed {
             self.metrics.retried(progress.last_cause);
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -166,7 +166,7 @@
             .replicas
             .started(place.key, place.predicted_ms, now_ms);
         if request.sends == 0 && request.tried.is_empty() {
-            state.budget(&request.service).request(now_ms);
+            state.budget(&request.service).record_request(now_ms);
         }
         request.tried.push(place.key);
         LogLine::new(Event::RequestPlaced)
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -15,7 +15,7 @@
 use crate::fleet::PeerTable;
 use crate::fleet::RateMeter;
 use crate::fleet::ReplicaTable;
-use crate::fleet::RetryWindow;
+use crate::fleet::SharedRetryBudget;
 use crate::fleet::Topic;
 use crate::fleet::TopicTable;
 use crate::gateway::GatewaySettings;
@@ -95,7 +95,7 @@
     /// Wakes the task that tells others what is new.
     pub news_notice: Rc<Notify>,
     pub(super) ledgers: [TopicTable; 3],
-    pub(super) budgets: Vec<(String, RetryWindow)>,
+    pub(super) budgets: Vec<(String, SharedRetryBudget)>,
     demands: Vec<(String, RateMeter)>,
     longest_deadlines_ms: Vec<(String, u64)>,
     pub(super) lost_topics: [bool; 3],
@@ -243,7 +243,7 @@
     }
 
     /// Budget of resends to `service`.
-    pub fn budget(&mut self, service: &str) -> &mut RetryWindow {
+    pub fn budget(&mut self, service: &str) -> &mut SharedRetryBudget {
         let at = match self
             .budgets
             .binary_search_by(|budget| budget.0.as_str().cmp(service))
@@ -251,7 +251,7 @@
             Ok(at) => at,
             Err(at) => {
                 let settings = &self.settings;
-                let budget = RetryWindow::new(
+                let budget = SharedRetryBudget::new(
                     settings.resend_ratio,
                     settings.resend_extra,
                     settings.resend_window_ms,
@@ -274,7 +274,7 @@
                 at
             }
         };
-        demands[at].1.add(now_ms);
+        demands[at].1.record_event(now_ms);
     }
 
     /// Requests for `service` that the other entries get in a ms, if each gets
@@ -282,7 +282,7 @@
     pub fn others_demand_per_ms(&self, service: &str) -> f64 {
         let others = f64::from(self.entry_count() - 1);
         match self.demands.binary_search_by(|d| d.0.as_str().cmp(service)) {
-            Ok(at) => self.demands[at].1.per_ms(self.now_ms()) * others,
+            Ok(at) => self.demands[at].1.events_per_ms(self.now_ms()) * others,
             Err(_) => 0.0,
         }
     }
--- a/tests/fleet/retries.rs
+++ b/tests/fleet/retries.rs
@@ -1,5 +1,5 @@
 use bergamotfork::fleet::RateMeter;
-use bergamotfork::fleet::RetryWindow;
+use bergamotfork::fleet::SharedRetryBudget;
 
 const WINDOW_MS: u64 = 10_000;
 
@@ -8,15 +8,15 @@
 #[test]
 fn retry_window_all_entries_stay_within_the_budget() {
     let entries = 6;
-    let mut windows: Vec<RetryWindow> = (0..entries)
-        .map(|_| RetryWindow::new(0.2, 100.0, WINDOW_MS))
+    let mut budgets: Vec<SharedRetryBudget> = (0..entries)
+        .map(|_| SharedRetryBudget::new(0.2, 100.0, WINDOW_MS))
         .collect();
     let mut resends: Vec<u64> = Vec::new();
     for now_ms in (0..30_000u64).step_by(20) {
-        for window in &mut windows {
-            window.set_entries(entries, now_ms);
-            window.request(now_ms);
-            if window.try_resend(now_ms) {
+        for budget in &mut budgets {
+            budget.set_entry_count(entries, now_ms);
+            budget.record_request(now_ms);
+            if budget.try_resend(now_ms) {
                 resends.push(now_ms);
             }
         }
@@ -35,14 +35,14 @@
 
 #[test]
 fn retry_window_most_entries_seen_counts() {
-    let mut window = RetryWindow::new(0.0, 12.0, WINDOW_MS);
-    window.set_entries(6, 0);
+    let mut budget = SharedRetryBudget::new(0.0, 12.0, WINDOW_MS);
+    budget.set_entry_count(6, 0);
     // Entries that were killed may have spent their share before.
-    window.set_entries(1, 1_000);
-    let sent = (0..10).filter(|_| window.try_resend(1_000)).count();
+    budget.set_entry_count(1, 1_000);
+    let sent = (0..10).filter(|_| budget.try_resend(1_000)).count();
     assert_eq!(sent, 2);
-    window.set_entries(1, 11_000);
-    let later = (0..20).filter(|_| window.try_resend(11_500)).count();
+    budget.set_entry_count(1, 11_000);
+    let later = (0..20).filter(|_| budget.try_resend(11_500)).count();
     assert_eq!(later, 12);
 }
 
@@ -50,9 +50,9 @@
 fn rate_meter_fades() {
     let mut meter = RateMeter::default();
     for now_ms in (0..5_000).step_by(25) {
-        meter.add(now_ms);
+        meter.record_event(now_ms);
     }
-    let rate = meter.per_ms(5_000);
+    let rate = meter.events_per_ms(5_000);
     assert!((0.03..0.05).contains(&rate), "{rate}");
-    assert!(meter.per_ms(15_000) < 0.001);
+    assert!(meter.events_per_ms(15_000) < 0.001);
 }
