--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::calls::SuspectRecord;
-use crate::fleet::rotation_slot;
+use crate::fleet::rendezvous_rank;
 
 /// Silence after which an entry is taken for dead, in ms: several beats.
 const ENTRY_SILENT_MS: u64 = 900;
@@ -158,7 +158,7 @@
             .live_entries(now_ms)
             .filter(|peer| peer.has_store && peer.failure_domain == failure_domain)
             .map(|peer| peer.name.as_str());
-        let rank = rotation_slot(own, readers, READER_SEED) as u64;
+        let rank = rendezvous_rank(own, readers, READER_SEED) as u64;
         let patience_ms = READER_SILENT_MS + READER_STAGGER_MS * rank.saturating_sub(1);
         rank > 0 && age_ms < patience_ms
     }
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -6,7 +6,7 @@
 use tokio::sync::OnceCell;
 use tokio::time::Instant;
 
-use crate::fleet::rotation_order;
+use crate::fleet::rendezvous_order;
 use crate::gateway::GatewayState;
 use crate::http1::Ask;
 use crate::http1::Client;
@@ -283,7 +283,7 @@
             .peers
             .live_entries(state.now_ms())
             .map(|peer| (peer.name.as_str(), Some(peer.internal)));
-        rotation_order(std::iter::once(own).chain(others), u64::from(index))
+        rendezvous_order(std::iter::once(own).chain(others), u64::from(index))
     }
 
     /// Reads a piece from another entry, by one of the paths of pieces.
--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::fleet::rotation_slot;
+use crate::fleet::rendezvous_rank;
 use crate::gateway::MANIFEST_PATH;
 use crate::http1::Ask;
 use crate::http1::Client;
@@ -35,7 +35,7 @@
                 .map(|r| r.address.to_string())
                 .collect();
             let own = state.settings.replica.to_string();
-            rotation_slot(&own, names.iter().map(String::as_str), self.version)
+            rendezvous_rank(&own, names.iter().map(String::as_str), self.version)
         };
         let mut wait = MANIFEST_STAGGER * u32::try_from(slot).unwrap_or(u32::MAX).min(16);
         loop {
--- a/src/staging/near_entry.rs
+++ b/src/staging/near_entry.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddr;
 
-use crate::fleet::rotation_first_weighted;
+use crate::fleet::rendezvous_choose_weighted;
 
 /// An entry through which weights pass.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -33,7 +33,7 @@
         let weighted = (0..entries.len())
             .filter(open)
             .map(|index| (names[index].as_str(), entries[index].link_mbps, index));
-        let Some(index) = rotation_first_weighted(weighted, u64::from(piece)) else {
+        let Some(index) = rendezvous_choose_weighted(weighted, u64::from(piece)) else {
             break;
         };
         carried[index] += 1;
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -14,7 +14,7 @@
 use crate::fleet::Topic;
 use crate::fleet::TopicRecord;
 use crate::fleet::TopicTable;
-use crate::fleet::rotation_slot;
+use crate::fleet::rendezvous_rank;
 use crate::gateway::OperatorRecord;
 use crate::gateway::RecordDecoder;
 use crate::gateway::TopicSink;
@@ -267,7 +267,7 @@
             .iter()
             .map(|r| r.address.to_string())
             .collect();
-        let slot = rotation_slot(&own, names.iter().map(String::as_str), 0);
+        let slot = rendezvous_rank(&own, names.iter().map(String::as_str), 0);
         slot.min(names.len()) as f64 / names.len().max(1) as f64
     }
 
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/beliefs.rs
@@ -12,9 +12,9 @@
 use bergamotfork::fleet::TopicRecord;
 use bergamotfork::fleet::TopicTable;
 use bergamotfork::fleet::Workspace;
-use bergamotfork::fleet::rotation_first_weighted;
-use bergamotfork::fleet::rotation_order;
-use bergamotfork::fleet::rotation_slot;
+use bergamotfork::fleet::rendezvous_choose_weighted;
+use bergamotfork::fleet::rendezvous_order;
+use bergamotfork::fleet::rendezvous_rank;
 
 fn route(name: &str, path_prefix: &str) -> Route {
     Route {
@@ -268,13 +268,13 @@
 }
 
 #[test]
-fn rotation_agrees_on_every_process() {
+fn rendezvous_rank_agrees_on_every_process() {
     let names = ["a", "b", "c", "d"];
     let mut slots: Vec<usize> = names
         .iter()
-        .map(|name| rotation_slot(name, names.into_iter(), 7))
+        .map(|name| rendezvous_rank(name, names.into_iter(), 7))
         .collect();
-    let order: Vec<usize> = rotation_order(names.into_iter().zip(0..), 7);
+    let order: Vec<usize> = rendezvous_order(names.into_iter().zip(0..), 7);
     assert_eq!(
         order.iter().map(|at| slots[*at]).collect::<Vec<_>>(),
         [0, 1, 2, 3]
@@ -284,11 +284,11 @@
 }
 
 #[test]
-fn rotation_first_weighted_in_proportion() {
+fn rendezvous_choose_weighted_in_proportion() {
     let names = [("a", 40.0), ("b", 200.0), ("c", 40.0), ("d", 120.0)];
     let first = |names: &[(&'static str, f64)], seed: u64| {
         let entries = names.iter().map(|(name, weight)| (*name, *weight, *name));
-        rotation_first_weighted(entries, seed).unwrap()
+        rendezvous_choose_weighted(entries, seed).unwrap()
     };
     let count = |name: &str| (0..8_000).filter(|s| first(&names, *s) == name).count();
     // Weights of 40 and 200 of 400 in all: 800 and 4,000 of 8,000 choices.
