--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -3,35 +3,35 @@
 use crate::fleet::ReplicaKey;
 
 /// Share of the target that a prediction may fill; the rest is for its error.
-const TARGET_FILL: f64 = 0.9;
+const MAX_TARGET_SHARE: f64 = 0.9;
 
 /// Share of the slots that late requests may fill: on-time work goes before.
-const LATE_SLOT_FILL: f64 = 0.8;
+const MAX_LATE_SLOT_SHARE: f64 = 0.8;
 
 /// Advantage of a replica in the own failure domain, in ms of predicted time.
-const NEARNESS_BONUS_MS: f64 = 40.0;
+const SAME_DOMAIN_BONUS_MS: f64 = 40.0;
 
 /// Random part of a prediction, in ms, so that entries that see the same loads
 /// do not all choose the same replica.
-const SPREAD_MS: f64 = 20.0;
+const MAX_JITTER_MS: f64 = 20.0;
 
 /// Shortest and longest time after which a refused client is asked to come back.
-const RETRY_AFTER_MS: (f64, f64) = (400.0, 1_600.0);
+const RETRY_AFTER_RANGE_MS: (f64, f64) = (400.0, 1_600.0);
 
 /// How much worse a replica looks for each share of failures.
 const FAILURE_PENALTY: f64 = 6.0;
 
 /// Least predicted time of a plain answer, in ms; also for a replica that was not
 /// observed yet, so that it is tried.
-const LEAST_LATENCY_MS: f64 = 10.0;
+const MIN_LATENCY_MS: f64 = 10.0;
 
 /// Delay beyond the prediction at which an engine gets nothing more, in ms: well
 /// beyond what its queue explains.
-const SICK_DELAY_MS: f64 = 800.0;
+const MAX_EXCESS_DELAY_MS: f64 = 800.0;
 
 /// Load of a plain service, in requests of this entry for each slot, at which
 /// more are refused.
-const PLAIN_FILL: f64 = 2.0;
+const MAX_LOAD_PER_SLOT: f64 = 2.0;
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 
 /// What becomes of a request now.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Admission {
+pub enum AdmissionDecision {
     /// It goes to a replica.
     Send {
         /// Where.
@@ -86,21 +86,21 @@
     /// Failure domain of this entry.
     pub failure_domain: &'a str,
     /// Entries that are alive.
-    pub entries: u32,
+    pub entry_count: u32,
     /// Requests that the other entries send to one replica in a ms.
-    pub others_per_ms: f64,
+    pub peer_requests_per_ms: f64,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Time since the request arrived.
     pub waited_ms: u64,
     /// Whether the client was refused before and has come back.
-    pub is_return: bool,
+    pub was_refused_before: bool,
     /// Whether the client has part of the answer already.
-    pub has_begun: bool,
+    pub has_partial_answer: bool,
     /// Time within which the answer is on time.
-    pub target_ms: u64,
+    pub target_latency_ms: u64,
     /// Time that is left in all.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// Random bits.
     pub seed: u64,
 }
@@ -110,25 +110,25 @@
 /// A request goes to the replica with the least predicted time. It is refused
 /// when the prediction misses its target, since it would only delay others, and
 /// a request whose target has passed already runs only where slots are free.
-pub fn admit(input: &AdmissionInput<'_>) -> Admission {
-    if input.left_ms == 0 {
+pub fn admit_request(input: &AdmissionInput<'_>) -> AdmissionDecision {
+    if input.remaining_ms == 0 {
         return refuse(RefusalCause::Expired, input);
     }
     let mut best: Option<(f64, f64, ReplicaKey)> = None;
     for (index, (key, replica)) in input.replicas.iter().enumerate() {
-        let Some(predicted_ms) = predicted_ms(input, replica) else {
+        let Some(predicted_ms) = predicted_answer_ms(input, replica) else {
             continue;
         };
-        let mut cost_ms = predicted_ms + SPREAD_MS * noise(input.seed, index);
+        let mut cost_ms = predicted_ms + MAX_JITTER_MS * unit_random(input.seed, index);
         if replica.record.failure_domain == input.failure_domain {
-            cost_ms -= NEARNESS_BONUS_MS;
+            cost_ms -= SAME_DOMAIN_BONUS_MS;
         }
         if best.is_none_or(|best| cost_ms < best.0) {
             best = Some((cost_ms, predicted_ms, *key));
         }
     }
     match best {
-        Some((_, predicted_ms, replica)) => Admission::Send {
+        Some((_, predicted_ms, replica)) => AdmissionDecision::Send {
             replica,
             predicted_ms,
         },
@@ -138,42 +138,42 @@
 }
 
 /// Predicted time to the answer at `replica`; None when it has no room.
-fn predicted_ms(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
+fn predicted_answer_ms(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
     let Some(engine) = input.engine else {
-        return plain_predicted_ms(input, replica);
+        return predicted_ms_without_engine(input, replica);
     };
     let pace = replica
         .fresh_load(input.now_ms)
         .map_or(1.0, |load| load.pace);
     let requests = replica
-        .known_requests(input.others_per_ms, input.now_ms)
-        .unwrap_or_else(|| replica.in_flight.saturating_mul(input.entries));
+        .known_requests(input.peer_requests_per_ms, input.now_ms)
+        .unwrap_or_else(|| replica.in_flight.saturating_mul(input.entry_count));
     let delay_ms = replica.delay_ms(input.now_ms);
     let predicted_ms =
         pace * predicted_first_event_ms(engine, requests, f64::from(input.prompt_tokens));
-    let on_time_ms = input.target_ms as f64 * TARGET_FILL - input.waited_ms as f64;
-    let fits = if delay_ms >= SICK_DELAY_MS {
+    let time_budget_ms = input.target_latency_ms as f64 * MAX_TARGET_SHARE - input.waited_ms as f64;
+    let has_capacity = if delay_ms >= MAX_EXCESS_DELAY_MS {
         false
-    } else if input.has_begun {
+    } else if input.has_partial_answer {
         requests <= engine.slots
-    } else if on_time_ms > 0.0 && !input.is_return {
-        predicted_ms <= on_time_ms
+    } else if time_budget_ms > 0.0 && !input.was_refused_before {
+        predicted_ms <= time_budget_ms
     } else {
-        f64::from(requests) < f64::from(engine.slots) * LATE_SLOT_FILL
+        f64::from(requests) < f64::from(engine.slots) * MAX_LATE_SLOT_SHARE
     };
-    fits.then_some(predicted_ms + delay_ms)
+    has_capacity.then_some(predicted_ms + delay_ms)
 }
 
-fn plain_predicted_ms(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
+fn predicted_ms_without_engine(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
     let slots = f64::from(replica.record.slots.max(1));
-    let fill = f64::from(replica.in_flight) / slots;
-    if fill >= PLAIN_FILL {
+    let load_per_slot = f64::from(replica.in_flight) / slots;
+    if load_per_slot >= MAX_LOAD_PER_SLOT {
         return None;
     }
-    let latency_ms = replica.latency_ms().max(LEAST_LATENCY_MS);
+    let latency_ms = replica.latency_ms().max(MIN_LATENCY_MS);
     let failures = replica.failure_share(input.now_ms);
-    let busy_ms = latency_ms * (1.0 + 2.0 * fill) * (1.0 + FAILURE_PENALTY * failures);
-    Some(replica.delay_ms(input.now_ms) + busy_ms)
+    let service_ms = latency_ms * (1.0 + 2.0 * load_per_slot) * (1.0 + FAILURE_PENALTY * failures);
+    Some(replica.delay_ms(input.now_ms) + service_ms)
 }
 
 /// Time until an engine with `requests` requests gives the first event of one
@@ -196,18 +196,18 @@
     pass_ms + 1.5 * read_ms + ahead * request_ms / slots
 }
 
-fn refuse(cause: RefusalCause, input: &AdmissionInput<'_>) -> Admission {
-    let (shortest_ms, longest_ms) = RETRY_AFTER_MS;
-    let wanted_ms = shortest_ms + (longest_ms - shortest_ms) * noise(input.seed, usize::MAX);
-    let third_ms = input.left_ms as f64 / 3.0;
-    Admission::Refuse {
+fn refuse(cause: RefusalCause, input: &AdmissionInput<'_>) -> AdmissionDecision {
+    let (min_ms, max_ms) = RETRY_AFTER_RANGE_MS;
+    let random_ms = min_ms + (max_ms - min_ms) * unit_random(input.seed, usize::MAX);
+    let third_of_remaining_ms = input.remaining_ms as f64 / 3.0;
+    AdmissionDecision::Refuse {
         cause,
-        retry_after_ms: wanted_ms.min(third_ms) as u64,
+        retry_after_ms: random_ms.min(third_of_remaining_ms) as u64,
     }
 }
 
 /// A number from 0 to 1.
-fn noise(seed: u64, index: usize) -> f64 {
+fn unit_random(seed: u64, index: usize) -> f64 {
     let bits = crate::weights::mix(seed ^ (index as u64).rotate_left(32));
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -40,7 +40,7 @@
     /// Longest time that a request is kept.
     pub timeout_ms: u64,
     /// Time within which an answer, or the first event, is on time.
-    pub target_ms: u64,
+    pub target_latency_ms: u64,
     /// Rank; 0 is the most urgent.
     pub priority: u32,
     /// Services with their weights.
@@ -48,7 +48,7 @@
     /// Replicas that one request may be sent to.
     pub max_attempts: u32,
     /// Whether no API key is asked for.
-    pub is_anonymous: bool,
+    pub allows_anonymous: bool,
 }
 
 /// A model of an engine.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -17,10 +17,10 @@
 mod shared_retry_budget;
 mod topic_table;
 
-pub use admission::Admission;
+pub use admission::AdmissionDecision;
 pub use admission::AdmissionInput;
 pub use admission::RefusalCause;
-pub use admission::admit;
+pub use admission::admit_request;
 pub use admission::predicted_first_event_ms;
 pub use catalog::Catalog;
 pub use catalog::EngineProfile;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -240,7 +240,7 @@
                 let again = failed
                     && request.route.kind == RouteKind::Idempotent
                     && request.may_send_again()
-                    && request.left_ms() > request.route.target_ms / 2;
+                    && request.left_ms() > request.route.target_latency_ms / 2;
                 if !again {
                     drop(state);
                     return Some(sent);
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -258,7 +258,7 @@
     route: &Route,
     credential: &Credential,
 ) -> Result<(Option<String>, u32), Refusal> {
-    if !catalog.has_workspaces() || route.is_anonymous {
+    if !catalog.has_workspaces() || route.allows_anonymous {
         return Ok((None, route.priority));
     }
     let Credential::Key(key) = credential else {
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -2,11 +2,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::fleet::Admission;
+use crate::fleet::AdmissionDecision;
 use crate::fleet::AdmissionInput;
 use crate::fleet::Replica;
 use crate::fleet::ReplicaKey;
-use crate::fleet::admit;
+use crate::fleet::admit_request;
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
 use crate::gateway::forward::Gateway;
@@ -116,23 +116,23 @@
                     || replica.has_free_slots(others_per_ms, now_ms)
             });
         }
-        let admission = admit(&AdmissionInput {
+        let admission = admit_request(&AdmissionInput {
             now_ms,
             replicas: &usable,
             engine: service.and_then(|service| service.engine.as_ref()),
             failure_domain: &state.settings.failure_domain,
-            entries: state.entry_count(),
-            others_per_ms,
+            entry_count: state.entry_count(),
+            peer_requests_per_ms: others_per_ms,
             prompt_tokens: request.facts.prompt_tokens,
             waited_ms: request.waited_ms(),
-            is_return: request.waited_before_ms > 0,
-            has_begun,
-            target_ms: request.route.target_ms,
-            left_ms: request.left_ms(),
+            was_refused_before: request.waited_before_ms > 0,
+            has_partial_answer: has_begun,
+            target_latency_ms: request.route.target_latency_ms,
+            remaining_ms: request.left_ms(),
             seed,
         });
         match admission {
-            Admission::Send {
+            AdmissionDecision::Send {
                 replica: key,
                 predicted_ms,
             } => {
@@ -151,7 +151,7 @@
                     load_age_ms: replica.fresh_load(now_ms).map(|load| now_ms - load.at_ms),
                 })
             }
-            Admission::Refuse {
+            AdmissionDecision::Refuse {
                 cause,
                 retry_after_ms,
             } => Err((cause.label(), retry_after_ms)),
--- a/tests/fleet/admission.rs
+++ b/tests/fleet/admission.rs
@@ -1,13 +1,13 @@
 use crate::fixture::engine;
 use crate::fixture::table;
-use bergamotfork::fleet::Admission;
+use bergamotfork::fleet::AdmissionDecision;
 use bergamotfork::fleet::AdmissionInput;
 use bergamotfork::fleet::EngineProfile;
 use bergamotfork::fleet::RefusalCause;
 use bergamotfork::fleet::Replica;
 use bergamotfork::fleet::ReplicaKey;
 use bergamotfork::fleet::ReplicaTable;
-use bergamotfork::fleet::admit;
+use bergamotfork::fleet::admit_request;
 use bergamotfork::fleet::predicted_first_event_ms;
 
 const TARGET_MS: u64 = 400;
@@ -23,34 +23,39 @@
         replicas,
         engine: Some(engine),
         failure_domain: "a",
-        entries: 6,
-        others_per_ms: 0.0,
+        entry_count: 6,
+        peer_requests_per_ms: 0.0,
         prompt_tokens: 800,
         waited_ms: 0,
-        is_return: false,
-        has_begun: false,
-        target_ms: TARGET_MS,
-        left_ms: 6_000,
+        was_refused_before: false,
+        has_partial_answer: false,
+        target_latency_ms: TARGET_MS,
+        remaining_ms: 6_000,
         seed: 1,
     }
 }
 
-fn decide(table: &ReplicaTable, now_ms: u64, seed: u64, is_return: bool) -> Admission {
+fn decide(
+    table: &ReplicaTable,
+    now_ms: u64,
+    seed: u64,
+    was_refused_before: bool,
+) -> AdmissionDecision {
     let replicas: Vec<(ReplicaKey, &Replica)> = table
         .listed()
         .filter(|(_, replica)| replica.is_usable(now_ms))
         .collect();
-    admit(&AdmissionInput {
-        is_return,
+    admit_request(&AdmissionInput {
+        was_refused_before,
         seed,
         ..arrival(&replicas, &engine(), now_ms)
     })
 }
 
 /// Replica that a request goes to.
-fn sent_to(admission: Admission) -> ReplicaKey {
+fn sent_to(admission: AdmissionDecision) -> ReplicaKey {
     match admission {
-        Admission::Send { replica, .. } => replica,
+        AdmissionDecision::Send { replica, .. } => replica,
         refusal => panic!("{refusal:?}"),
     }
 }
@@ -78,7 +83,7 @@
 fn admit_overload_is_refused_at_once_with_a_pause() {
     let (table, _) = table(0, &[24, 26, 30]);
     match decide(&table, 10, 1, false) {
-        Admission::Refuse {
+        AdmissionDecision::Refuse {
             cause,
             retry_after_ms,
         } => {
@@ -94,10 +99,13 @@
     let (busy, _) = table(0, &[15, 16]);
     assert!(matches!(
         decide(&busy, 10, 1, true),
-        Admission::Refuse { .. }
+        AdmissionDecision::Refuse { .. }
     ));
     let (calm, _) = table(0, &[6, 16]);
-    assert!(matches!(decide(&calm, 10, 1, true), Admission::Send { .. }));
+    assert!(matches!(
+        decide(&calm, 10, 1, true),
+        AdmissionDecision::Send { .. }
+    ));
 }
 
 #[test]
@@ -105,7 +113,7 @@
     let table = ReplicaTable::default();
     assert!(matches!(
         decide(&table, 10, 1, false),
-        Admission::Refuse {
+        AdmissionDecision::Refuse {
             cause: RefusalCause::NoReplica,
             ..
         }
@@ -121,7 +129,7 @@
     let mut refused = 0;
     for seed in 0..200 {
         match decide(&table, 20, seed, false) {
-            Admission::Send {
+            AdmissionDecision::Send {
                 replica,
                 predicted_ms,
             } => {
@@ -129,7 +137,7 @@
                 let at = keys.iter().position(|key| *key == replica).unwrap();
                 sent[at] += 1;
             }
-            Admission::Refuse { .. } => refused += 1,
+            AdmissionDecision::Refuse { .. } => refused += 1,
         }
     }
     assert!(sent.iter().all(|count| 8 + count >= 16), "{sent:?}");
@@ -153,16 +161,16 @@
 #[test]
 fn admit_single_open_engine_is_not_flooded() {
     let (table, _) = table(0, &[10]);
-    let others_per_ms = 0.17;
+    let peer_requests_per_ms = 0.17;
     let replicas: Vec<(ReplicaKey, &Replica)> = table.listed().collect();
     let at = |now_ms| {
-        admit(&AdmissionInput {
-            others_per_ms,
+        admit_request(&AdmissionInput {
+            peer_requests_per_ms,
             ..arrival(&replicas, &engine(), now_ms)
         })
     };
-    assert!(matches!(at(5), Admission::Send { .. }));
-    assert!(matches!(at(95), Admission::Refuse { .. }));
+    assert!(matches!(at(5), AdmissionDecision::Send { .. }));
+    assert!(matches!(at(95), AdmissionDecision::Refuse { .. }));
 }
 
 /// A stream that broke off in the middle goes on where a late request would not
@@ -172,13 +180,13 @@
     let decide = |requests: u32| {
         let (table, _) = table(0, &[requests]);
         let replicas: Vec<(ReplicaKey, &Replica)> = table.listed().collect();
-        admit(&AdmissionInput {
+        admit_request(&AdmissionInput {
             waited_ms: 1_500,
-            has_begun: true,
-            left_ms: 4_000,
+            has_partial_answer: true,
+            remaining_ms: 4_000,
             ..arrival(&replicas, &engine(), 10)
         })
     };
-    assert!(matches!(decide(15), Admission::Send { .. }));
-    assert!(matches!(decide(20), Admission::Refuse { .. }));
+    assert!(matches!(decide(15), AdmissionDecision::Send { .. }));
+    assert!(matches!(decide(20), AdmissionDecision::Refuse { .. }));
 }
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/beliefs.rs
@@ -23,11 +23,11 @@
         path_prefix: path_prefix.to_owned(),
         kind: RouteKind::Idempotent,
         timeout_ms: 1_000,
-        target_ms: 100,
+        target_latency_ms: 100,
         priority: 0,
         services: vec![("s".to_owned(), 1)],
         max_attempts: 2,
-        is_anonymous: false,
+        allows_anonymous: false,
     }
 }
 
