--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -143,16 +143,16 @@
         return predicted_ms_without_engine(input, replica);
     };
     let pace = replica
-        .fresh_load(input.now_ms)
+        .recent_load(input.now_ms)
         .map_or(1.0, |load| load.pace);
     let requests = replica
-        .known_requests(input.peer_requests_per_ms, input.now_ms)
+        .estimated_requests(input.peer_requests_per_ms, input.now_ms)
         .unwrap_or_else(|| replica.in_flight.saturating_mul(input.entry_count));
-    let delay_ms = replica.delay_ms(input.now_ms);
+    let excess_delay_ms = replica.excess_delay_ms(input.now_ms);
     let predicted_ms =
         pace * predicted_first_event_ms(engine, requests, f64::from(input.prompt_tokens));
     let time_budget_ms = input.target_latency_ms as f64 * MAX_TARGET_SHARE - input.waited_ms as f64;
-    let has_capacity = if delay_ms >= MAX_EXCESS_DELAY_MS {
+    let has_capacity = if excess_delay_ms >= MAX_EXCESS_DELAY_MS {
         false
     } else if input.has_partial_answer {
         requests <= engine.slots
@@ -161,7 +161,7 @@
     } else {
         f64::from(requests) < f64::from(engine.slots) * MAX_LATE_SLOT_SHARE
     };
-    has_capacity.then_some(predicted_ms + delay_ms)
+    has_capacity.then_some(predicted_ms + excess_delay_ms)
 }
 
 fn predicted_ms_without_engine(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
@@ -170,10 +170,11 @@
     if load_per_slot >= MAX_LOAD_PER_SLOT {
         return None;
     }
-    let latency_ms = replica.latency_ms().max(MIN_LATENCY_MS);
-    let failures = replica.failure_share(input.now_ms);
-    let service_ms = latency_ms * (1.0 + 2.0 * load_per_slot) * (1.0 + FAILURE_PENALTY * failures);
-    Some(replica.delay_ms(input.now_ms) + service_ms)
+    let latency_ms = replica.mean_latency_ms().max(MIN_LATENCY_MS);
+    let failure_ratio = replica.failure_ratio(input.now_ms);
+    let service_ms =
+        latency_ms * (1.0 + 2.0 * load_per_slot) * (1.0 + FAILURE_PENALTY * failure_ratio);
+    Some(replica.excess_delay_ms(input.now_ms) + service_ms)
 }
 
 /// Time until an engine with `requests` requests gives the first event of one
--- a/src/fleet/engine_load.rs
+++ b/src/fleet/engine_load.rs
@@ -2,7 +2,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineLoad {
     /// Steady time at which the report arrived here.
-    pub at_ms: u64,
+    pub received_ms: u64,
     /// Whether the engine answered its host at all.
     pub is_up: bool,
     /// Whether it is loading weights, or about to.
--- a/src/fleet/replica_table.rs
+++ b/src/fleet/replica_table.rs
@@ -6,18 +6,18 @@
 
 /// Time between a send and its first trace in a load report, in ms: two link
 /// delays between regions and the pause of a poll.
-const REPORT_BLIND_MS: u64 = 6;
+const LOAD_REPORT_DELAY_MS: u64 = 6;
 
 /// Age at which a load report tells nothing any more, in ms: several times the
 /// interval of the reports.
 const LOAD_STALE_MS: u64 = 700;
 
 /// First pause after a failed connection, in ms; doubles up to the longest.
-const FIRST_BACKOFF_MS: u64 = 250;
+const MIN_BACKOFF_MS: u64 = 250;
 
 /// Longest pause after failed connections, in ms: about the time after which a
 /// dead replica drops out of the list.
-const LONGEST_BACKOFF_MS: u64 = 4_000;
+const MAX_BACKOFF_MS: u64 = 4_000;
 
 /// Weight of the newest outcome in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.15;
@@ -36,12 +36,12 @@
 
 /// Delay below which a late answer says nothing of the replica, in ms: about the
 /// error of a prediction.
-const DELAY_NOISE_MS: f64 = 150.0;
+const MIN_EXCESS_DELAY_MS: f64 = 150.0;
 
 /// A request at a replica that has not begun to answer.
 #[derive(Debug)]
-struct Awaited {
-    ticket: u64,
+struct PendingRequest {
+    send_id: u64,
     sent_ms: u64,
     predicted_ms: f64,
 }
@@ -56,68 +56,68 @@
     /// What it registered.
     pub record: ReplicaRecord,
     /// Whether it left the list.
-    pub is_gone: bool,
+    pub is_removed: bool,
     /// Steady time of the last heartbeat seen.
-    pub beat_ms: u64,
+    pub last_heartbeat_ms: u64,
     /// Requests of this process that are at it.
     pub in_flight: u32,
     load: Option<EngineLoad>,
-    sent_ms: Vec<u64>,
+    sent_since_load_ms: Vec<u64>,
     ended_since_load: u32,
-    down_until_ms: u64,
+    excluded_until_ms: u64,
     backoff_ms: u64,
-    failure_share: f64,
-    failure_ms: u64,
-    latency_ms: f64,
-    awaited: Vec<Awaited>,
-    delay_ms: f64,
-    delay_at_ms: u64,
+    failure_ratio: f64,
+    failure_ratio_updated_ms: u64,
+    mean_latency_ms: f64,
+    pending: Vec<PendingRequest>,
+    mean_excess_delay_ms: f64,
+    mean_excess_delay_updated_ms: u64,
 }
 
 impl Replica {
     fn new(record: ReplicaRecord, now_ms: u64) -> Self {
         Self {
             record,
-            is_gone: false,
-            beat_ms: now_ms,
+            is_removed: false,
+            last_heartbeat_ms: now_ms,
             in_flight: 0,
             load: None,
-            sent_ms: Vec::new(),
+            sent_since_load_ms: Vec::new(),
             ended_since_load: 0,
-            down_until_ms: 0,
-            backoff_ms: FIRST_BACKOFF_MS,
-            failure_share: 0.0,
-            failure_ms: now_ms,
-            latency_ms: 0.0,
-            awaited: Vec::new(),
-            delay_ms: 0.0,
-            delay_at_ms: now_ms,
+            excluded_until_ms: 0,
+            backoff_ms: MIN_BACKOFF_MS,
+            failure_ratio: 0.0,
+            failure_ratio_updated_ms: now_ms,
+            mean_latency_ms: 0.0,
+            pending: Vec::new(),
+            mean_excess_delay_ms: 0.0,
+            mean_excess_delay_updated_ms: now_ms,
         }
     }
 
     /// Whether new work may be sent to it.
     pub fn is_usable(&self, now_ms: u64) -> bool {
-        !self.is_gone
+        !self.is_removed
             && self.record.state == ReplicaState::Ready
-            && now_ms >= self.down_until_ms
+            && now_ms >= self.excluded_until_ms
             && self
-                .fresh_load(now_ms)
+                .recent_load(now_ms)
                 .is_none_or(|load| load.is_up && !load.is_loading)
     }
 
     /// Load report that is recent enough to decide on.
-    pub fn fresh_load(&self, now_ms: u64) -> Option<&EngineLoad> {
+    pub fn recent_load(&self, now_ms: u64) -> Option<&EngineLoad> {
         self.load
             .as_ref()
-            .filter(|load| now_ms.saturating_sub(load.at_ms) < LOAD_STALE_MS)
+            .filter(|load| now_ms.saturating_sub(load.received_ms) < LOAD_STALE_MS)
     }
 
     /// Requests at the replica by the last report, the own sends since then, and
-    /// those of the other entries at `others_per_ms`.
-    pub fn known_requests(&self, others_per_ms: f64, now_ms: u64) -> Option<u32> {
-        let load = self.fresh_load(now_ms)?;
-        let sent = u32::try_from(self.sent_ms.len()).unwrap_or(u32::MAX);
-        let others = others_per_ms * now_ms.saturating_sub(load.at_ms) as f64;
+    /// those of the other entries at `peer_requests_per_ms`.
+    pub fn estimated_requests(&self, peer_requests_per_ms: f64, now_ms: u64) -> Option<u32> {
+        let load = self.recent_load(now_ms)?;
+        let sent = u32::try_from(self.sent_since_load_ms.len()).unwrap_or(u32::MAX);
+        let others = peer_requests_per_ms * now_ms.saturating_sub(load.received_ms) as f64;
         let total = load.running + load.queued + sent + others as u32;
         Some(
             total
@@ -127,14 +127,14 @@
     }
 
     /// Whether a request would begin at once, by the latest report.
-    pub fn has_free_slots(&self, others_per_ms: f64, now_ms: u64) -> bool {
-        self.known_requests(others_per_ms, now_ms)
+    pub fn has_free_slots(&self, peer_requests_per_ms: f64, now_ms: u64) -> bool {
+        self.estimated_requests(peer_requests_per_ms, now_ms)
             .is_some_and(|requests| requests * 2 < self.record.slots)
     }
 
     /// Version of the weights of `model`, by the latest report.
     pub fn weights_version(&self, model: &str, now_ms: u64) -> u64 {
-        if let Some(load) = self.fresh_load(now_ms) {
+        if let Some(load) = self.recent_load(now_ms) {
             return load.version;
         }
         self.record
@@ -145,59 +145,64 @@
     }
 
     /// Share of recent requests that failed, fading while it is unused.
-    pub fn failure_share(&self, now_ms: u64) -> f64 {
-        let idle_ms = now_ms.saturating_sub(self.failure_ms) as f64;
-        self.failure_share * 0.5f64.powf(idle_ms / FAILURE_HALF_LIFE_MS)
+    pub fn failure_ratio(&self, now_ms: u64) -> f64 {
+        let idle_ms = now_ms.saturating_sub(self.failure_ratio_updated_ms) as f64;
+        self.failure_ratio * 0.5f64.powf(idle_ms / FAILURE_HALF_LIFE_MS)
     }
 
     /// Time by which it answers later than predicted, by past answers and by
     /// those that are overdue now.
-    pub fn delay_ms(&self, now_ms: u64) -> f64 {
+    pub fn excess_delay_ms(&self, now_ms: u64) -> f64 {
         let overdue = self
-            .awaited
+            .pending
             .iter()
-            .map(|awaited| now_ms.saturating_sub(awaited.sent_ms) as f64 - awaited.predicted_ms);
-        let worst = overdue.fold(self.mean_delay_ms(now_ms), f64::max);
-        if worst < DELAY_NOISE_MS { 0.0 } else { worst }
+            .map(|pending| now_ms.saturating_sub(pending.sent_ms) as f64 - pending.predicted_ms);
+        let worst = overdue.fold(self.mean_excess_delay_ms(now_ms), f64::max);
+        if worst < MIN_EXCESS_DELAY_MS {
+            0.0
+        } else {
+            worst
+        }
     }
 
-    fn mean_delay_ms(&self, now_ms: u64) -> f64 {
-        let idle_ms = now_ms.saturating_sub(self.delay_at_ms) as f64;
-        self.delay_ms * 0.5f64.powf(idle_ms / DELAY_HALF_LIFE_MS)
+    fn mean_excess_delay_ms(&self, now_ms: u64) -> f64 {
+        let idle_ms = now_ms.saturating_sub(self.mean_excess_delay_updated_ms) as f64;
+        self.mean_excess_delay_ms * 0.5f64.powf(idle_ms / DELAY_HALF_LIFE_MS)
     }
 
-    fn take_delay(&mut self, ticket: u64, now_ms: u64) {
-        let Some(at) = self.awaited.iter().position(|a| a.ticket == ticket) else {
+    fn record_delay(&mut self, send_id: u64, now_ms: u64) {
+        let Some(at) = self.pending.iter().position(|p| p.send_id == send_id) else {
             return;
         };
-        let awaited = self.awaited.swap_remove(at);
-        let took_ms = now_ms.saturating_sub(awaited.sent_ms) as f64;
-        let newest_ms = (took_ms - awaited.predicted_ms).max(0.0);
-        let past_ms = self.mean_delay_ms(now_ms);
-        self.delay_ms = past_ms + DELAY_WEIGHT * (newest_ms - past_ms);
-        self.delay_at_ms = now_ms;
+        let pending = self.pending.swap_remove(at);
+        let took_ms = now_ms.saturating_sub(pending.sent_ms) as f64;
+        let newest_ms = (took_ms - pending.predicted_ms).max(0.0);
+        let past_ms = self.mean_excess_delay_ms(now_ms);
+        self.mean_excess_delay_ms = past_ms + DELAY_WEIGHT * (newest_ms - past_ms);
+        self.mean_excess_delay_updated_ms = now_ms;
     }
 
     /// Mean time of its answers; 0 before the first.
-    pub fn latency_ms(&self) -> f64 {
-        self.latency_ms
+    pub fn mean_latency_ms(&self) -> f64 {
+        self.mean_latency_ms
     }
 
-    fn take_load(&mut self, load: EngineLoad) {
-        let seen_ms = load.at_ms.saturating_sub(REPORT_BLIND_MS);
-        self.sent_ms.retain(|sent_ms| *sent_ms > seen_ms);
+    fn record_load(&mut self, load: EngineLoad) {
+        let covered_ms = load.received_ms.saturating_sub(LOAD_REPORT_DELAY_MS);
+        self.sent_since_load_ms
+            .retain(|sent_ms| *sent_ms > covered_ms);
         self.ended_since_load = 0;
         if load.is_up {
-            self.backoff_ms = FIRST_BACKOFF_MS;
+            self.backoff_ms = MIN_BACKOFF_MS;
         }
         self.load = Some(load);
     }
 
-    fn take_outcome(&mut self, failed: bool, now_ms: u64) {
-        let past = self.failure_share(now_ms);
+    fn record_outcome(&mut self, failed: bool, now_ms: u64) {
+        let past = self.failure_ratio(now_ms);
         let newest = if failed { 1.0 } else { 0.0 };
-        self.failure_share = past + FAILURE_WEIGHT * (newest - past);
-        self.failure_ms = now_ms;
+        self.failure_ratio = past + FAILURE_WEIGHT * (newest - past);
+        self.failure_ratio_updated_ms = now_ms;
     }
 }
 
@@ -205,7 +210,7 @@
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     replicas: Vec<Replica>,
-    tickets: u64,
+    last_send_id: u64,
 }
 
 impl ReplicaTable {
@@ -214,28 +219,28 @@
     pub fn register(&mut self, record: ReplicaRecord, now_ms: u64) -> (ReplicaKey, bool) {
         if let Some(key) = self.find(&record.id) {
             let replica = &mut self.replicas[key.0 as usize];
-            let is_reborn = replica.is_gone
+            let is_new_incarnation = replica.is_removed
                 || replica.record.born_unix_ms != record.born_unix_ms
                 || replica.record.address != record.address;
-            if is_reborn {
+            if is_new_incarnation {
                 let in_flight = replica.in_flight;
                 *replica = Replica::new(record, now_ms);
                 replica.in_flight = in_flight;
             } else {
                 replica.record = record;
-                replica.beat_ms = now_ms;
+                replica.last_heartbeat_ms = now_ms;
             }
-            return (key, is_reborn);
+            return (key, is_new_incarnation);
         }
-        let free = |replica: &Replica| replica.is_gone && replica.in_flight == 0;
+        let free = |replica: &Replica| replica.is_removed && replica.in_flight == 0;
         match self.replicas.iter().position(free) {
             Some(at) => {
                 self.replicas[at] = Replica::new(record, now_ms);
-                (key_of(at), true)
+                (replica_key(at), true)
             }
             None => {
                 self.replicas.push(Replica::new(record, now_ms));
-                (key_of(self.replicas.len() - 1), true)
+                (replica_key(self.replicas.len() - 1), true)
             }
         }
     }
@@ -243,8 +248,8 @@
     /// Marks the replica `id` as gone; returns whether it was known.
     pub fn remove(&mut self, id: &str) -> bool {
         match self.find(id) {
-            Some(key) if !self.replicas[key.0 as usize].is_gone => {
-                self.replicas[key.0 as usize].is_gone = true;
+            Some(key) if !self.replicas[key.0 as usize].is_removed => {
+                self.replicas[key.0 as usize].is_removed = true;
                 true
             }
             _ => false,
@@ -255,7 +260,7 @@
         self.replicas
             .iter()
             .position(|replica| replica.record.id == id)
-            .map(key_of)
+            .map(replica_key)
     }
 
     /// Replica under `key`.
@@ -268,89 +273,89 @@
         self.replicas
             .iter()
             .enumerate()
-            .filter(|(_, replica)| !replica.is_gone)
-            .map(|(at, replica)| (key_of(at), replica))
+            .filter(|(_, replica)| !replica.is_removed)
+            .map(|(at, replica)| (replica_key(at), replica))
     }
 
     /// Takes a load report from the endpoint process at `ip`.
-    pub fn take_load(&mut self, ip: IpAddr, port: u16, load: EngineLoad) {
+    pub fn record_load(&mut self, ip: IpAddr, port: u16, load: EngineLoad) {
         for replica in &mut self.replicas {
             let address = replica.record.address;
-            if !replica.is_gone && address.ip() == ip && address.port() == port {
-                replica.take_load(load);
+            if !replica.is_removed && address.ip() == ip && address.port() == port {
+                replica.record_load(load);
             }
         }
     }
 
-    /// Counts a request sent to a replica; returns the ticket of the send.
-    pub fn started(&mut self, key: ReplicaKey, predicted_ms: f64, now_ms: u64) -> u64 {
-        self.tickets += 1;
+    /// Counts a request sent to a replica; returns the id of the send.
+    pub fn record_send(&mut self, key: ReplicaKey, predicted_ms: f64, now_ms: u64) -> u64 {
+        self.last_send_id += 1;
         let replica = &mut self.replicas[key.0 as usize];
         replica.in_flight += 1;
-        replica.sent_ms.push(now_ms);
-        replica.awaited.push(Awaited {
-            ticket: self.tickets,
+        replica.sent_since_load_ms.push(now_ms);
+        replica.pending.push(PendingRequest {
+            send_id: self.last_send_id,
             sent_ms: now_ms,
             predicted_ms,
         });
-        self.tickets
+        self.last_send_id
     }
 
     /// Notes that the replica began to answer a send.
-    pub fn began(&mut self, key: ReplicaKey, ticket: u64, now_ms: u64) {
-        self.replicas[key.0 as usize].take_delay(ticket, now_ms);
+    pub fn record_answer_start(&mut self, key: ReplicaKey, send_id: u64, now_ms: u64) {
+        self.replicas[key.0 as usize].record_delay(send_id, now_ms);
     }
 
     /// Counts a request that is no longer at a replica.
-    pub fn ended(&mut self, key: ReplicaKey, ticket: u64, now_ms: u64) {
+    pub fn record_end(&mut self, key: ReplicaKey, send_id: u64, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
-        replica.take_delay(ticket, now_ms);
+        replica.record_delay(send_id, now_ms);
         replica.in_flight = replica.in_flight.saturating_sub(1);
         replica.ended_since_load += 1;
     }
 
     /// Counts an answer that took `latency_ms`.
-    pub fn answered(&mut self, key: ReplicaKey, latency_ms: f64, failed: bool, now_ms: u64) {
+    pub fn record_answer(&mut self, key: ReplicaKey, latency_ms: f64, failed: bool, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
-        replica.take_outcome(failed, now_ms);
-        replica.backoff_ms = FIRST_BACKOFF_MS;
+        replica.record_outcome(failed, now_ms);
+        replica.backoff_ms = MIN_BACKOFF_MS;
         if failed {
             return;
         }
-        replica.latency_ms = if replica.latency_ms == 0.0 {
+        replica.mean_latency_ms = if replica.mean_latency_ms == 0.0 {
             latency_ms
         } else {
-            replica.latency_ms + LATENCY_WEIGHT * (latency_ms - replica.latency_ms)
+            replica.mean_latency_ms + LATENCY_WEIGHT * (latency_ms - replica.mean_latency_ms)
         };
     }
 
     /// Counts a request that was sent and got no whole answer.
-    pub fn broke(&mut self, key: ReplicaKey, now_ms: u64) {
-        self.replicas[key.0 as usize].take_outcome(true, now_ms);
+    pub fn record_incomplete_answer(&mut self, key: ReplicaKey, now_ms: u64) {
+        self.replicas[key.0 as usize].record_outcome(true, now_ms);
     }
 
     /// Counts a connection that could not be opened: no work for a while.
-    pub fn unreachable(&mut self, key: ReplicaKey, now_ms: u64) {
+    pub fn record_connect_failure(&mut self, key: ReplicaKey, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
-        if now_ms >= replica.down_until_ms {
-            replica.down_until_ms = now_ms + replica.backoff_ms;
-            replica.backoff_ms = (replica.backoff_ms * 2).min(LONGEST_BACKOFF_MS);
+        if now_ms >= replica.excluded_until_ms {
+            replica.excluded_until_ms = now_ms + replica.backoff_ms;
+            replica.backoff_ms = (replica.backoff_ms * 2).min(MAX_BACKOFF_MS);
         }
     }
 
     /// Counts an answer by another replica at this address: no work until the
     /// list says more.
-    pub fn misplaced(&mut self, key: ReplicaKey, now_ms: u64) {
-        self.replicas[key.0 as usize].down_until_ms = now_ms + LONGEST_BACKOFF_MS;
+    pub fn record_wrong_replica(&mut self, key: ReplicaKey, now_ms: u64) {
+        self.replicas[key.0 as usize].excluded_until_ms = now_ms + MAX_BACKOFF_MS;
     }
 
     /// Counts a refusal for lack of room.
-    pub fn was_full(&mut self, key: ReplicaKey, now_ms: u64) {
+    pub fn record_refusal(&mut self, key: ReplicaKey, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
-        replica.down_until_ms = replica.down_until_ms.max(now_ms + FIRST_BACKOFF_MS / 2);
+        replica.excluded_until_ms = replica.excluded_until_ms.max(now_ms + MIN_BACKOFF_MS / 2);
     }
 }
 
-fn key_of(index: usize) -> ReplicaKey {
+fn replica_key(index: usize) -> ReplicaKey {
     ReplicaKey(u32::try_from(index).unwrap_or(u32::MAX))
 }
--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -185,7 +185,7 @@
 fn take_load(state: &RefCell<GatewayState>, report: &LoadReport, from: SocketAddr) {
     let mut state = state.borrow_mut();
     let load = EngineLoad {
-        at_ms: state.now_ms(),
+        received_ms: state.now_ms(),
         is_up: report.is_up,
         is_loading: report.is_loading,
         running: report.running,
@@ -194,7 +194,7 @@
         version: report.version,
         pace: f64::from(report.pace),
     };
-    state.replicas.take_load(from.ip(), report.port, load);
+    state.replicas.record_load(from.ip(), report.port, load);
     let now_ms = state.now_ms() as i64;
     if state.weights.merge_ages(&report.declared, now_ms) {
         state.weights_notice.notify_one();
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -202,29 +202,29 @@
             Sent::Unreachable(error) => {
                 log::debug!("{} was not reached: {error}", place.id);
                 progress.unreachable += 1;
-                state.replicas.unreachable(place.key, now_ms);
+                state.replicas.record_connect_failure(place.key, now_ms);
                 state.blame_breaks(&place.id);
                 "unreachable"
             }
             Sent::NotRun => {
                 request.sends += 1;
-                state.replicas.was_full(place.key, now_ms);
+                state.replicas.record_refusal(place.key, now_ms);
                 "replica_full"
             }
             Sent::OtherWeights => {
                 request.sends += 1;
-                state.replicas.was_full(place.key, now_ms);
+                state.replicas.record_refusal(place.key, now_ms);
                 "other_weights"
             }
             Sent::Misplaced => {
                 request.sends += 1;
-                state.replicas.misplaced(place.key, now_ms);
+                state.replicas.record_wrong_replica(place.key, now_ms);
                 "misplaced"
             }
             Sent::Broken(cause) => {
                 request.sends += 1;
                 progress.may_have_run = true;
-                state.replicas.broke(place.key, now_ms);
+                state.replicas.record_incomplete_answer(place.key, now_ms);
                 if *cause != "silent" {
                     state.note_break(request.fingerprint, &place.id);
                 }
@@ -236,7 +236,7 @@
                 let latency_ms = request.arrived.elapsed().as_secs_f64() * 1_000.0;
                 state
                     .replicas
-                    .answered(place.key, latency_ms, failed, now_ms);
+                    .record_answer(place.key, latency_ms, failed, now_ms);
                 let again = failed
                     && request.route.kind == RouteKind::Idempotent
                     && request.may_send_again()
@@ -304,7 +304,7 @@
                 let mut state = self.state.borrow_mut();
                 state
                     .replicas
-                    .answered(place.key, latency_ms, false, now_ms);
+                    .record_answer(place.key, latency_ms, false, now_ms);
                 drop(state);
                 self.log_end(
                     request,
@@ -335,7 +335,7 @@
                 progress.may_have_run = true;
                 progress.last_cause = cause;
                 let mut state = self.state.borrow_mut();
-                state.replicas.broke(place.key, now_ms);
+                state.replicas.record_incomplete_answer(place.key, now_ms);
                 if cause != "silent" {
                     state.note_break(request.fingerprint, &place.id);
                 }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -45,7 +45,9 @@
     fn first_event(&self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.replicas.began(self.key, self.ticket, now_ms);
+        state
+            .replicas
+            .record_answer_start(self.key, self.ticket, now_ms);
     }
 
     fn is_lost(&self, silence: Duration) -> bool {
@@ -54,9 +56,9 @@
         }
         let state = self.state.borrow();
         let replica = state.replicas.get(self.key);
-        let is_dark = replica.is_gone
+        let is_dark = replica.is_removed
             || replica
-                .fresh_load(state.now_ms())
+                .recent_load(state.now_ms())
                 .is_some_and(|load| !load.is_up);
         silence >= DARK_SILENCE && is_dark
     }
@@ -66,7 +68,7 @@
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.replicas.ended(self.key, self.ticket, now_ms);
+        state.replicas.record_end(self.key, self.ticket, now_ms);
     }
 }
 
@@ -148,7 +150,9 @@
                     begin_within_ms: model.and_then(|model| {
                         state.begin_within_ms(model, replica.weights_version(model, now_ms))
                     }),
-                    load_age_ms: replica.fresh_load(now_ms).map(|load| now_ms - load.at_ms),
+                    load_age_ms: replica
+                        .recent_load(now_ms)
+                        .map(|load| now_ms - load.received_ms),
                 })
             }
             AdmissionDecision::Refuse {
@@ -164,7 +168,7 @@
         let now_ms = state.now_ms();
         let ticket = state
             .replicas
-            .started(place.key, place.predicted_ms, now_ms);
+            .record_send(place.key, place.predicted_ms, now_ms);
         if request.sends == 0 && request.tried.is_empty() {
             state.budget(&request.service).record_request(now_ms);
         }
--- a/tests/fleet/admission.rs
+++ b/tests/fleet/admission.rs
@@ -133,7 +133,7 @@
                 replica,
                 predicted_ms,
             } => {
-                table.started(replica, predicted_ms, 20);
+                table.record_send(replica, predicted_ms, 20);
                 let at = keys.iter().position(|key| *key == replica).unwrap();
                 sent[at] += 1;
             }
@@ -150,7 +150,7 @@
 #[test]
 fn admit_overdue_engine_is_left_alone() {
     let (mut table, keys) = table(1_000, &[0, 6]);
-    table.started(keys[0], 100.0, 100);
+    table.record_send(keys[0], 100.0, 100);
     for seed in 0..20 {
         assert_eq!(sent_to(decide(&table, 1_020, seed, false)), keys[1]);
     }
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/beliefs.rs
@@ -148,7 +148,7 @@
 #[test]
 fn replica_reborn_under_its_id_is_new() {
     let (mut table, keys) = table(0, &[1]);
-    table.unreachable(keys[0], 10);
+    table.record_connect_failure(keys[0], 10);
     assert!(!table.get(keys[0]).is_usable(20));
     let mut reborn = record("r1", 1);
     reborn.born_unix_ms = Some(2);
@@ -163,7 +163,7 @@
     let mut now_ms = 0;
     let mut pauses = Vec::new();
     for _ in 0..3 {
-        table.unreachable(keys[0], now_ms);
+        table.record_connect_failure(keys[0], now_ms);
         let start_ms = now_ms;
         while !table.get(keys[0]).is_usable(now_ms) {
             now_ms += 10;
@@ -179,25 +179,25 @@
     let ip = "10.0.0.1".parse().unwrap();
     let mut report = load(10, 0, 0);
     report.is_loading = true;
-    table.take_load(ip, 80, report);
+    table.record_load(ip, 80, report);
     assert!(!table.get(keys[0]).is_usable(20));
     report.is_loading = false;
     report.is_up = false;
-    table.take_load(ip, 80, report);
+    table.record_load(ip, 80, report);
     assert!(!table.get(keys[0]).is_usable(20));
 }
 
 #[test]
 fn replica_known_requests_adds_sends_since_the_report() {
     let (mut table, keys) = table(100, &[5]);
-    let ticket = table.started(keys[0], 50.0, 110);
-    table.started(keys[0], 50.0, 120);
-    assert_eq!(table.get(keys[0]).known_requests(0.0, 130), Some(7));
-    table.ended(keys[0], ticket, 140);
-    assert_eq!(table.get(keys[0]).known_requests(0.0, 150), Some(6));
-    table.take_load("10.0.0.1".parse().unwrap(), 80, load(200, 6, 0));
-    assert_eq!(table.get(keys[0]).known_requests(0.0, 210), Some(6));
-    assert_eq!(table.get(keys[0]).known_requests(0.1, 260), Some(12));
+    let send_id = table.record_send(keys[0], 50.0, 110);
+    table.record_send(keys[0], 50.0, 120);
+    assert_eq!(table.get(keys[0]).estimated_requests(0.0, 130), Some(7));
+    table.record_end(keys[0], send_id, 140);
+    assert_eq!(table.get(keys[0]).estimated_requests(0.0, 150), Some(6));
+    table.record_load("10.0.0.1".parse().unwrap(), 80, load(200, 6, 0));
+    assert_eq!(table.get(keys[0]).estimated_requests(0.0, 210), Some(6));
+    assert_eq!(table.get(keys[0]).estimated_requests(0.1, 260), Some(12));
 }
 
 fn declaration(version: u64, learned_ms: i64, is_time_exact: bool) -> Declaration {
--- a/tests/fleet/fixture.rs
+++ b/tests/fleet/fixture.rs
@@ -37,9 +37,9 @@
     }
 }
 
-pub fn load(at_ms: u64, running: u32, queued: u32) -> EngineLoad {
+pub fn load(received_ms: u64, running: u32, queued: u32) -> EngineLoad {
     EngineLoad {
-        at_ms,
+        received_ms,
         is_up: true,
         is_loading: false,
         running,
@@ -58,7 +58,7 @@
         let (key, _) = table.register(record(&format!("r{host}"), host), at_ms);
         let ip = format!("10.0.0.{host}").parse().unwrap();
         let running = (*requests).min(16);
-        table.take_load(ip, 80, load(at_ms, running, requests - running));
+        table.record_load(ip, 80, load(at_ms, running, requests - running));
         keys.push(key);
     }
     (table, keys)
