--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -185,16 +185,17 @@
 pub fn predicted_first_event_ms(engine: &EngineProfile, requests: u32, prompt_tokens: f64) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     let running = f64::from(requests).min(slots);
-    let context_k = running * (engine.usual_prompt + engine.usual_answer / 2.0) / 1000.0;
+    let context_1k_tokens =
+        running * (engine.mean_prompt_tokens + engine.mean_answer_tokens / 2.0) / 1000.0;
     let step_ms = engine.step_ms
         + engine.step_per_request_ms * running
-        + engine.step_per_1k_context_ms * context_k;
+        + engine.step_per_1k_context_ms * context_1k_tokens;
     let pass_ms = step_ms * f64::from(engine.steps_per_pass.max(1));
-    let read_ms = prompt_tokens / engine.read_per_ms.max(0.001);
-    let request_ms =
-        engine.usual_answer * step_ms + slots * engine.usual_prompt / engine.read_per_ms.max(0.001);
-    let ahead = (f64::from(requests) + 1.0 - slots).max(0.0);
-    pass_ms + 1.5 * read_ms + ahead * request_ms / slots
+    let prompt_ms = prompt_tokens / engine.prompt_tokens_per_ms.max(0.001);
+    let request_ms = engine.mean_answer_tokens * step_ms
+        + slots * engine.mean_prompt_tokens / engine.prompt_tokens_per_ms.max(0.001);
+    let waiting = (f64::from(requests) + 1.0 - slots).max(0.0);
+    pass_ms + 1.5 * prompt_ms + waiting * request_ms / slots
 }
 
 fn refuse(cause: RefusalCause, input: &AdmissionInput<'_>) -> AdmissionDecision {
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -57,7 +57,7 @@
     /// Name.
     pub name: String,
     /// Time to load the whole model.
-    pub warm_ms: u64,
+    pub load_ms: u64,
 }
 
 /// How the engines of a service work.
@@ -72,13 +72,13 @@
     /// Further time of a step for each 1,000 tokens of context.
     pub step_per_1k_context_ms: f64,
     /// Prompt tokens read in one ms.
-    pub read_per_ms: f64,
+    pub prompt_tokens_per_ms: f64,
     /// Steps of one pass that writes.
     pub steps_per_pass: u32,
     /// Mean tokens of a prompt.
-    pub usual_prompt: f64,
+    pub mean_prompt_tokens: f64,
     /// Mean tokens of an answer.
-    pub usual_answer: f64,
+    pub mean_answer_tokens: f64,
     /// Pieces of the weights of one version.
     pub chunks: u32,
     /// Bytes of one piece.
@@ -117,7 +117,7 @@
 
 /// What a client may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Limits {
+pub struct ClientLimits {
     /// Largest head, in bytes.
     pub max_head_bytes: usize,
     /// Largest body, in bytes.
@@ -128,7 +128,7 @@
     pub idle_timeout_ms: u64,
 }
 
-impl Default for Limits {
+impl Default for ClientLimits {
     fn default() -> Self {
         Self {
             max_head_bytes: 16 * 1024,
@@ -153,15 +153,15 @@
 pub struct Catalog {
     /// Version of the document.
     pub version: u64,
-    /// Limits for clients.
-    pub limits: Limits,
+    /// ClientLimits for clients.
+    pub limits: ClientLimits,
     // Ascending by host, then by falling length of the prefix.
     routes: Vec<Route>,
     // Ascending by name.
     services: Vec<Service>,
     workspaces: Vec<Workspace>,
     // Ascending by key.
-    keys: Vec<(String, usize)>,
+    api_keys: Vec<(String, usize)>,
 }
 
 impl Catalog {
@@ -170,7 +170,7 @@
         version: u64,
         mut routes: Vec<Route>,
         mut services: Vec<Service>,
-        limits: Limits,
+        limits: ClientLimits,
         workspaces: Vec<(Workspace, Vec<String>)>,
     ) -> Self {
         routes.sort_by(|a, b| {
@@ -179,20 +179,20 @@
                 .then(b.path_prefix.len().cmp(&a.path_prefix.len()))
         });
         services.sort_by(|a, b| a.name.cmp(&b.name));
-        let mut keys: Vec<(String, usize)> = Vec::new();
+        let mut api_keys: Vec<(String, usize)> = Vec::new();
         let mut owners = Vec::with_capacity(workspaces.len());
         for (index, (workspace, own_keys)) in workspaces.into_iter().enumerate() {
-            keys.extend(own_keys.into_iter().map(|key| (key, index)));
+            api_keys.extend(own_keys.into_iter().map(|key| (key, index)));
             owners.push(workspace);
         }
-        keys.sort_unstable();
+        api_keys.sort_unstable();
         Self {
             version,
             limits,
             routes,
             services,
             workspaces: owners,
-            keys,
+            api_keys,
         }
     }
 
@@ -227,9 +227,9 @@
     /// Workspace that holds `key`.
     pub fn workspace(&self, key: &str) -> Option<&Workspace> {
         let at = self
-            .keys
-            .binary_search_by(|entry| entry.0.as_str().cmp(key))
+            .api_keys
+            .binary_search_by(|owned| owned.0.as_str().cmp(key))
             .ok()?;
-        Some(&self.workspaces[self.keys[at].1])
+        Some(&self.workspaces[self.api_keys[at].1])
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -10,8 +10,8 @@
 use crate::calls::DeathId;
 use crate::calls::SuspectTable;
 use crate::fleet::Catalog;
+use crate::fleet::ClientLimits;
 use crate::fleet::Declarations;
-use crate::fleet::Limits;
 use crate::fleet::PeerTable;
 use crate::fleet::RateMeter;
 use crate::fleet::ReplicaTable;
@@ -151,10 +151,10 @@
     }
 
     /// What clients may send; the usual limits before a configuration is known.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> ClientLimits {
         self.catalog
             .as_ref()
-            .map_or_else(Limits::default, |catalog| catalog.limits)
+            .map_or_else(ClientLimits::default, |catalog| catalog.limits)
     }
 
     /// Whether new clients are welcome.
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/beliefs.rs
@@ -2,10 +2,10 @@
 use crate::fixture::record;
 use crate::fixture::table;
 use bergamotfork::fleet::Catalog;
+use bergamotfork::fleet::ClientLimits;
 use bergamotfork::fleet::Declaration;
 use bergamotfork::fleet::DeclarationAge;
 use bergamotfork::fleet::Declarations;
-use bergamotfork::fleet::Limits;
 use bergamotfork::fleet::ReplicaState;
 use bergamotfork::fleet::Route;
 use bergamotfork::fleet::RouteKind;
@@ -46,7 +46,7 @@
         route("long", "/a/b/"),
         route("root", "/"),
     ];
-    let catalog = Catalog::new(1, routes, Vec::new(), Limits::default(), Vec::new());
+    let catalog = Catalog::new(1, routes, Vec::new(), ClientLimits::default(), Vec::new());
     let name = |path| catalog.route("h", path).map(|route| route.name.as_str());
     assert_eq!(name("/a/b/c"), Some("long"));
     assert_eq!(name("/a/bc"), Some("short"));
@@ -65,7 +65,7 @@
         1,
         Vec::new(),
         Vec::new(),
-        Limits::default(),
+        ClientLimits::default(),
         vec![(owner.clone(), keys)],
     );
     assert_eq!(catalog.workspace("k1"), Some(&owner));
