--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -178,9 +178,9 @@
         engine.load(&order).await.map_err(io::Error::other)?;
         let queue = GenerateQueue::new(QueueLimits {
             slots: SLOTS,
-            reserved: SLOTS / SLOTS_PER_RESERVED,
-            branch_waiting: BRANCH_WAITING,
-            waiting: BRANCH_WAITING * BRANCHES.len(),
+            reserved_slots: SLOTS / SLOTS_PER_RESERVED,
+            max_waiting_per_branch: BRANCH_WAITING,
+            max_waiting: BRANCH_WAITING * BRANCHES.len(),
         });
         let shares = BRANCHES.map(|branch| BranchShare {
             branch: branch.to_owned(),
--- a/src/contracts/branch_share.rs
+++ b/src/contracts/branch_share.rs
@@ -16,7 +16,7 @@
 
 impl BranchShare {
     /// Share of a branch that no contract names.
-    pub fn unnamed(branch: impl Into<String>) -> Self {
+    pub fn without_contract(branch: impl Into<String>) -> Self {
         Self {
             branch: branch.into(),
             weight: 1,
--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -1,18 +1,18 @@
 use std::collections::VecDeque;
 
-use crate::contracts::Admission;
 use crate::contracts::BranchKey;
 use crate::contracts::BranchShare;
 use crate::contracts::QueueRefusal;
+use crate::contracts::WaitEstimator;
 
 /// Virtual time that one token costs a branch of weight 1.
-const TOKEN_TIME: u64 = 1 << 20;
+const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
 
 /// Shortest time after which a refused caller is asked back.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
 /// Weight of the latest request in the average use, as a divisor.
-const USED_SMOOTHING: u64 = 16;
+const SMOOTHING_DIVISOR: u64 = 16;
 
 /// Margin over the estimated wait, in percent, so that few requests expire while they wait.
 const WAIT_MARGIN_PERCENT: u64 = 200;
@@ -23,16 +23,16 @@
     /// Requests that run at a time.
     pub slots: u32,
     /// Slots of these that only branches below their share may take.
-    pub reserved: u32,
+    pub reserved_slots: u32,
     /// Requests of one branch that wait.
-    pub branch_waiting: usize,
+    pub max_waiting_per_branch: usize,
     /// Requests that wait in all.
-    pub waiting: usize,
+    pub max_waiting: usize,
 }
 
 /// A request that waits for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     /// Branch the request belongs to.
     pub branch: BranchKey,
     /// Tokens it is expected to cost.
@@ -45,7 +45,7 @@
 
 /// What became of a request that asked for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Pushed<T> {
+pub enum PushOutcome<T> {
     /// It waits.
     Queued,
     /// It is refused, which is final.
@@ -58,7 +58,7 @@
 
 /// What a request that ran has used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Finished {
+pub struct FinishedRequest {
     /// Branch the request belongs to.
     pub branch: BranchKey,
     /// Tokens it was expected to cost.
@@ -71,12 +71,12 @@
 
 /// What the queue gives out next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Popped<T> {
+pub enum PopOutcome<T> {
     /// The request runs now and holds a slot until [`FairQueue::finish`].
-    Run(Waiting<T>),
+    Run(QueuedRequest<T>),
     /// The request cannot be whole by its deadline; it holds no slot and the refusal is final.
     Expired {
-        request: Waiting<T>,
+        request: QueuedRequest<T>,
         reason: QueueRefusal,
         retry_after_ms: u64,
     },
@@ -96,43 +96,43 @@
 pub struct FairQueue<T> {
     limits: QueueLimits,
     /// Arena of branches, indexed by [`BranchKey`].
-    lanes: Vec<Lane<T>>,
+    queues: Vec<BranchQueue<T>>,
     /// Keys sorted by the name of the branch.
     by_name: Vec<BranchKey>,
     waiting: usize,
     running: u32,
-    admission: Admission,
-    used: UsedPart,
+    wait_estimator: WaitEstimator,
+    usage: UsageRatio,
     /// Virtual time of a request at weight 1, averaged.
-    mean_charge: u64,
+    mean_charged_time: u64,
 }
 
 #[derive(Debug)]
-struct Lane<T> {
+struct BranchQueue<T> {
     share: BranchShare,
     virtual_time: u64,
-    waiting: VecDeque<Waiting<T>>,
+    waiting: VecDeque<QueuedRequest<T>>,
     waiting_tokens: u64,
     running: u32,
-    used: UsedPart,
+    usage: UsageRatio,
 }
 
 /// Part of their estimated cost that requests use, averaged; unknown at first.
 #[derive(Debug, Clone, Copy, Default)]
-struct UsedPart {
+struct UsageRatio {
     permille: Option<u64>,
 }
 
-impl UsedPart {
-    fn learn(&mut self, work: &Finished) {
+impl UsageRatio {
+    fn update(&mut self, work: &FinishedRequest) {
         let used_tokens = work.used_tokens.min(work.cost_tokens);
         let latest = used_tokens * 1000 / work.cost_tokens.max(1);
-        let average = |known| (known * (USED_SMOOTHING - 1) + latest) / USED_SMOOTHING;
+        let average = |known| (known * (SMOOTHING_DIVISOR - 1) + latest) / SMOOTHING_DIVISOR;
         self.permille = Some(self.permille.map_or(latest, average));
     }
 }
 
-impl<T> Lane<T> {
+impl<T> BranchQueue<T> {
     fn weight(&self) -> u64 {
         u64::from(self.share.weight.max(1))
     }
@@ -147,13 +147,13 @@
     pub fn new(limits: QueueLimits) -> Self {
         Self {
             limits,
-            lanes: Vec::new(),
+            queues: Vec::new(),
             by_name: Vec::new(),
             waiting: 0,
             running: 0,
-            admission: Admission::new(limits.slots),
-            used: UsedPart::default(),
-            mean_charge: 0,
+            wait_estimator: WaitEstimator::new(limits.slots),
+            usage: UsageRatio::default(),
+            mean_charged_time: 0,
         }
     }
 
@@ -169,28 +169,28 @@
 
     /// Adds a branch or changes its share.
     pub fn set_share(&mut self, share: BranchShare) -> BranchKey {
-        let key = self.branch(&share.branch);
-        self.lanes[key.index()].share = share;
+        let key = self.ensure_branch(&share.branch);
+        self.queues[key.index()].share = share;
         key
     }
 
     /// Key of a branch, which is added when it is new.
-    pub fn branch(&mut self, name: &str) -> BranchKey {
-        let lanes = &self.lanes;
+    pub fn ensure_branch(&mut self, name: &str) -> BranchKey {
+        let queues = &self.queues;
         let found = self
             .by_name
-            .binary_search_by(|key| lanes[key.index()].share.branch.as_str().cmp(name));
+            .binary_search_by(|key| queues[key.index()].share.branch.as_str().cmp(name));
         match found {
             Ok(at) => self.by_name[at],
             Err(at) => {
-                let key = BranchKey(self.lanes.len() as u32);
-                self.lanes.push(Lane {
-                    share: BranchShare::unnamed(name),
+                let key = BranchKey(self.queues.len() as u32);
+                self.queues.push(BranchQueue {
+                    share: BranchShare::without_contract(name),
                     virtual_time: 0,
                     waiting: VecDeque::new(),
                     waiting_tokens: 0,
                     running: 0,
-                    used: UsedPart::default(),
+                    usage: UsageRatio::default(),
                 });
                 self.by_name.insert(at, key);
                 key
@@ -199,24 +199,24 @@
     }
 
     /// Queues a request, or refuses it at once when it could not be served in time.
-    pub fn push(&mut self, request: Waiting<T>, now_ms: u64) -> Pushed<T> {
-        let wait_ms = self.wait_ms(request.branch);
-        let service_ms = self.service_ms(request.cost_tokens);
+    pub fn push(&mut self, request: QueuedRequest<T>, now_ms: u64) -> PushOutcome<T> {
+        let wait_ms = self.estimated_wait_ms(request.branch);
+        let service_ms = self.estimated_service_ms(request.cost_tokens);
         let ready_ms = now_ms + wait_ms * WAIT_MARGIN_PERCENT / 100 + service_ms;
-        let lane = &self.lanes[request.branch.index()];
+        let queue = &self.queues[request.branch.index()];
         let reason = if request.deadline_ms <= now_ms {
             QueueRefusal::DeadlinePassed
         } else if ready_ms > request.deadline_ms {
             QueueRefusal::DeadlineTooNear
-        } else if lane.waiting.len() >= self.limits.branch_waiting {
+        } else if queue.waiting.len() >= self.limits.max_waiting_per_branch {
             QueueRefusal::BranchQueueFull
-        } else if self.waiting >= self.limits.waiting {
+        } else if self.waiting >= self.limits.max_waiting {
             QueueRefusal::QueueFull
         } else {
             self.enqueue(request);
-            return Pushed::Queued;
+            return PushOutcome::Queued;
         };
-        Pushed::Refused {
+        PushOutcome::Refused {
             item: request.item,
             reason,
             retry_after_ms: wait_ms.max(MIN_RETRY_AFTER_MS),
@@ -224,48 +224,52 @@
     }
 
     /// The next request to run, or one that is given up.
-    pub fn pop(&mut self, now_ms: u64) -> Popped<T> {
+    pub fn pop(&mut self, now_ms: u64) -> PopOutcome<T> {
         if let Some(request) = self.take_expired(now_ms) {
             return self.expire(request, now_ms);
         }
         if self.running >= self.limits.slots {
-            return Popped::Nothing;
+            return PopOutcome::Nothing;
         }
         let Some(key) = self.next_branch() else {
-            return Popped::Nothing;
+            return PopOutcome::Nothing;
         };
-        let lane = &mut self.lanes[key.index()];
-        let next = lane.waiting.pop_front().expect("the lane has a request");
-        lane.waiting_tokens -= next.cost_tokens;
-        lane.running += 1;
-        let used = lane.used.permille.or(self.used.permille);
-        let charge = (next.cost_tokens * used.unwrap_or(1000)).max(1) * TOKEN_TIME / 1000;
-        lane.virtual_time += charge / lane.weight();
-        self.mean_charge = (self.mean_charge * (USED_SMOOTHING - 1) + charge) / USED_SMOOTHING;
+        let queue = &mut self.queues[key.index()];
+        let next = queue.waiting.pop_front().expect("the queue has a request");
+        queue.waiting_tokens -= next.cost_tokens;
+        queue.running += 1;
+        let usage_permille = queue.usage.permille.or(self.usage.permille);
+        let charged_time = (next.cost_tokens * usage_permille.unwrap_or(1000)).max(1)
+            * VIRTUAL_TIME_PER_TOKEN
+            / 1000;
+        queue.virtual_time += charged_time / queue.weight();
+        self.mean_charged_time =
+            (self.mean_charged_time * (SMOOTHING_DIVISOR - 1) + charged_time) / SMOOTHING_DIVISOR;
         self.waiting -= 1;
         self.running += 1;
-        Popped::Run(next)
+        PopOutcome::Run(next)
     }
 
     /// Frees the slot of a request and learns from what it used.
-    pub fn finish(&mut self, work: Finished) {
-        let lane = &mut self.lanes[work.branch.index()];
-        lane.running -= 1;
+    pub fn finish(&mut self, work: FinishedRequest) {
+        let queue = &mut self.queues[work.branch.index()];
+        queue.running -= 1;
         self.running -= 1;
         if let Some(held_ms) = work.held_ms {
-            lane.used.learn(&work);
-            self.used.learn(&work);
-            self.admission.finished(work.cost_tokens, held_ms);
+            queue.usage.update(&work);
+            self.usage.update(&work);
+            self.wait_estimator
+                .record_finished(work.cost_tokens, held_ms);
         }
     }
 
     /// Takes back the waiting requests that `matches` names, such as those of a gone caller.
-    pub fn withdraw(&mut self, matches: impl Fn(&T) -> bool) -> Vec<Waiting<T>> {
+    pub fn withdraw_matching(&mut self, matches: impl Fn(&T) -> bool) -> Vec<QueuedRequest<T>> {
         let mut taken = Vec::new();
-        for lane in 0..self.lanes.len() {
-            for at in (0..self.lanes[lane].waiting.len()).rev() {
-                if matches(&self.lanes[lane].waiting[at].item) {
-                    taken.push(self.take(lane, at));
+        for queue in 0..self.queues.len() {
+            for at in (0..self.queues[queue].waiting.len()).rev() {
+                if matches(&self.queues[queue].waiting[at].item) {
+                    taken.push(self.remove_waiting(queue, at));
                 }
             }
         }
@@ -273,124 +277,132 @@
     }
 
     /// Time a new request of `branch` would wait for a slot.
-    pub fn wait_ms(&self, branch: BranchKey) -> u64 {
-        let lane = &self.lanes[branch.index()];
-        let slot_is_free = self.running < self.limits.slots;
-        if slot_is_free && lane.waiting.is_empty() {
+    pub fn estimated_wait_ms(&self, branch: BranchKey) -> u64 {
+        let queue = &self.queues[branch.index()];
+        let has_free_slot = self.running < self.limits.slots;
+        if has_free_slot && queue.waiting.is_empty() {
             return 0;
         }
-        let active = self.lanes.iter().filter(|lane| lane.is_active());
-        let active_weight: u64 = active.map(Lane::weight).sum();
-        let others = match lane.is_active() {
-            true => active_weight - lane.weight(),
+        let active = self.queues.iter().filter(|queue| queue.is_active());
+        let active_weight: u64 = active.map(BranchQueue::weight).sum();
+        let others = match queue.is_active() {
+            true => active_weight - queue.weight(),
             false => active_weight,
         };
-        let share_percent = lane.weight() * 100 / (others + lane.weight());
-        self.admission.wait_ms(lane.waiting_tokens, share_percent)
+        let share_percent = queue.weight() * 100 / (others + queue.weight());
+        self.wait_estimator
+            .wait_ms(queue.waiting_tokens, share_percent)
     }
 
     /// Latest time at which a request can start and still be whole by its deadline.
-    pub fn expiry_ms(&self, request: &Waiting<T>) -> u64 {
-        let service_ms = self.service_ms(request.cost_tokens);
+    pub fn latest_start_ms(&self, request: &QueuedRequest<T>) -> u64 {
+        let service_ms = self.estimated_service_ms(request.cost_tokens);
         request.deadline_ms.saturating_sub(service_ms)
     }
 
     /// Time a request would run; an idle engine is tried whatever was learned of it.
-    fn service_ms(&self, cost_tokens: u64) -> u64 {
+    fn estimated_service_ms(&self, cost_tokens: u64) -> u64 {
         match self.running {
             0 => 0,
-            _ => self.admission.service_ms(cost_tokens),
+            _ => self.wait_estimator.service_ms(cost_tokens),
         }
     }
 
-    fn expire(&self, request: Waiting<T>, now_ms: u64) -> Popped<T> {
+    fn expire(&self, request: QueuedRequest<T>, now_ms: u64) -> PopOutcome<T> {
         let reason = match request.deadline_ms <= now_ms {
             true => QueueRefusal::DeadlinePassed,
             false => QueueRefusal::DeadlineTooNear,
         };
-        Popped::Expired {
-            retry_after_ms: self.wait_ms(request.branch).max(MIN_RETRY_AFTER_MS),
+        PopOutcome::Expired {
+            retry_after_ms: self
+                .estimated_wait_ms(request.branch)
+                .max(MIN_RETRY_AFTER_MS),
             reason,
             request,
         }
     }
 
-    fn enqueue(&mut self, request: Waiting<T>) {
+    fn enqueue(&mut self, request: QueuedRequest<T>) {
         if self.waiting == 0 {
-            self.level();
+            self.reset_virtual_times();
         }
-        let earliest = self.least_waiting_time().saturating_sub(self.slot_turn());
-        let lane = &mut self.lanes[request.branch.index()];
-        if lane.waiting.is_empty() {
-            lane.virtual_time = lane.virtual_time.max(earliest);
+        let earliest = self
+            .min_waiting_virtual_time()
+            .saturating_sub(self.slot_cycle_time());
+        let queue = &mut self.queues[request.branch.index()];
+        if queue.waiting.is_empty() {
+            queue.virtual_time = queue.virtual_time.max(earliest);
         }
-        lane.waiting_tokens += request.cost_tokens;
-        lane.waiting.push_back(request);
+        queue.waiting_tokens += request.cost_tokens;
+        queue.waiting.push_back(request);
         self.waiting += 1;
     }
 
     /// Starts all branches alike, as nothing waits that could be overtaken.
-    fn level(&mut self) {
-        let start = self.slot_turn();
-        for lane in &mut self.lanes {
-            lane.virtual_time = start;
+    fn reset_virtual_times(&mut self) {
+        let start = self.slot_cycle_time();
+        for queue in &mut self.queues {
+            queue.virtual_time = start;
         }
     }
 
     /// Virtual time in which every branch turns its share of the slots over once.
-    fn slot_turn(&self) -> u64 {
-        let total_weight: u64 = self.lanes.iter().map(Lane::weight).sum();
-        u64::from(self.limits.slots) * self.mean_charge / total_weight.max(1)
+    fn slot_cycle_time(&self) -> u64 {
+        let total_weight: u64 = self.queues.iter().map(BranchQueue::weight).sum();
+        u64::from(self.limits.slots) * self.mean_charged_time / total_weight.max(1)
     }
 
-    fn least_waiting_time(&self) -> u64 {
-        let waiting = self.lanes.iter().filter(|lane| !lane.waiting.is_empty());
-        waiting.map(|lane| lane.virtual_time).min().unwrap_or(0)
+    fn min_waiting_virtual_time(&self) -> u64 {
+        let waiting = self.queues.iter().filter(|queue| !queue.waiting.is_empty());
+        waiting.map(|queue| queue.virtual_time).min().unwrap_or(0)
     }
 
     /// The waiting branch with the least virtual time among those below their burst share.
     fn next_branch(&self) -> Option<BranchKey> {
-        if self.running >= self.limits.slots - self.limits.reserved.min(self.limits.slots) {
-            let total_weight = self.lanes.iter().map(Lane::weight).sum();
-            return self.least_virtual_time(|lane| self.is_below_share(lane, total_weight));
+        if self.running >= self.limits.slots - self.limits.reserved_slots.min(self.limits.slots) {
+            let total_weight = self.queues.iter().map(BranchQueue::weight).sum();
+            return self.min_virtual_time_branch(|queue| self.is_below_share(queue, total_weight));
         }
-        let below = self.least_virtual_time(|lane| !self.is_over_burst(lane));
-        below.or_else(|| self.least_virtual_time(|_| true))
+        let below = self.min_virtual_time_branch(|queue| !self.is_over_burst(queue));
+        below.or_else(|| self.min_virtual_time_branch(|_| true))
     }
 
-    fn is_below_share(&self, lane: &Lane<T>, total_weight: u64) -> bool {
-        let share = u64::from(self.limits.slots) * lane.weight();
-        u64::from(lane.running + 1) * total_weight <= share
+    fn is_below_share(&self, queue: &BranchQueue<T>, total_weight: u64) -> bool {
+        let share = u64::from(self.limits.slots) * queue.weight();
+        u64::from(queue.running + 1) * total_weight <= share
     }
 
-    fn least_virtual_time(&self, allowed: impl Fn(&Lane<T>) -> bool) -> Option<BranchKey> {
-        let lanes = self.lanes.iter().enumerate();
-        lanes
-            .filter(|(_, lane)| !lane.waiting.is_empty() && allowed(lane))
-            .min_by_key(|(_, lane)| lane.virtual_time)
+    fn min_virtual_time_branch(
+        &self,
+        allowed: impl Fn(&BranchQueue<T>) -> bool,
+    ) -> Option<BranchKey> {
+        let queues = self.queues.iter().enumerate();
+        queues
+            .filter(|(_, queue)| !queue.waiting.is_empty() && allowed(queue))
+            .min_by_key(|(_, queue)| queue.virtual_time)
             .map(|(index, _)| BranchKey(index as u32))
     }
 
-    fn is_over_burst(&self, lane: &Lane<T>) -> bool {
-        let allowed = self.limits.slots * lane.share.burst_percent.max(1);
-        (lane.running + 1) * 100 > allowed.max(100)
+    fn is_over_burst(&self, queue: &BranchQueue<T>) -> bool {
+        let allowed = self.limits.slots * queue.share.burst_percent.max(1);
+        (queue.running + 1) * 100 > allowed.max(100)
     }
 
-    fn take_expired(&mut self, now_ms: u64) -> Option<Waiting<T>> {
-        for lane in 0..self.lanes.len() {
-            let waiting = &self.lanes[lane].waiting;
-            let expired = |request| self.expiry_ms(request) < now_ms;
+    fn take_expired(&mut self, now_ms: u64) -> Option<QueuedRequest<T>> {
+        for queue in 0..self.queues.len() {
+            let waiting = &self.queues[queue].waiting;
+            let expired = |request| self.latest_start_ms(request) < now_ms;
             if let Some(at) = waiting.iter().position(expired) {
-                return Some(self.take(lane, at));
+                return Some(self.remove_waiting(queue, at));
             }
         }
         None
     }
 
-    fn take(&mut self, lane: usize, at: usize) -> Waiting<T> {
-        let lane = &mut self.lanes[lane];
-        let request = lane.waiting.remove(at).expect("the index is in range");
-        lane.waiting_tokens -= request.cost_tokens;
+    fn remove_waiting(&mut self, queue: usize, at: usize) -> QueuedRequest<T> {
+        let queue = &mut self.queues[queue];
+        let request = queue.waiting.remove(at).expect("the index is in range");
+        queue.waiting_tokens -= request.cost_tokens;
         self.waiting -= 1;
         request
     }
--- a/src/endpoint/generate_queue.rs
+++ b/src/endpoint/generate_queue.rs
@@ -10,12 +10,12 @@
 use crate::calls::RefusalReason;
 use crate::contracts::BranchShare;
 use crate::contracts::FairQueue;
-use crate::contracts::Finished;
-use crate::contracts::Popped;
-use crate::contracts::Pushed;
+use crate::contracts::FinishedRequest;
+use crate::contracts::PopOutcome;
+use crate::contracts::PushOutcome;
 use crate::contracts::QueueLimits;
 use crate::contracts::QueueRefusal;
-use crate::contracts::Waiting;
+use crate::contracts::QueuedRequest;
 use crate::hosts::Load;
 
 /// Offset that stands for no configuration yet.
@@ -105,21 +105,21 @@
         let now_ms = self.now_ms();
         let (sender, grant) = oneshot::channel();
         let mut queue = self.lock();
-        let request = Waiting {
-            branch: queue.branch(branch),
+        let request = QueuedRequest {
+            branch: queue.ensure_branch(branch),
             cost_tokens,
             deadline_ms,
             item: sender,
         };
-        let expiry_ms = queue.expiry_ms(&request);
+        let expiry_ms = queue.latest_start_ms(&request);
         let pushed = queue.push(request, now_ms);
         drop(queue);
         match pushed {
-            Pushed::Queued => {
+            PushOutcome::Queued => {
                 self.pump();
                 Ok(Place { grant, expiry_ms })
             }
-            Pushed::Refused {
+            PushOutcome::Refused {
                 reason,
                 retry_after_ms,
                 ..
@@ -141,14 +141,14 @@
     fn next_grant(self: &Arc<Self>) -> Option<(oneshot::Sender<Grant>, Grant)> {
         let now_ms = self.now_ms();
         let mut queue = self.lock();
-        queue.withdraw(oneshot::Sender::is_closed);
+        queue.withdraw_matching(oneshot::Sender::is_closed);
         match queue.pop(now_ms) {
-            Popped::Nothing => None,
-            Popped::Run(request) => {
+            PopOutcome::Nothing => None,
+            PopOutcome::Run(request) => {
                 let slot = RunSlot {
                     queue: Arc::clone(self),
                     started_ms: now_ms,
-                    work: Finished {
+                    work: FinishedRequest {
                         branch: request.branch,
                         cost_tokens: request.cost_tokens,
                         used_tokens: 0,
@@ -157,7 +157,7 @@
                 };
                 Some((request.item, Grant::Run(slot)))
             }
-            Popped::Expired {
+            PopOutcome::Expired {
                 request,
                 reason,
                 retry_after_ms,
@@ -181,7 +181,7 @@
 pub(super) struct RunSlot {
     queue: Arc<GenerateQueue>,
     started_ms: u64,
-    work: Finished,
+    work: FinishedRequest,
 }
 
 impl RunSlot {
--- a/src/endpoint/state.rs
+++ b/src/endpoint/state.rs
@@ -58,9 +58,9 @@
         let generate = engine_address(&settings.backend).map(|address| {
             let queue = GenerateQueue::new(QueueLimits {
                 slots: settings.slots as u32,
-                reserved: settings.slots as u32 / SLOTS_PER_RESERVED,
-                branch_waiting: settings.queue_limit as usize,
-                waiting: settings.queue_limit as usize * BRANCHES_WAITING,
+                reserved_slots: settings.slots as u32 / SLOTS_PER_RESERVED,
+                max_waiting_per_branch: settings.queue_limit as usize,
+                max_waiting: settings.queue_limit as usize * BRANCHES_WAITING,
             });
             GenerateServer::new(queue, EngineClient::new(address))
         });
--- a/tests/contracts/fair_queue.rs
+++ b/tests/contracts/fair_queue.rs
@@ -4,12 +4,12 @@
 use bergamotfork::contracts::BranchKey;
 use bergamotfork::contracts::BranchShare;
 use bergamotfork::contracts::FairQueue;
-use bergamotfork::contracts::Finished;
-use bergamotfork::contracts::Popped;
-use bergamotfork::contracts::Pushed;
+use bergamotfork::contracts::FinishedRequest;
+use bergamotfork::contracts::PopOutcome;
+use bergamotfork::contracts::PushOutcome;
 use bergamotfork::contracts::QueueLimits;
 use bergamotfork::contracts::QueueRefusal;
-use bergamotfork::contracts::Waiting;
+use bergamotfork::contracts::QueuedRequest;
 
 const FAR_MS: u64 = 1_000_000;
 const MAX_COST: u64 = 100;
@@ -17,9 +17,9 @@
 fn queue(slots: u32) -> FairQueue<u32> {
     FairQueue::new(QueueLimits {
         slots,
-        reserved: 0,
-        branch_waiting: 1000,
-        waiting: 2000,
+        reserved_slots: 0,
+        max_waiting_per_branch: 1000,
+        max_waiting: 2000,
     })
 }
 
@@ -31,8 +31,8 @@
     }
 }
 
-fn request(branch: BranchKey, cost_tokens: u64) -> Waiting<u32> {
-    Waiting {
+fn request(branch: BranchKey, cost_tokens: u64) -> QueuedRequest<u32> {
+    QueuedRequest {
         branch,
         cost_tokens,
         deadline_ms: FAR_MS,
@@ -40,16 +40,16 @@
     }
 }
 
-fn run(queue: &mut FairQueue<u32>) -> Option<Waiting<u32>> {
+fn run(queue: &mut FairQueue<u32>) -> Option<QueuedRequest<u32>> {
     match queue.pop(0) {
-        Popped::Run(request) => Some(request),
-        Popped::Nothing => None,
-        Popped::Expired { request, .. } => panic!("{request:?} has not expired"),
+        PopOutcome::Run(request) => Some(request),
+        PopOutcome::Nothing => None,
+        PopOutcome::Expired { request, .. } => panic!("{request:?} has not expired"),
     }
 }
 
-fn finish(queue: &mut FairQueue<u32>, done: &Waiting<u32>, held_ms: Option<u64>) {
-    queue.finish(Finished {
+fn finish(queue: &mut FairQueue<u32>, done: &QueuedRequest<u32>, held_ms: Option<u64>) {
+    queue.finish(FinishedRequest {
         branch: done.branch,
         cost_tokens: done.cost_tokens,
         used_tokens: done.cost_tokens,
@@ -72,7 +72,7 @@
         for _ in 0..200 {
             for key in keys {
                 let cost = u.int_in_range(1..=MAX_COST)?;
-                assert_eq!(queue.push(request(key, cost), 0), Pushed::Queued);
+                assert_eq!(queue.push(request(key, cost), 0), PushOutcome::Queued);
             }
             let next = run(&mut queue).expect("both branches wait");
             let branch = usize::from(next.branch == keys[1]);
@@ -154,9 +154,9 @@
 fn pop_reserve_is_for_branches_below_their_share() {
     let mut queue = FairQueue::new(QueueLimits {
         slots: 8,
-        reserved: 1,
-        branch_waiting: 100,
-        waiting: 100,
+        reserved_slots: 1,
+        max_waiting_per_branch: 100,
+        max_waiting: 100,
     });
     let bursting = queue.set_share(share("bursting", 1, 100));
     let quiet = queue.set_share(share("quiet", 1, 100));
@@ -174,9 +174,9 @@
 fn push_full_branch_leaves_room_for_others() {
     let mut queue = FairQueue::new(QueueLimits {
         slots: 1,
-        reserved: 0,
-        branch_waiting: 2,
-        waiting: 3,
+        reserved_slots: 0,
+        max_waiting_per_branch: 2,
+        max_waiting: 3,
     });
     let a = queue.set_share(share("a", 1, 100));
     let b = queue.set_share(share("b", 1, 100));
@@ -187,17 +187,17 @@
         refusal(queue.push(request(a, 1), 0)),
         QueueRefusal::BranchQueueFull
     );
-    assert_eq!(queue.push(request(b, 1), 0), Pushed::Queued);
+    assert_eq!(queue.push(request(b, 1), 0), PushOutcome::Queued);
     assert_eq!(
         refusal(queue.push(request(c, 1), 0)),
         QueueRefusal::QueueFull
     );
 }
 
-fn refusal(pushed: Pushed<u32>) -> QueueRefusal {
+fn refusal(pushed: PushOutcome<u32>) -> QueueRefusal {
     match pushed {
-        Pushed::Refused { reason, .. } => reason,
-        Pushed::Queued => panic!("the request was queued"),
+        PushOutcome::Refused { reason, .. } => reason,
+        PushOutcome::Queued => panic!("the request was queued"),
     }
 }
 
@@ -215,7 +215,7 @@
     queue.push(request(a, 100), 0);
     let mut near = request(a, 100);
     near.deadline_ms = 2500;
-    let Pushed::Refused {
+    let PushOutcome::Refused {
         reason,
         retry_after_ms,
         ..
@@ -235,11 +235,11 @@
     queue.push(request(a, 100), 0);
     let slow = run(&mut queue).expect("a request waits");
     finish(&mut queue, &slow, Some(50_000));
-    let near = |now_ms: u64| Waiting {
+    let near = |now_ms: u64| QueuedRequest {
         deadline_ms: now_ms + 2000,
         ..request(a, 100)
     };
-    assert_eq!(queue.push(near(0), 0), Pushed::Queued);
+    assert_eq!(queue.push(near(0), 0), PushOutcome::Queued);
     let tried = run(&mut queue).expect("the engine is idle");
     assert_eq!(
         refusal(queue.push(near(0), 0)),
@@ -253,7 +253,7 @@
     }
     queue.push(near(0), 0);
     run(&mut queue).expect("the engine is idle");
-    assert_eq!(queue.push(near(0), 0), Pushed::Queued);
+    assert_eq!(queue.push(near(0), 0), PushOutcome::Queued);
 }
 
 #[test]
@@ -267,10 +267,10 @@
     run(&mut queue).expect("a request waits");
     let mut near = request(a, 100);
     near.deadline_ms = 1500;
-    assert_eq!(queue.expiry_ms(&near), 500);
-    assert_eq!(queue.push(near, 0), Pushed::Queued);
-    assert_eq!(queue.pop(500), Popped::Nothing);
-    let Popped::Expired { reason, .. } = queue.pop(501) else {
+    assert_eq!(queue.latest_start_ms(&near), 500);
+    assert_eq!(queue.push(near, 0), PushOutcome::Queued);
+    assert_eq!(queue.pop(500), PopOutcome::Nothing);
+    let PopOutcome::Expired { reason, .. } = queue.pop(501) else {
         panic!("the request cannot be whole by its deadline");
     };
     assert_eq!(reason, QueueRefusal::DeadlineTooNear);
@@ -282,14 +282,14 @@
     let a = queue.set_share(share("a", 1, 100));
     for item in 0..4 {
         queue.push(
-            Waiting {
+            QueuedRequest {
                 item,
                 ..request(a, 5)
             },
             0,
         );
     }
-    let gone = queue.withdraw(|&item| item % 2 == 0);
+    let gone = queue.withdraw_matching(|&item| item % 2 == 0);
     assert_eq!(gone.len(), 2);
     assert_eq!(queue.waiting(), 2);
 }
--- a/tests/contracts/simulation.rs
+++ b/tests/contracts/simulation.rs
@@ -5,10 +5,10 @@
 use bergamotfork::contracts::BranchKey;
 use bergamotfork::contracts::BranchShare;
 use bergamotfork::contracts::FairQueue;
-use bergamotfork::contracts::Finished;
-use bergamotfork::contracts::Popped;
+use bergamotfork::contracts::FinishedRequest;
+use bergamotfork::contracts::PopOutcome;
 use bergamotfork::contracts::QueueLimits;
-use bergamotfork::contracts::Waiting;
+use bergamotfork::contracts::QueuedRequest;
 
 const SLOTS: u32 = 32;
 const SERVICE_MS: u64 = 460;
@@ -31,9 +31,9 @@
     fn new() -> Self {
         let mut queue = FairQueue::new(QueueLimits {
             slots: SLOTS,
-            reserved: 1,
-            branch_waiting: 64,
-            waiting: 256,
+            reserved_slots: 1,
+            max_waiting_per_branch: 64,
+            max_waiting: 256,
         });
         let share = |name: &str| BranchShare {
             branch: name.to_owned(),
@@ -52,7 +52,7 @@
     }
 
     fn push(&mut self, branch: usize, now_ms: u64) {
-        let request = Waiting {
+        let request = QueuedRequest {
             branch: self.branches[branch],
             cost_tokens: COST_TOKENS,
             deadline_ms: u64::MAX,
@@ -69,14 +69,14 @@
         self.running = running;
         let ended: Vec<(BranchKey, u64)> = ended;
         for (branch, _) in ended {
-            self.queue.finish(Finished {
+            self.queue.finish(FinishedRequest {
                 branch,
                 cost_tokens: COST_TOKENS,
                 used_tokens: USED_TOKENS,
                 held_ms: Some(SERVICE_MS),
             });
         }
-        while let Popped::Run(next) = self.queue.pop(now_ms) {
+        while let PopOutcome::Run(next) = self.queue.pop(now_ms) {
             if next.branch != self.branches[0] {
                 self.waits_ms.push(now_ms - next.item);
             }
