--- a/src/contracts/branch_key.rs
+++ b/src/contracts/branch_key.rs
@@ -1,4 +1,4 @@
-/// Position of a branch in the arena of a [`FairQueue`](super::FairQueue).
+/// Index of a branch within one [`FairQueue`](super::FairQueue).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BranchKey(pub(super) u32);
 
--- a/src/contracts/branch_share.rs
+++ b/src/contracts/branch_share.rs
@@ -1,21 +1,23 @@
 use crate::document::BranchSection;
 
-/// Queue weight of one percent of guaranteed share.
+/// Queue weight of one percent of guaranteed share; more than any configured weight, so
+/// that guaranteed shares take precedence.
 const WEIGHT_PER_PERCENT: u32 = 10_000;
 
-/// What a branch may use of the slots of an endpoint.
+/// Share that a branch has of the slots of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BranchShare {
     /// Name of the branch.
     pub branch: String,
-    /// Weight of the branch among those that want a slot.
+    /// Weight of the branch among those with waiting requests.
     pub weight: u32,
-    /// Most of the slots it may hold while another branch waits.
+    /// Largest part of the slots that it may hold while another branch waits, in percent.
     pub burst_percent: u32,
 }
 
 impl BranchShare {
-    /// Share of a branch that no contract names.
+    /// Share of a branch that has no section in the configuration: the smallest weight
+    /// and no burst limit.
     pub fn without_contract(branch: impl Into<String>) -> Self {
         Self {
             branch: branch.into(),
@@ -26,7 +28,8 @@
 }
 
 impl From<&BranchSection> for BranchShare {
-    /// Guaranteed shares go first; the weight decides among branches without one.
+    /// A guaranteed share outweighs the configured weight, which decides among branches
+    /// without one.
     fn from(section: &BranchSection) -> Self {
         Self {
             branch: section.name.clone(),
--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -5,28 +5,28 @@
 use crate::contracts::QueueRefusal;
 use crate::contracts::WaitEstimator;
 
-/// Virtual time that one token costs a branch of weight 1.
+/// Virtual time that one token adds to a branch of weight 1.
 const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
 
-/// Shortest time after which a refused caller is asked back.
+/// Shortest time after which a refused caller should retry.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// Weight of the latest request in the average use, as a divisor.
+/// Divisor that gives the weight of the latest request in the moving averages.
 const SMOOTHING_DIVISOR: u64 = 16;
 
-/// Margin over the estimated wait, in percent, so that few requests expire while they wait.
+/// Factor on the estimated wait, in percent, so that few requests expire while they wait.
 const WAIT_MARGIN_PERCENT: u64 = 200;
 
 /// Bounds of a fair queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Requests that run at a time.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Slots of these that only branches below their share may take.
+    /// Slots of these that only branches below their share by weight may take.
     pub reserved_slots: u32,
-    /// Requests of one branch that wait.
+    /// Largest number of requests of one branch that wait.
     pub max_waiting_per_branch: usize,
-    /// Requests that wait in all.
+    /// Largest number of requests of all branches that wait.
     pub max_waiting: usize,
 }
 
@@ -35,20 +35,20 @@
 pub struct QueuedRequest<T> {
     /// Branch the request belongs to.
     pub branch: BranchKey,
-    /// Tokens it is expected to cost.
+    /// Tokens that the request is expected to cost.
     pub cost_tokens: u64,
-    /// Time by which its answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline_ms: u64,
-    /// The request.
+    /// The caller's value for the request.
     pub item: T,
 }
 
-/// What became of a request that asked for a slot.
+/// Result of [`FairQueue::push`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PushOutcome<T> {
-    /// It waits.
+    /// The request waits for a slot.
     Queued,
-    /// It is refused, which is final.
+    /// The request is refused; the refusal is final.
     Refused {
         item: T,
         reason: QueueRefusal,
@@ -56,25 +56,27 @@
     },
 }
 
-/// What a request that ran has used.
+/// Usage of a request that ran, for [`FairQueue::finish`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinishedRequest {
     /// Branch the request belongs to.
     pub branch: BranchKey,
-    /// Tokens it was expected to cost.
+    /// Tokens that the request was expected to cost.
     pub cost_tokens: u64,
-    /// Tokens it did cost.
+    /// Tokens that the request used.
     pub used_tokens: u64,
-    /// Time it held a slot; `None` when it broke off and teaches nothing.
+    /// Time for which it held a slot; `None` when it ended early, so that its usage is
+    /// left out of the averages.
     pub held_ms: Option<u64>,
 }
 
-/// What the queue gives out next.
+/// Result of [`FairQueue::pop`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PopOutcome<T> {
     /// The request runs now and holds a slot until [`FairQueue::finish`].
     Run(QueuedRequest<T>),
-    /// The request cannot be whole by its deadline; it holds no slot and the refusal is final.
+    /// The request can't be complete by its deadline; it holds no slot and the refusal is
+    /// final.
     Expired {
         request: QueuedRequest<T>,
         reason: QueueRefusal,
@@ -86,27 +88,31 @@
 
 /// Weighted fair queue over branches in front of the slots of an engine.
 ///
-/// Each branch has a virtual time that advances by cost over weight with every
-/// request it runs; the waiting branch with the least virtual time goes next. All
-/// start alike when none waits, so idle shares are usable by the others and are given
-/// back at once, without debt. A branch that comes back is ahead of those that wait
-/// by no more than one turn of its share of the slots. The cost is the part of their
-/// estimates that requests have used before; it is final when a request starts.
+/// Each branch has a virtual time that advances by cost over weight with every request
+/// that it starts; of the branches with waiting requests, the one with the smallest
+/// virtual time goes next. When no request waits, the virtual times of all branches are
+/// reset to the same value: a branch may use the idle shares of others without being
+/// charged for them later, and the others get their shares back at once. A branch that
+/// starts to wait again is ahead of the waiting ones by at most the virtual time in which
+/// the slots are used once. The cost of a request is its estimate times the part of the
+/// estimates that earlier requests used; it is charged when the request starts and not
+/// corrected afterwards.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limits: QueueLimits,
-    /// Arena of branches, indexed by [`BranchKey`].
+    /// Queues of the branches, indexed by [`BranchKey`].
     queues: Vec<BranchQueue<T>>,
-    /// Keys sorted by the name of the branch.
+    /// Keys of the branches, sorted by name.
     by_name: Vec<BranchKey>,
     waiting: usize,
     running: u32,
     wait_estimator: WaitEstimator,
     usage: UsageRatio,
-    /// Virtual time of a request at weight 1, averaged.
+    /// Moving average of the virtual time that a request adds at weight 1.
     mean_charged_time: u64,
 }
 
+/// Waiting requests of one branch, with its share and virtual time.
 #[derive(Debug)]
 struct BranchQueue<T> {
     share: BranchShare,
@@ -117,7 +123,8 @@
     usage: UsageRatio,
 }
 
-/// Part of their estimated cost that requests use, averaged; unknown at first.
+/// Moving average of the part of their estimated cost that requests use; `None` before
+/// the first has finished.
 #[derive(Debug, Clone, Copy, Default)]
 struct UsageRatio {
     permille: Option<u64>,
@@ -143,7 +150,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Empty queue with `limits`.
+    /// Empty queue with these limits.
     pub fn new(limits: QueueLimits) -> Self {
         Self {
             limits,
@@ -157,12 +164,12 @@
         }
     }
 
-    /// Requests that run.
+    /// Number of requests that run.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that wait.
+    /// Number of requests that wait.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
@@ -174,7 +181,7 @@
         key
     }
 
-    /// Key of a branch, which is added when it is new.
+    /// Key of the branch `name`; a new branch is added without a guaranteed share.
     pub fn ensure_branch(&mut self, name: &str) -> BranchKey {
         let queues = &self.queues;
         let found = self
@@ -198,7 +205,7 @@
         }
     }
 
-    /// Queues a request, or refuses it at once when it could not be served in time.
+    /// Queues a request, or refuses it when a limit is reached or its deadline can't be met.
     pub fn push(&mut self, request: QueuedRequest<T>, now_ms: u64) -> PushOutcome<T> {
         let wait_ms = self.estimated_wait_ms(request.branch);
         let service_ms = self.estimated_service_ms(request.cost_tokens);
@@ -223,7 +230,7 @@
         }
     }
 
-    /// The next request to run, or one that is given up.
+    /// Removes the next request to run, or one that can't meet its deadline any more.
     pub fn pop(&mut self, now_ms: u64) -> PopOutcome<T> {
         if let Some(request) = self.take_expired(now_ms) {
             return self.expire(request, now_ms);
@@ -235,7 +242,10 @@
             return PopOutcome::Nothing;
         };
         let queue = &mut self.queues[key.index()];
-        let next = queue.waiting.pop_front().expect("the queue has a request");
+        let next = queue
+            .waiting
+            .pop_front()
+            .expect("the chosen branch has a waiting request");
         queue.waiting_tokens -= next.cost_tokens;
         queue.running += 1;
         let usage_permille = queue.usage.permille.or(self.usage.permille);
@@ -250,7 +260,7 @@
         PopOutcome::Run(next)
     }
 
-    /// Frees the slot of a request and learns from what it used.
+    /// Frees the slot of a request and updates the averages with its usage.
     pub fn finish(&mut self, work: FinishedRequest) {
         let queue = &mut self.queues[work.branch.index()];
         queue.running -= 1;
@@ -263,20 +273,20 @@
         }
     }
 
-    /// Takes back the waiting requests that `matches` names, such as those of a gone caller.
+    /// Removes the waiting requests that match, such as those whose caller has left.
     pub fn withdraw_matching(&mut self, matches: impl Fn(&T) -> bool) -> Vec<QueuedRequest<T>> {
-        let mut taken = Vec::new();
-        for queue in 0..self.queues.len() {
-            for at in (0..self.queues[queue].waiting.len()).rev() {
-                if matches(&self.queues[queue].waiting[at].item) {
-                    taken.push(self.remove_waiting(queue, at));
+        let mut withdrawn = Vec::new();
+        for index in 0..self.queues.len() {
+            for at in (0..self.queues[index].waiting.len()).rev() {
+                if matches(&self.queues[index].waiting[at].item) {
+                    withdrawn.push(self.remove_waiting(index, at));
                 }
             }
         }
-        taken
+        withdrawn
     }
 
-    /// Time a new request of `branch` would wait for a slot.
+    /// Estimated time for which a new request of `branch` waits for a slot, in ms.
     pub fn estimated_wait_ms(&self, branch: BranchKey) -> u64 {
         let queue = &self.queues[branch.index()];
         let has_free_slot = self.running < self.limits.slots;
@@ -294,13 +304,14 @@
             .wait_ms(queue.waiting_tokens, share_percent)
     }
 
-    /// Latest time at which a request can start and still be whole by its deadline.
+    /// Latest time at which a request can start and still complete by its deadline.
     pub fn latest_start_ms(&self, request: &QueuedRequest<T>) -> u64 {
         let service_ms = self.estimated_service_ms(request.cost_tokens);
         request.deadline_ms.saturating_sub(service_ms)
     }
 
-    /// Time a request would run; an idle engine is tried whatever was learned of it.
+    /// Estimated time for which a request runs, in ms; 0 when the engine is idle, so that
+    /// it gets requests again after it was slow.
     fn estimated_service_ms(&self, cost_tokens: u64) -> u64 {
         match self.running {
             0 => 0,
@@ -308,6 +319,7 @@
         }
     }
 
+    /// Outcome for a request that was removed because it can't meet its deadline.
     fn expire(&self, request: QueuedRequest<T>, now_ms: u64) -> PopOutcome<T> {
         let reason = match request.deadline_ms <= now_ms {
             true => QueueRefusal::DeadlinePassed,
@@ -338,7 +350,8 @@
         self.waiting += 1;
     }
 
-    /// Starts all branches alike, as nothing waits that could be overtaken.
+    /// Gives all branches the same virtual time. No request is waiting, so that none can
+    /// be overtaken.
     fn reset_virtual_times(&mut self) {
         let start = self.slot_cycle_time();
         for queue in &mut self.queues {
@@ -346,32 +359,37 @@
         }
     }
 
-    /// Virtual time in which every branch turns its share of the slots over once.
+    /// Virtual time that passes while as many requests start as there are slots.
     fn slot_cycle_time(&self) -> u64 {
         let total_weight: u64 = self.queues.iter().map(BranchQueue::weight).sum();
         u64::from(self.limits.slots) * self.mean_charged_time / total_weight.max(1)
     }
 
+    /// Smallest virtual time of the branches with waiting requests; 0 without any.
     fn min_waiting_virtual_time(&self) -> u64 {
         let waiting = self.queues.iter().filter(|queue| !queue.waiting.is_empty());
         waiting.map(|queue| queue.virtual_time).min().unwrap_or(0)
     }
 
-    /// The waiting branch with the least virtual time among those below their burst share.
+    /// Branch of the next request to run: the one with the smallest virtual time among
+    /// those below their burst limit, or among all when every waiting branch is above.
+    /// Only branches below their share by weight may take a reserved slot.
     fn next_branch(&self) -> Option<BranchKey> {
         if self.running >= self.limits.slots - self.limits.reserved_slots.min(self.limits.slots) {
             let total_weight = self.queues.iter().map(BranchQueue::weight).sum();
             return self.min_virtual_time_branch(|queue| self.is_below_share(queue, total_weight));
         }
-        let below = self.min_virtual_time_branch(|queue| !self.is_over_burst(queue));
-        below.or_else(|| self.min_virtual_time_branch(|_| true))
+        let below_burst = self.min_virtual_time_branch(|queue| !self.is_over_burst(queue));
+        below_burst.or_else(|| self.min_virtual_time_branch(|_| true))
     }
 
+    /// Whether one more running request keeps the branch within its share by weight.
     fn is_below_share(&self, queue: &BranchQueue<T>, total_weight: u64) -> bool {
         let share = u64::from(self.limits.slots) * queue.weight();
         u64::from(queue.running + 1) * total_weight <= share
     }
 
+    /// Branch with the smallest virtual time among the waiting ones that are allowed.
     fn min_virtual_time_branch(
         &self,
         allowed: impl Fn(&BranchQueue<T>) -> bool,
@@ -383,24 +401,27 @@
             .map(|(index, _)| BranchKey(index as u32))
     }
 
+    /// Whether one more running request exceeds the branch's burst limit.
     fn is_over_burst(&self, queue: &BranchQueue<T>) -> bool {
         let allowed = self.limits.slots * queue.share.burst_percent.max(1);
         (queue.running + 1) * 100 > allowed.max(100)
     }
 
+    /// Removes a waiting request that can't meet its deadline any more.
     fn take_expired(&mut self, now_ms: u64) -> Option<QueuedRequest<T>> {
-        for queue in 0..self.queues.len() {
-            let waiting = &self.queues[queue].waiting;
-            let expired = |request| self.latest_start_ms(request) < now_ms;
-            if let Some(at) = waiting.iter().position(expired) {
-                return Some(self.remove_waiting(queue, at));
+        for index in 0..self.queues.len() {
+            let waiting = &self.queues[index].waiting;
+            let is_expired = |request| self.latest_start_ms(request) < now_ms;
+            if let Some(at) = waiting.iter().position(is_expired) {
+                return Some(self.remove_waiting(index, at));
             }
         }
         None
     }
 
-    fn remove_waiting(&mut self, queue: usize, at: usize) -> QueuedRequest<T> {
-        let queue = &mut self.queues[queue];
+    /// Removes the waiting request at position `at` of the branch at `index`.
+    fn remove_waiting(&mut self, index: usize, at: usize) -> QueuedRequest<T> {
+        let queue = &mut self.queues[index];
         let request = queue.waiting.remove(at).expect("the index is in range");
         queue.waiting_tokens -= request.cost_tokens;
         self.waiting -= 1;
--- a/src/contracts/mod.rs
+++ b/src/contracts/mod.rs
@@ -1,4 +1,5 @@
-//! What each branch may use: shares, the fair queue and admission.
+//! The shares that branches have of an endpoint's slots, and the fair queue that enforces
+//! them.
 
 mod branch_key;
 mod branch_share;
--- a/src/contracts/queue_refusal.rs
+++ b/src/contracts/queue_refusal.rs
@@ -3,22 +3,22 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why the fair queue does not run a request.
+/// Reason why the fair queue refuses a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueueRefusal {
-    /// The branch has too many requests waiting.
+    /// The branch has as many requests waiting as it may.
     BranchQueueFull,
-    /// The endpoint has too many requests waiting.
+    /// The endpoint has as many requests waiting as it may.
     QueueFull,
-    /// The request would wait for longer than its deadline.
+    /// The request is predicted to miss its deadline.
     DeadlineTooNear,
     /// The deadline passed while the request waited.
     DeadlinePassed,
 }
 
 impl QueueRefusal {
-    /// Name in metrics and answers.
+    /// Stable name in metrics and answers.
     pub fn name(self) -> &'static str {
         match self {
             Self::BranchQueueFull => "branch_queue_full",
--- a/src/contracts/wait_estimator.rs
+++ b/src/contracts/wait_estimator.rs
@@ -1,24 +1,25 @@
-/// Weight of the latest request in the average, as a divisor.
+/// Divisor that gives the weight of the latest request in the moving average.
 const SMOOTHING_DIVISOR: u64 = 16;
 
-/// The same for a request that was faster than the average, so that an engine that
-/// was slow for a while is soon trusted again.
+/// The same for a request that was faster than the average; smaller, so that the estimate
+/// recovers soon after an engine was slow for a while.
 const FASTER_SMOOTHING_DIVISOR: u64 = 4;
 
-/// Time a stream takes before any has been measured, in microseconds a token.
+/// Value of the average before the first request has finished, in microseconds per token.
 const UNMEASURED_US_PER_TOKEN: u64 = 0;
 
-/// Estimates how long a request would wait for a slot.
+/// Estimates how long a request waits for a slot and how long it holds one.
 ///
-/// It learns from finished requests how long a slot is held for each token.
+/// It averages the time per token for which finished requests held their slots.
 #[derive(Debug, Clone)]
 pub struct WaitEstimator {
     slots: u64,
+    // Moving average of the slot time, in microseconds per token.
     us_per_token: u64,
 }
 
 impl WaitEstimator {
-    /// Estimates for an engine with `slots` slots.
+    /// Estimator for an engine with `slots` slots, which has observed no request.
     pub fn new(slots: u32) -> Self {
         Self {
             slots: u64::from(slots.max(1)),
@@ -31,7 +32,7 @@
         self.slots = u64::from(slots.max(1));
     }
 
-    /// Learns that a request of `cost_tokens` held a slot for `held_ms`.
+    /// Records that a request of `cost_tokens` held a slot for `held_ms`.
     pub fn record_finished(&mut self, cost_tokens: u64, held_ms: u64) {
         let latest_us = held_ms * 1000 / cost_tokens.max(1);
         self.us_per_token = match self.us_per_token {
@@ -43,12 +44,13 @@
         };
     }
 
-    /// Time one request of `cost_tokens` holds a slot.
+    /// Estimated time for which a request of `cost_tokens` holds a slot, in ms.
     pub fn service_ms(&self, cost_tokens: u64) -> u64 {
         cost_tokens * self.us_per_token / 1000
     }
 
-    /// Time until `tokens_ahead` have been served by `share_percent` of the slots.
+    /// Estimated time until requests of `tokens_ahead` in total have run on
+    /// `share_percent` of the slots, in ms.
     pub fn wait_ms(&self, tokens_ahead: u64, share_percent: u64) -> u64 {
         let slot_percent = self.slots * share_percent.clamp(1, 100);
         tokens_ahead * self.us_per_token / 10 / slot_percent
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -2,50 +2,52 @@
 use crate::fleet::Replica;
 use crate::fleet::ReplicaKey;
 
-/// Share of the target that a prediction may fill; the rest is for its error.
+/// Share of the latency target that waiting and predicted time together may use; the
+/// rest is a reserve for errors of the prediction.
 const MAX_TARGET_SHARE: f64 = 0.9;
 
-/// Share of the slots that late requests may fill: on-time work goes before.
+/// Share of an engine's slots up to which it takes late requests; the other slots are
+/// kept for requests that can still meet their target.
 const MAX_LATE_SLOT_SHARE: f64 = 0.8;
 
-/// Advantage of a replica in the own failure domain, in ms of predicted time.
+/// Predicted time subtracted for a replica in the same failure domain, in ms.
 const SAME_DOMAIN_BONUS_MS: f64 = 40.0;
 
-/// Random part of a prediction, in ms, so that entries that see the same loads
-/// do not all choose the same replica.
+/// Largest random time added to a prediction, in ms, so that entries with the same load
+/// reports do not all choose the same replica.
 const MAX_JITTER_MS: f64 = 20.0;
 
-/// Shortest and longest time after which a refused client is asked to come back.
+/// Shortest and longest time after which a refused client should retry, in ms.
 const RETRY_AFTER_RANGE_MS: (f64, f64) = (400.0, 1_600.0);
 
-/// How much worse a replica looks for each share of failures.
+/// Factor by which a replica's failure ratio raises its predicted latency.
 const FAILURE_PENALTY: f64 = 6.0;
 
-/// Least predicted time of a plain answer, in ms; also for a replica that was not
-/// observed yet, so that it is tried.
+/// Smallest predicted latency of a replica without an engine, in ms. It also applies to
+/// a replica that has not answered yet, so that it gets requests.
 const MIN_LATENCY_MS: f64 = 10.0;
 
-/// Delay beyond the prediction at which an engine gets nothing more, in ms: well
-/// beyond what its queue explains.
+/// Delay beyond the prediction from which an engine gets no more requests, in ms: well
+/// beyond what its queue can explain.
 const MAX_EXCESS_DELAY_MS: f64 = 800.0;
 
-/// Load of a plain service, in requests of this entry for each slot, at which
-/// more are refused.
+/// Requests of this entry for each slot from which a replica without an engine gets no
+/// more requests.
 const MAX_LOAD_PER_SLOT: f64 = 2.0;
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// No replica of the service takes work.
+    /// No replica of the service accepts requests.
     NoReplica,
-    /// No replica would answer in time.
+    /// No replica has the capacity to answer in time.
     Overload,
-    /// The client's time is over.
+    /// The client's deadline has passed.
     Expired,
 }
 
 impl RefusalCause {
-    /// Stable name for logs and metrics.
+    /// Stable name in log lines and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoReplica => "no_replica",
@@ -55,61 +57,62 @@
     }
 }
 
-/// What becomes of a request now.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdmissionDecision {
-    /// It goes to a replica.
+    /// The request is sent to a replica.
     Send {
-        /// Where.
+        /// Replica that it is sent to.
         replica: ReplicaKey,
-        /// Predicted time to the first event or the answer.
+        /// Predicted time to the first event or the answer, in ms.
         predicted_ms: f64,
     },
-    /// It is refused.
+    /// The request is refused.
     Refuse {
-        /// Why.
+        /// Reason of the refusal.
         cause: RefusalCause,
-        /// When the client should come back.
+        /// Time after which the client should retry, in ms.
         retry_after_ms: u64,
     },
 }
 
-/// All that an admission depends on.
+/// Input of [`admit_request`].
 #[derive(Debug)]
 pub struct AdmissionInput<'a> {
-    /// Steady time.
+    /// Current monotonic time.
     pub now_ms: u64,
-    /// Usable replicas of the service that were not tried yet.
+    /// Usable replicas of the service to which the request was not sent yet.
     pub replicas: &'a [(ReplicaKey, &'a Replica)],
-    /// Engine of the service, if it has one.
+    /// Engine profile of the service, if it has one.
     pub engine: Option<&'a EngineProfile>,
     /// Failure domain of this entry.
     pub failure_domain: &'a str,
-    /// Entries that are alive.
+    /// Number of live entries, this one included.
     pub entry_count: u32,
-    /// Requests that the other entries send to one replica in a ms.
+    /// Estimated requests per ms that the other entries together send to one replica.
     pub peer_requests_per_ms: f64,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Time since the request arrived.
+    /// Time since the request arrived, in ms.
     pub waited_ms: u64,
-    /// Whether the client was refused before and has come back.
+    /// Whether the client was refused before and retries.
     pub was_refused_before: bool,
-    /// Whether the client has part of the answer already.
+    /// Whether the client has received a part of the answer already.
     pub has_partial_answer: bool,
-    /// Time within which the answer is on time.
+    /// Latency target of the route, in ms.
     pub target_latency_ms: u64,
-    /// Time that is left in all.
+    /// Time until the client's deadline, in ms.
     pub remaining_ms: u64,
-    /// Random bits.
+    /// Seed of the random parts of the decision.
     pub seed: u64,
 }
 
-/// Decides where a request goes, or refuses it at once.
+/// Chooses the replica for a request, or refuses the request at once.
 ///
-/// A request goes to the replica with the least predicted time. It is refused
-/// when the prediction misses its target, since it would only delay others, and
-/// a request whose target has passed already runs only where slots are free.
+/// The request goes to the replica with the shortest predicted time. It is refused when
+/// no replica is predicted to meet the latency target, since it would only delay other
+/// requests. A request whose target has passed already goes only to an engine with
+/// free slots.
 pub fn admit_request(input: &AdmissionInput<'_>) -> AdmissionDecision {
     if input.remaining_ms == 0 {
         return refuse(RefusalCause::Expired, input);
@@ -137,7 +140,8 @@
     }
 }
 
-/// Predicted time to the answer at `replica`; None when it has no room.
+/// Predicted time to the first event or the answer at `replica`, in ms; None when it
+/// lacks the capacity for the request.
 fn predicted_answer_ms(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
     let Some(engine) = input.engine else {
         return predicted_ms_without_engine(input, replica);
@@ -164,6 +168,7 @@
     has_capacity.then_some(predicted_ms + excess_delay_ms)
 }
 
+/// The same for a service without an engine, from the replica's past answers.
 fn predicted_ms_without_engine(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
     let slots = f64::from(replica.record.slots.max(1));
     let load_per_slot = f64::from(replica.in_flight) / slots;
@@ -177,11 +182,12 @@
     Some(replica.excess_delay_ms(input.now_ms) + service_ms)
 }
 
-/// Time until an engine with `requests` requests gives the first event of one
-/// more with `prompt_tokens` tokens.
+/// Predicted time until an engine with `requests` requests sends the first event of one
+/// more, whose prompt has `prompt_tokens` tokens, in ms.
 ///
-/// A free slot costs half a pass and the reading, which shares the engine with
-/// the passes of the others; without one, as many requests must end as wait.
+/// With a free slot, this is one decode pass and 1.5 times the processing of the prompt,
+/// which shares the engine with the passes of the running requests. Without one, it adds
+/// the time in which as many running requests end as wait, this one included.
 pub fn predicted_first_event_ms(engine: &EngineProfile, requests: u32, prompt_tokens: f64) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     let running = f64::from(requests).min(slots);
@@ -198,6 +204,7 @@
     pass_ms + 1.5 * prompt_ms + waiting * request_ms / slots
 }
 
+/// Refusal with a random retry time, of at most a third of the remaining time.
 fn refuse(cause: RefusalCause, input: &AdmissionInput<'_>) -> AdmissionDecision {
     let (min_ms, max_ms) = RETRY_AFTER_RANGE_MS;
     let random_ms = min_ms + (max_ms - min_ms) * unit_random(input.seed, usize::MAX);
@@ -208,7 +215,7 @@
     }
 }
 
-/// A number from 0 to 1.
+/// Uniform pseudo-random number from 0 to 1.
 fn unit_random(seed: u64, index: usize) -> f64 {
     let bits = crate::weights::mix(seed ^ (index as u64).rotate_left(32));
     (bits >> 11) as f64 / (1u64 << 53) as f64
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -1,21 +1,21 @@
 use std::net::SocketAddr;
 
-/// What may be repeated of the requests on a route.
+/// Whether and how requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// A request runs at most once.
     NonIdempotent,
-    /// Answers with a stream of events; may be repeated only if `resumable`.
+    /// The answer is a stream of events; a request may be repeated only if `resumable`.
     Streaming {
-        /// Whether the stream may go on at another replica.
+        /// Whether another replica can resume a broken stream.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run can be resent.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Streaming { resumable: true })
     }
@@ -26,105 +26,105 @@
     }
 }
 
-/// One route of the configuration.
+/// A route of the configuration, which maps requests to services.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: String,
-    /// Host that requests name.
+    /// Value of the host header that the route matches.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Prefix of the path that the route matches, with a slash at both ends.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time that a request is kept.
+    /// Longest time for which a request is handled, in ms.
     pub timeout_ms: u64,
-    /// Time within which an answer, or the first event, is on time.
+    /// Latency target of the answer, or of the first event of a stream, in ms.
     pub target_latency_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u32,
-    /// Services with their weights.
+    /// Names of the services with their shares of the requests, as weights.
     pub services: Vec<(String, u32)>,
-    /// Replicas that one request may be sent to.
+    /// Largest number of sends of one request.
     pub max_attempts: u32,
-    /// Whether no API key is asked for.
+    /// Whether requests without an API key are accepted.
     pub allows_anonymous: bool,
 }
 
-/// A model of an engine.
+/// A model that an engine serves.
 #[derive(Debug, Clone)]
 pub struct ModelProfile {
-    /// Name.
+    /// Name of the model.
     pub name: String,
-    /// Time to load the whole model.
+    /// Time to load the complete model, in ms.
     pub load_ms: u64,
 }
 
-/// How the engines of a service work.
+/// Performance model of the engines of a service, by which answer times are predicted.
 #[derive(Debug, Clone)]
 pub struct EngineProfile {
-    /// Requests that run at once.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Time of one token step.
+    /// Base time of one step, which generates a token for each running request, in ms.
     pub step_ms: f64,
-    /// Further time of a step for each running request.
+    /// Additional time of a step for each running request, in ms.
     pub step_per_request_ms: f64,
-    /// Further time of a step for each 1,000 tokens of context.
+    /// Additional time of a step for each 1,000 tokens of context, in ms.
     pub step_per_1k_context_ms: f64,
-    /// Prompt tokens read in one ms.
+    /// Prompt tokens processed per ms.
     pub prompt_tokens_per_ms: f64,
-    /// Steps of one pass that writes.
+    /// Steps of one decode pass.
     pub steps_per_pass: u32,
-    /// Mean tokens of a prompt.
+    /// Mean number of tokens of a prompt.
     pub mean_prompt_tokens: f64,
-    /// Mean tokens of an answer.
+    /// Mean number of tokens of an answer.
     pub mean_answer_tokens: f64,
-    /// Pieces of the weights of one version.
+    /// Number of chunks of one version of the weights.
     pub chunks: u32,
-    /// Bytes of one piece.
+    /// Size of one chunk, in bytes.
     pub chunk_bytes: u32,
     /// Models that the engines serve.
     pub models: Vec<ModelProfile>,
 }
 
-/// Where weights come from.
+/// The origin from which weights are downloaded.
 #[derive(Debug, Clone)]
 pub struct OriginProfile {
-    /// Address.
+    /// Address of the origin.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of the origin.
     pub failure_domain: String,
-    /// Bandwidth of its link.
+    /// Bandwidth of the origin's link, in Mbit/s.
     pub link_mbps: f64,
-    /// Connections that it accepts.
+    /// Connections that the origin accepts at a time.
     pub max_connections: u32,
 }
 
-/// One service of the configuration.
+/// A service of the configuration.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Path of the health check; empty where there is none.
+    /// Path of the health check; empty when there is none.
     pub health_path: String,
-    /// Connections that one replica accepts from all callers.
+    /// Connections that one replica accepts from all clients together.
     pub max_connections: u32,
-    /// Engine, for services of model replicas.
+    /// Engine profile, for services whose replicas serve models.
     pub engine: Option<EngineProfile>,
-    /// Origin of weights, for the service that is one.
+    /// Origin profile, for the service that provides weights.
     pub origin: Option<OriginProfile>,
 }
 
-/// What a client may send.
+/// Limits on what a client may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for a whole head.
+    /// Time within which a complete request head must arrive, in ms.
     pub head_timeout_ms: u64,
-    /// Time that a connection may stay idle.
+    /// Time for which a connection may stay idle, in ms.
     pub idle_timeout_ms: u64,
 }
 
@@ -139,33 +139,33 @@
     }
 }
 
-/// A workspace that owns API keys.
+/// A workspace, which owns API keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
-    /// Name.
+    /// Name of the workspace.
     pub name: String,
-    /// Rank; 0 is the most urgent.
+    /// Priority of its requests, 0 being the most urgent; None for that of the route.
     pub priority: Option<u32>,
 }
 
-/// One version of the configuration, indexed for look-up.
+/// One version of the configuration, indexed for lookup.
 #[derive(Debug, Clone)]
 pub struct Catalog {
-    /// Version of the document.
+    /// Version of the configuration document.
     pub version: u64,
-    /// ClientLimits for clients.
+    /// Limits on what clients may send.
     pub limits: ClientLimits,
-    // Ascending by host, then by falling length of the prefix.
+    // Sorted by host, then from the longest path prefix to the shortest.
     routes: Vec<Route>,
-    // Ascending by name.
+    // Sorted by name.
     services: Vec<Service>,
     workspaces: Vec<Workspace>,
-    // Ascending by key.
+    // Index of the owner in `workspaces` for each API key, sorted by key.
     api_keys: Vec<(String, usize)>,
 }
 
 impl Catalog {
-    /// Indexes a configuration; `workspaces` come with their API keys.
+    /// Indexes a configuration; each workspace comes with its API keys.
     pub fn new(
         version: u64,
         mut routes: Vec<Route>,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Route with the longest prefix of `path` among those of `host`.
+    /// Route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let first = self.routes.partition_point(|r| r.host.as_str() < host);
         self.routes[first..]
@@ -205,7 +205,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Service by name.
+    /// Service with that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let at = self
             .services
@@ -214,17 +214,17 @@
         Some(&self.services[at])
     }
 
-    /// All services, by name.
+    /// All services, sorted by name.
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// Whether requests need an API key.
+    /// Whether any workspace is configured, so that requests need an API key.
     pub fn has_workspaces(&self) -> bool {
         !self.workspaces.is_empty()
     }
 
-    /// Workspace that holds `key`.
+    /// Workspace that owns the API key `key`.
     pub fn workspace(&self, key: &str) -> Option<&Workspace> {
         let at = self
             .api_keys
--- a/src/fleet/declarations.rs
+++ b/src/fleet/declarations.rs
@@ -2,51 +2,52 @@
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// Declarations remembered.
+/// Declarations that are kept; beyond these the oldest is removed.
 const MAX_DECLARATIONS: usize = 32;
 
-/// Declarations told to others: older ones bind no further.
+/// Declarations reported to other processes: older ones require nothing more.
 const MAX_REPORTED: usize = 4;
 
-/// A version of weights that the operator declared.
+/// A version of weights that the operator declared, which all engines are to load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Declaration {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version of the weights.
     pub version: u64,
-    /// Steady time at which the system learned of it; before the start of the
-    /// process for one that is older.
+    /// Monotonic time of this process at which any process first learned of the
+    /// declaration, as far as known; negative when that was before this process started.
     pub learned_ms: i64,
-    /// Whether that time is known, and not only a bound.
+    /// Whether `learned_ms` is exact, and not only the latest possible time.
     pub is_time_exact: bool,
 }
 
-/// A declaration as a record of the store holds it.
+/// A declaration as read from a record of the store.
 #[derive(Debug)]
 pub struct DeclarationRecord {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version of the weights.
     pub version: u64,
-    /// Offset of the record.
+    /// Offset of the record in the log.
     pub offset: u64,
-    /// Whether the record came after the first listing, and so just now.
+    /// Whether the record arrived after the first listing, so that it was written
+    /// just now.
     pub is_after_listing: bool,
 }
 
-/// The operator's declarations, each with its own time.
+/// The operator's declarations, each with the time at which it was learned.
 ///
-/// A process that starts late finds a declaration in the store without its age.
-/// It takes it for due, until another process tells the age.
+/// A process that starts after a declaration finds it in the store without its age.
+/// It treats the declaration as due until another process reports the age.
 #[derive(Debug, Default)]
 pub struct Declarations {
-    // In the order of their arrival, which is that of rising versions.
+    // In the order of arrival; the versions of each model rise.
     declarations: Vec<Declaration>,
 }
 
 impl Declarations {
-    /// Takes a declaration; returns whether it is new.
+    /// Adds a declaration; returns false when the model has that version or a later one.
     pub fn add(&mut self, declaration: Declaration) -> bool {
         let is_known = |known: &Declaration| {
             known.model == declaration.model && known.version >= declaration.version
@@ -61,9 +62,10 @@
         true
     }
 
-    /// Takes what a record of the store declares; returns whether it is new.
+    /// Adds the declaration of a record of the store; returns whether it is new.
     ///
-    /// What a first listing holds may be of any age: it counts as due.
+    /// A record of the first listing may have any age: it counts as `apply_ms` old,
+    /// which makes it due.
     pub fn add_record(&mut self, record: DeclarationRecord, now_ms: i64, apply_ms: i64) -> bool {
         let line = LogLine::new(Event::WeightsDeclared)
             .text("model", &record.model)
@@ -87,15 +89,15 @@
         is_new
     }
 
-    /// Takes what another process knows; returns whether a version is new.
-    pub fn merge_ages(&mut self, notes: &[DeclarationAge], now_ms: i64) -> bool {
-        let mut is_news = false;
-        for note in notes {
-            let learned_ms = now_ms - i64::try_from(note.age_ms).unwrap_or(i64::MAX / 2);
-            let same = |known: &&mut Declaration| {
-                known.model == note.model && known.version == note.version
-            };
-            match self.declarations.iter_mut().find(same) {
+    /// Merges the ages that another process reports; returns whether a latest version
+    /// is new. The earliest exact time of a declaration is kept.
+    pub fn merge_ages(&mut self, ages: &[DeclarationAge], now_ms: i64) -> bool {
+        let mut has_new_version = false;
+        for age in ages {
+            let learned_ms = now_ms - i64::try_from(age.age_ms).unwrap_or(i64::MAX / 2);
+            let is_same =
+                |known: &&mut Declaration| known.model == age.model && known.version == age.version;
+            match self.declarations.iter_mut().find(is_same) {
                 Some(known) if known.is_time_exact => {
                     known.learned_ms = known.learned_ms.min(learned_ms);
                 }
@@ -103,58 +105,59 @@
                     known.learned_ms = learned_ms;
                     known.is_time_exact = true;
                 }
-                None => is_news |= self.insert_by_version(note, learned_ms),
+                None => has_new_version |= self.insert_by_version(age, learned_ms),
             }
         }
-        is_news
+        has_new_version
     }
 
-    /// Takes a version that only others knew; returns whether it is the latest.
-    fn insert_by_version(&mut self, note: &DeclarationAge, learned_ms: i64) -> bool {
+    /// Inserts a version that only other processes knew; returns whether it is the
+    /// latest of its model.
+    fn insert_by_version(&mut self, age: &DeclarationAge, learned_ms: i64) -> bool {
         let declaration = Declaration {
-            model: note.model.clone(),
-            version: note.version,
+            model: age.model.clone(),
+            version: age.version,
             learned_ms,
             is_time_exact: true,
         };
-        let later = self
+        let next_version_at = self
             .declarations
             .iter()
-            .position(|known| known.model == note.model && known.version > note.version);
-        match later {
+            .position(|known| known.model == age.model && known.version > age.version);
+        match next_version_at {
             Some(at) => {
                 self.declarations.insert(at, declaration);
                 false
             }
             None => {
                 LogLine::new(Event::WeightsDeclared)
-                    .text("model", &note.model)
-                    .number("version", note.version)
-                    .number("age_ms", note.age_ms)
+                    .text("model", &age.model)
+                    .number("version", age.version)
+                    .number("age_ms", age.age_ms)
                     .write();
                 self.add(declaration)
             }
         }
     }
 
-    /// Declarations of `model`, by rising version.
+    /// Declarations of `model`, by ascending version.
     pub fn for_model<'a>(&'a self, model: &'a str) -> impl Iterator<Item = &'a Declaration> {
         self.declarations.iter().filter(move |d| d.model == model)
     }
 
-    /// The latest declaration.
+    /// The last declaration of the list, of any model.
     pub fn latest(&self) -> Option<&Declaration> {
         self.declarations.last()
     }
 
-    /// Whether the age of every declaration is known.
+    /// Whether the time of every declaration is exact.
     pub fn are_times_exact(&self) -> bool {
         self.declarations
             .iter()
             .all(|declaration| declaration.is_time_exact)
     }
 
-    /// The latest declarations with their ages, for others.
+    /// The latest declarations whose age is known, with their ages, for other processes.
     pub fn recent_ages(&self, now_ms: i64) -> Vec<DeclarationAge> {
         self.declarations
             .iter()
--- a/src/fleet/engine_load.rs
+++ b/src/fleet/engine_load.rs
@@ -1,20 +1,21 @@
-/// Load of an engine, as its host's endpoint process last measured it.
+/// Load of an engine, from the last report of the endpoint process on its host.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineLoad {
-    /// Steady time at which the report arrived here.
+    /// Monotonic time of this process at which it received the report.
     pub received_ms: u64,
-    /// Whether the engine answered its host at all.
+    /// Whether the engine answered the endpoint process.
     pub is_up: bool,
-    /// Whether it is loading weights, or about to.
+    /// Whether the engine is loading weights or is about to be ordered to.
     pub is_loading: bool,
-    /// Requests that run.
+    /// Requests that hold a slot.
     pub running: u32,
     /// Requests that wait for a slot.
     pub queued: u32,
-    /// Memory in use, as a share of the whole.
+    /// Part of the engine's memory that is in use, from 0 to 1.
     pub memory_used: f64,
-    /// Version of the weights; 0 when none are held.
+    /// Version of the loaded weights; 0 when none are loaded.
     pub version: u64,
-    /// Slowness; 1 is the usual speed.
+    /// Slowdown factor: 1 at the speed of the [`EngineProfile`](super::EngineProfile),
+    /// above 1 when slower.
     pub pace: f64,
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! What an entry believes of the fleet, and what it decides from that.
+//! The view that one process has of the fleet, and the decisions based on it.
 //!
-//! The catalogue of routes, the replicas with their observed health and load,
-//! the other entries, and the decisions on placement, admission and retries.
-//! Nothing here does I/O, beyond queueing log lines; time is an argument in ms of
-//! the steady clock.
+//! It holds the configured routes and services, the replicas with their observed
+//! health and load, the other entries, and the declared versions of weights. From
+//! these it decides on placement, admission and retries. The module does no I/O
+//! except queueing log lines; the caller passes the time, in ms of a monotonic clock.
 
 mod admission;
 mod catalog;
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -6,44 +6,46 @@
 use crate::calls::SuspectRecord;
 use crate::fleet::rendezvous_rank;
 
-/// Silence after which an entry is taken for dead, in ms: several beats.
-const ENTRY_SILENT_MS: u64 = 900;
+/// Time without a heartbeat after which an entry counts as failed, in ms: several
+/// heartbeat intervals.
+const ENTRY_TIMEOUT_MS: u64 = 900;
 
-/// Seed of the rank by which entries read the store.
-const READER_SEED: u64 = 1;
+/// Seed of the rendezvous rank by which entries of a failure domain read the store.
+const READER_RANK_SEED: u64 = 1;
 
-/// Age of what is known at which the next entry by rank reads the store as well,
-/// in ms: more than a reader's interval and a beat; its reader may be cut off.
-const READER_SILENT_MS: u64 = 1_100;
+/// Age of the replicas' records at which the entry of the second rank reads the store
+/// as well, in ms, since the first may be cut off: more than the read interval and
+/// one heartbeat interval.
+const READER_FALLBACK_MS: u64 = 1_100;
 
-/// Further time for each further entry, in ms: the time in which the one before
-/// reads the store and tells the others. All at once, they would fill the link
-/// whose delay made them read.
+/// Additional age for each further rank, in ms: the time in which the entry ranked
+/// before reads the store and notifies the others. Entries that all read at once would
+/// saturate the link whose delay made them read.
 const READER_STAGGER_MS: u64 = 300;
 
-/// An entry, as it registers itself for the others to find.
+/// Registration of an entry in the store, by which the other entries find it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRegistration {
     /// Name of the host.
     pub name: String,
-    /// Address for beats and internal calls.
+    /// Address for heartbeats and internal calls.
     pub internal: SocketAddr,
 }
 
-/// A declaration of weights, as processes tell it to each other.
+/// Age of a declaration of weights, as one process reports it to another.
 ///
-/// Its age is what a process that starts late can't learn from the store.
+/// A process that starts after the declaration can't learn the age from the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeclarationAge {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version of the weights.
     pub version: u64,
-    /// Time since the sender learned of it.
+    /// Time since the declaration was learned, in ms, as the sender knows it.
     pub age_ms: u64,
 }
 
-/// What an entry tells the others, several times a second.
+/// Heartbeat of an entry to the other entries and the endpoint processes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EntryHeartbeat {
     /// Name of the host.
@@ -52,81 +54,84 @@
     pub incarnation: u64,
     /// Address for internal calls.
     pub internal: SocketAddr,
-    /// Address for clients.
+    /// Address at which clients connect.
     pub front: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Bandwidth of its link.
+    /// Bandwidth of the host's link, in Mbit/s.
     pub link_mbps: f64,
-    /// Whether it takes new clients.
+    /// Whether it accepts new clients.
     pub is_ready: bool,
-    /// Whether the platform's store answers it.
+    /// Whether the platform's store answers this entry.
     pub has_store: bool,
-    /// Ends of the topics that it holds, in the order of `Topic::ALL`.
+    /// End offsets of its topic tables, in the order of `Topic::ALL`.
     pub ends: [u64; 3],
-    /// Age of its replicas' records, since the store confirmed them.
+    /// Time since the store last confirmed its records of the replicas, in ms.
     pub replicas_age_ms: u64,
     /// Latest declarations of weights whose age is known.
     pub declared: Vec<DeclarationAge>,
-    /// Requests that crashed replicas lately, and on how many.
+    /// Requests suspected of crashing replicas, with the recent crashes.
     pub suspects: Vec<SuspectRecord>,
 }
 
-/// What an endpoint process tells the entries of its engine.
+/// Load of an engine, as its endpoint process reports it to the entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Port of the replica.
+    /// Port of the replica on the sender's host.
     pub port: u16,
-    /// Whether the engine answers.
+    /// Whether the engine answered the endpoint process.
     pub is_up: bool,
-    /// Whether it is loading weights, or about to.
+    /// Whether the engine is loading weights or is about to be ordered to.
     pub is_loading: bool,
-    /// Requests that run.
+    /// Requests that hold a slot.
     pub running: u32,
     /// Requests that wait for a slot.
     pub queued: u32,
-    /// Memory in use, as a share of the whole.
+    /// Part of the engine's memory that is in use, from 0 to 1.
     pub memory_used: f32,
-    /// Version of the weights; 0 when none are held.
+    /// Version of the loaded weights; 0 when none are loaded.
     pub version: u64,
-    /// Slowness; 1 is the usual speed.
+    /// Slowdown factor: 1 at the usual speed, above 1 when slower.
     pub pace: f32,
     /// Latest declarations of weights whose age is known.
     pub declared: Vec<DeclarationAge>,
 }
 
-/// One other entry.
+/// The last heartbeat of another entry.
 #[derive(Debug, Clone)]
 struct Peer {
-    beat: EntryHeartbeat,
-    heard_ms: u64,
+    heartbeat: EntryHeartbeat,
+    last_received_ms: u64,
 }
 
-/// The other entries, by their beats.
+/// The other entries, known by their heartbeats.
 #[derive(Debug, Default)]
 pub struct PeerTable {
-    // Ascending by name.
+    // Sorted by name.
     peers: Vec<Peer>,
 }
 
 impl PeerTable {
-    /// Takes a beat; returns whether the entry is new or was silent.
-    pub fn record_heartbeat(&mut self, beat: EntryHeartbeat, now_ms: u64) -> bool {
-        match self.peers.binary_search_by(|p| p.beat.name.cmp(&beat.name)) {
+    /// Records a heartbeat; returns whether the entry is new, restarted or had timed out.
+    pub fn record_heartbeat(&mut self, heartbeat: EntryHeartbeat, now_ms: u64) -> bool {
+        match self
+            .peers
+            .binary_search_by(|p| p.heartbeat.name.cmp(&heartbeat.name))
+        {
             Ok(at) => {
                 let peer = &mut self.peers[at];
-                let is_news = now_ms.saturating_sub(peer.heard_ms) >= ENTRY_SILENT_MS
-                    || peer.beat.incarnation != beat.incarnation;
-                peer.beat = beat;
-                peer.heard_ms = now_ms;
-                is_news
+                let is_change = now_ms.saturating_sub(peer.last_received_ms) >= ENTRY_TIMEOUT_MS
+                    || peer.heartbeat.incarnation != heartbeat.incarnation;
+                peer.heartbeat = heartbeat;
+                peer.last_received_ms = now_ms;
+                is_change
             }
             Err(at) => {
                 self.peers.insert(
                     at,
                     Peer {
-                        beat,
-                        heard_ms: now_ms,
+                        heartbeat,
+                        last_received_ms: now_ms,
                     },
                 );
                 true
@@ -134,19 +139,20 @@
         }
     }
 
-    /// Entries heard from lately.
+    /// Last heartbeats of the entries that have not timed out.
     pub fn live_entries(&self, now_ms: u64) -> impl Iterator<Item = &EntryHeartbeat> {
         self.peers
             .iter()
-            .filter(move |peer| now_ms.saturating_sub(peer.heard_ms) < ENTRY_SILENT_MS)
-            .map(|peer| &peer.beat)
+            .filter(move |peer| now_ms.saturating_sub(peer.last_received_ms) < ENTRY_TIMEOUT_MS)
+            .map(|peer| &peer.heartbeat)
     }
 
-    /// Whether another entry of `failure_domain` reads the store for `own` as well,
-    /// while what is known is `age_ms` old.
+    /// Whether another entry of `failure_domain` reads the store on behalf of the entry
+    /// `own`, whose records of the replicas are `age_ms` old.
     ///
-    /// One entry a failure domain reads, by a rank that all agree on; who loses
-    /// the store or falls silent is passed over.
+    /// Normally one entry of each failure domain reads: the first by rendezvous rank,
+    /// which every entry computes alike. Entries that can't reach the store or have
+    /// timed out are left out of the ranking.
     pub fn has_other_reader(
         &self,
         own: &str,
@@ -158,13 +164,14 @@
             .live_entries(now_ms)
             .filter(|peer| peer.has_store && peer.failure_domain == failure_domain)
             .map(|peer| peer.name.as_str());
-        let rank = rendezvous_rank(own, readers, READER_SEED) as u64;
-        let patience_ms = READER_SILENT_MS + READER_STAGGER_MS * rank.saturating_sub(1);
-        rank > 0 && age_ms < patience_ms
+        let rank = rendezvous_rank(own, readers, READER_RANK_SEED) as u64;
+        let fallback_age_ms = READER_FALLBACK_MS + READER_STAGGER_MS * rank.saturating_sub(1);
+        rank > 0 && age_ms < fallback_age_ms
     }
 
-    /// Every entry ever heard from, for beats to those that may be back.
+    /// Last heartbeats of all entries ever received, timed out or not, so that an entry
+    /// that recovers is sent heartbeats again.
     pub fn all_entries(&self) -> impl Iterator<Item = &EntryHeartbeat> {
-        self.peers.iter().map(|peer| &peer.beat)
+        self.peers.iter().map(|peer| &peer.heartbeat)
     }
 }
--- a/src/fleet/replica.rs
+++ b/src/fleet/replica.rs
@@ -1,35 +1,35 @@
 use std::net::SocketAddr;
 
-/// What a replica says of its own life.
+/// Lifecycle state that a replica reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// Takes work.
+    /// Accepts new requests.
     Ready,
-    /// Leaves soon and gets no new work.
+    /// Drains before it stops; gets no new requests.
     Leaving,
 }
 
-/// A replica as it registered itself.
+/// Registration of a replica, as it published it itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaRecord {
-    /// Identity, checked by the replica on each request.
+    /// Identifier; the replica rejects requests meant for another one.
     pub id: String,
-    /// Service it belongs to.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Address.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of its host.
     pub failure_domain: String,
-    /// Requests it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Lifecycle state.
     pub state: ReplicaState,
-    /// How much longer it stays slow after its start.
+    /// Time for which it stays slow after its start, in ms.
     pub cold_remaining_ms: u64,
-    /// Counter that tells each heartbeat from the one before.
+    /// Counter that rises with every heartbeat and every order to load weights.
     pub heartbeat_no: u64,
-    /// Start of the incarnation, in Unix ms.
+    /// Start of this incarnation, in ms of Unix time.
     pub born_unix_ms: Option<u64>,
-    /// Models with the version of their weights.
+    /// Models with the version of their loaded weights.
     pub weights: Vec<(String, u64)>,
 }
--- a/src/fleet/replica_table.rs
+++ b/src/fleet/replica_table.rs
@@ -4,41 +4,40 @@
 use crate::fleet::ReplicaRecord;
 use crate::fleet::ReplicaState;
 
-/// Time between a send and its first trace in a load report, in ms: two link
-/// delays between regions and the pause of a poll.
+/// Time between the send of a request and the first load report that can include it, in
+/// ms: two link delays between regions and the pause of one poll.
 const LOAD_REPORT_DELAY_MS: u64 = 6;
 
-/// Age at which a load report tells nothing any more, in ms: several times the
-/// interval of the reports.
+/// Age from which a load report is ignored, in ms: several times the report interval.
 const LOAD_STALE_MS: u64 = 700;
 
-/// First pause after a failed connection, in ms; doubles up to the longest.
+/// First pause after a failed connection, in ms; each further failure doubles it.
 const MIN_BACKOFF_MS: u64 = 250;
 
-/// Longest pause after failed connections, in ms: about the time after which a
-/// dead replica drops out of the list.
+/// Longest pause after failed connections, in ms: about the time after which a failed
+/// replica is removed from the list.
 const MAX_BACKOFF_MS: u64 = 4_000;
 
-/// Weight of the newest outcome in the share of failures.
+/// Weight of the latest outcome in the failure ratio.
 const FAILURE_WEIGHT: f64 = 0.15;
 
-/// Time after which an unused replica's share of failures has halved, in ms.
+/// Half-life of the failure ratio of an unused replica, in ms.
 const FAILURE_HALF_LIFE_MS: f64 = 3_000.0;
 
-/// Weight of the newest answer in the mean service time.
+/// Weight of the latest answer in the mean latency.
 const LATENCY_WEIGHT: f64 = 0.1;
 
-/// Weight of the newest observation in the mean delay beyond the prediction.
+/// Weight of the latest observation in the mean excess delay.
 const DELAY_WEIGHT: f64 = 0.3;
 
-/// Time after which an unused replica's mean delay has halved, in ms.
+/// Half-life of the mean excess delay of an unused replica, in ms.
 const DELAY_HALF_LIFE_MS: f64 = 1_500.0;
 
-/// Delay below which a late answer says nothing of the replica, in ms: about the
-/// error of a prediction.
+/// Excess delay below which a late answer is not attributed to the replica, in ms:
+/// about the error of a prediction.
 const MIN_EXCESS_DELAY_MS: f64 = 150.0;
 
-/// A request at a replica that has not begun to answer.
+/// A request that was sent to a replica and whose answer has not begun.
 #[derive(Debug)]
 struct PendingRequest {
     send_id: u64,
@@ -50,26 +49,32 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaKey(u32);
 
-/// A replica with what was observed of it.
+/// A replica, with the health and load that this process observed.
+///
+/// The excess delay is the time by which answers begin later than predicted.
 #[derive(Debug)]
 pub struct Replica {
-    /// What it registered.
+    /// Its latest registration.
     pub record: ReplicaRecord,
-    /// Whether it left the list.
+    /// Whether it was removed from the list of replicas.
     pub is_removed: bool,
-    /// Steady time of the last heartbeat seen.
+    /// Monotonic time at which its latest registration was received.
     pub last_heartbeat_ms: u64,
-    /// Requests of this process that are at it.
+    /// Requests of this process that the replica is handling.
     pub in_flight: u32,
     load: Option<EngineLoad>,
+    // Times of the sends that the last load report does not include.
     sent_since_load_ms: Vec<u64>,
     ended_since_load: u32,
+    // Time until which it gets no requests.
     excluded_until_ms: u64,
     backoff_ms: u64,
+    // Exponentially weighted, as of `failure_ratio_updated_ms`.
     failure_ratio: f64,
     failure_ratio_updated_ms: u64,
     mean_latency_ms: f64,
     pending: Vec<PendingRequest>,
+    // Exponentially weighted, as of `mean_excess_delay_updated_ms`.
     mean_excess_delay_ms: f64,
     mean_excess_delay_updated_ms: u64,
 }
@@ -95,7 +100,7 @@
         }
     }
 
-    /// Whether new work may be sent to it.
+    /// Whether new requests may be sent to it.
     pub fn is_usable(&self, now_ms: u64) -> bool {
         !self.is_removed
             && self.record.state == ReplicaState::Ready
@@ -105,15 +110,16 @@
                 .is_none_or(|load| load.is_up && !load.is_loading)
     }
 
-    /// Load report that is recent enough to decide on.
+    /// Last load report, if it is recent enough to rely on.
     pub fn recent_load(&self, now_ms: u64) -> Option<&EngineLoad> {
         self.load
             .as_ref()
             .filter(|load| now_ms.saturating_sub(load.received_ms) < LOAD_STALE_MS)
     }
 
-    /// Requests at the replica by the last report, the own sends since then, and
-    /// those of the other entries at `peer_requests_per_ms`.
+    /// Estimated requests at the replica: those of the last load report, the sends of
+    /// this process since then, and those of the other entries at
+    /// `peer_requests_per_ms`. None without a recent report.
     pub fn estimated_requests(&self, peer_requests_per_ms: f64, now_ms: u64) -> Option<u32> {
         let load = self.recent_load(now_ms)?;
         let sent = u32::try_from(self.sent_since_load_ms.len()).unwrap_or(u32::MAX);
@@ -126,13 +132,15 @@
         )
     }
 
-    /// Whether a request would begin at once, by the latest report.
+    /// Whether less than half of the slots are in use, so that a request begins at once;
+    /// false without a recent report.
     pub fn has_free_slots(&self, peer_requests_per_ms: f64, now_ms: u64) -> bool {
         self.estimated_requests(peer_requests_per_ms, now_ms)
             .is_some_and(|requests| requests * 2 < self.record.slots)
     }
 
-    /// Version of the weights of `model`, by the latest report.
+    /// Version of the loaded weights of `model`, from a recent load report or else from
+    /// the registration; 0 when none are loaded.
     pub fn weights_version(&self, model: &str, now_ms: u64) -> u64 {
         if let Some(load) = self.recent_load(now_ms) {
             return load.version;
@@ -144,32 +152,35 @@
             .map_or(0, |weights| weights.1)
     }
 
-    /// Share of recent requests that failed, fading while it is unused.
+    /// Share of recent requests that failed, from 0 to 1; decays while the replica is
+    /// unused.
     pub fn failure_ratio(&self, now_ms: u64) -> f64 {
         let idle_ms = now_ms.saturating_sub(self.failure_ratio_updated_ms) as f64;
         self.failure_ratio * 0.5f64.powf(idle_ms / FAILURE_HALF_LIFE_MS)
     }
 
-    /// Time by which it answers later than predicted, by past answers and by
-    /// those that are overdue now.
+    /// Time by which it answers later than predicted, in ms: the largest of the mean of
+    /// past answers and the delays of the answers that are overdue now.
     pub fn excess_delay_ms(&self, now_ms: u64) -> f64 {
-        let overdue = self
+        let overdue_ms = self
             .pending
             .iter()
             .map(|pending| now_ms.saturating_sub(pending.sent_ms) as f64 - pending.predicted_ms);
-        let worst = overdue.fold(self.mean_excess_delay_ms(now_ms), f64::max);
-        if worst < MIN_EXCESS_DELAY_MS {
+        let worst_ms = overdue_ms.fold(self.mean_excess_delay_ms(now_ms), f64::max);
+        if worst_ms < MIN_EXCESS_DELAY_MS {
             0.0
         } else {
-            worst
+            worst_ms
         }
     }
 
+    /// Mean excess delay of past answers, decayed up to `now_ms`.
     fn mean_excess_delay_ms(&self, now_ms: u64) -> f64 {
         let idle_ms = now_ms.saturating_sub(self.mean_excess_delay_updated_ms) as f64;
         self.mean_excess_delay_ms * 0.5f64.powf(idle_ms / DELAY_HALF_LIFE_MS)
     }
 
+    /// Adds the excess delay of a pending send to the mean, unless it was added before.
     fn record_delay(&mut self, send_id: u64, now_ms: u64) {
         let Some(at) = self.pending.iter().position(|p| p.send_id == send_id) else {
             return;
@@ -182,7 +193,7 @@
         self.mean_excess_delay_updated_ms = now_ms;
     }
 
-    /// Mean time of its answers; 0 before the first.
+    /// Mean latency of its answers, in ms; 0 before the first.
     pub fn mean_latency_ms(&self) -> f64 {
         self.mean_latency_ms
     }
@@ -214,8 +225,8 @@
 }
 
 impl ReplicaTable {
-    /// Takes a replica's newest record; returns its key and whether it is a new
-    /// incarnation.
+    /// Applies a replica's latest registration; returns its key and whether it is a new
+    /// replica or a new incarnation, which loses what was observed.
     pub fn register(&mut self, record: ReplicaRecord, now_ms: u64) -> (ReplicaKey, bool) {
         if let Some(key) = self.find(&record.id) {
             let replica = &mut self.replicas[key.0 as usize];
@@ -232,8 +243,8 @@
             }
             return (key, is_new_incarnation);
         }
-        let free = |replica: &Replica| replica.is_removed && replica.in_flight == 0;
-        match self.replicas.iter().position(free) {
+        let is_reusable = |replica: &Replica| replica.is_removed && replica.in_flight == 0;
+        match self.replicas.iter().position(is_reusable) {
             Some(at) => {
                 self.replicas[at] = Replica::new(record, now_ms);
                 (replica_key(at), true)
@@ -245,7 +256,7 @@
         }
     }
 
-    /// Marks the replica `id` as gone; returns whether it was known.
+    /// Marks the replica `id` as removed; returns whether it was listed.
     pub fn remove(&mut self, id: &str) -> bool {
         match self.find(id) {
             Some(key) if !self.replicas[key.0 as usize].is_removed => {
@@ -263,12 +274,12 @@
             .map(replica_key)
     }
 
-    /// Replica under `key`.
+    /// Replica with that key, also one that was removed.
     pub fn get(&self, key: ReplicaKey) -> &Replica {
         &self.replicas[key.0 as usize]
     }
 
-    /// Replicas that are still listed.
+    /// Replicas that were not removed.
     pub fn listed(&self) -> impl Iterator<Item = (ReplicaKey, &Replica)> {
         self.replicas
             .iter()
@@ -277,7 +288,7 @@
             .map(|(at, replica)| (replica_key(at), replica))
     }
 
-    /// Takes a load report from the endpoint process at `ip`.
+    /// Records a load report of the endpoint process at `ip` for the replica at `port`.
     pub fn record_load(&mut self, ip: IpAddr, port: u16, load: EngineLoad) {
         for replica in &mut self.replicas {
             let address = replica.record.address;
@@ -287,7 +298,7 @@
         }
     }
 
-    /// Counts a request sent to a replica; returns the id of the send.
+    /// Records a request sent to a replica; returns the id of the send.
     pub fn record_send(&mut self, key: ReplicaKey, predicted_ms: f64, now_ms: u64) -> u64 {
         self.last_send_id += 1;
         let replica = &mut self.replicas[key.0 as usize];
@@ -301,12 +312,12 @@
         self.last_send_id
     }
 
-    /// Notes that the replica began to answer a send.
+    /// Records that the answer to a send has begun.
     pub fn record_answer_start(&mut self, key: ReplicaKey, send_id: u64, now_ms: u64) {
         self.replicas[key.0 as usize].record_delay(send_id, now_ms);
     }
 
-    /// Counts a request that is no longer at a replica.
+    /// Records that a send has ended, with an answer or without.
     pub fn record_end(&mut self, key: ReplicaKey, send_id: u64, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
         replica.record_delay(send_id, now_ms);
@@ -314,7 +325,8 @@
         replica.ended_since_load += 1;
     }
 
-    /// Counts an answer that took `latency_ms`.
+    /// Records an answer that took `latency_ms`; `failed` answers don't count in the mean
+    /// latency.
     pub fn record_answer(&mut self, key: ReplicaKey, latency_ms: f64, failed: bool, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
         replica.record_outcome(failed, now_ms);
@@ -329,12 +341,13 @@
         };
     }
 
-    /// Counts a request that was sent and got no whole answer.
+    /// Records a request that was sent and got no complete answer.
     pub fn record_incomplete_answer(&mut self, key: ReplicaKey, now_ms: u64) {
         self.replicas[key.0 as usize].record_outcome(true, now_ms);
     }
 
-    /// Counts a connection that could not be opened: no work for a while.
+    /// Records a connection that could not be opened. The replica gets no requests for a
+    /// pause that doubles with each failure.
     pub fn record_connect_failure(&mut self, key: ReplicaKey, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
         if now_ms >= replica.excluded_until_ms {
@@ -343,13 +356,14 @@
         }
     }
 
-    /// Counts an answer by another replica at this address: no work until the
-    /// list says more.
+    /// Records that another replica answered at this address. The replica gets no requests
+    /// for the longest pause, in which the list should be updated.
     pub fn record_wrong_replica(&mut self, key: ReplicaKey, now_ms: u64) {
         self.replicas[key.0 as usize].excluded_until_ms = now_ms + MAX_BACKOFF_MS;
     }
 
-    /// Counts a refusal for lack of room.
+    /// Records that the replica refused to run a request. It gets no requests for a short
+    /// pause.
     pub fn record_refusal(&mut self, key: ReplicaKey, now_ms: u64) {
         let replica = &mut self.replicas[key.0 as usize];
         replica.excluded_until_ms = replica.excluded_until_ms.max(now_ms + MIN_BACKOFF_MS / 2);
--- a/src/fleet/shared_retry_budget.rs
+++ b/src/fleet/shared_retry_budget.rs
@@ -1,23 +1,25 @@
-/// Steps that a window is divided into.
+/// Buckets of a window, by which old counts expire.
 const BUCKETS: usize = 10;
 
-/// Budget for sending requests once more, shared by all entries.
+/// Budget for resending requests, shared by all entries.
 ///
-/// Within any window, all entries together may send `ratio` of the requests and
-/// `extra` more. Each entry spends the ratio of its own requests and an equal
-/// share of the extra.
+/// Within any window, all entries together may resend `resend_ratio` of the requests
+/// plus `extra_resends`. Each entry may spend the ratio of its own requests and an
+/// equal share of the extra resends.
 #[derive(Debug)]
 pub struct SharedRetryBudget {
     resend_ratio: f64,
     extra_resends: f64,
     bucket_ms: u64,
+    // Number of the bucket, requests and resends.
     buckets: [(u64, u32, u32); BUCKETS],
+    // Largest number of entries within the last window, and when it was observed.
     max_entry_count: u32,
     max_entry_count_ms: u64,
 }
 
 impl SharedRetryBudget {
-    /// Budget of `ratio` and `extra` for a window of `window_ms`.
+    /// Budget with the given limits for each window of `window_ms`.
     pub fn new(resend_ratio: f64, extra_resends: f64, window_ms: u64) -> Self {
         Self {
             resend_ratio,
@@ -29,13 +31,14 @@
         }
     }
 
-    /// Changes the limits; what was counted stays.
+    /// Changes the limits; requests and resends already counted stay.
     pub fn set_limits(&mut self, resend_ratio: f64, extra_resends: f64) {
         self.resend_ratio = resend_ratio;
         self.extra_resends = extra_resends;
     }
 
-    /// Tells how many entries there are; the most within a window counts.
+    /// Updates the number of entries that share the budget. The largest number within
+    /// a window counts, since entries that failed may have spent their share.
     pub fn set_entry_count(&mut self, entry_count: u32, now_ms: u64) {
         let window_ms = self.bucket_ms * BUCKETS as u64;
         if entry_count >= self.max_entry_count || now_ms >= self.max_entry_count_ms + window_ms {
@@ -49,7 +52,7 @@
         self.bucket(now_ms).1 += 1;
     }
 
-    /// Whether one further send is within the budget.
+    /// Whether one more resend is within the budget.
     pub fn can_resend(&self, now_ms: u64) -> bool {
         let newest = now_ms / self.bucket_ms + 1;
         let oldest = (newest + 1).saturating_sub(BUCKETS as u64);
@@ -61,7 +64,7 @@
         f64::from(resends) + 1.0 <= allowed
     }
 
-    /// Takes one further send out of the budget; false when it is spent.
+    /// Takes one resend out of the budget; returns false when the budget is spent.
     pub fn try_resend(&mut self, now_ms: u64) -> bool {
         if !self.can_resend(now_ms) {
             return false;
@@ -70,6 +73,7 @@
         true
     }
 
+    /// Bucket of `now_ms`, emptied when it last counted an earlier window.
     fn bucket(&mut self, now_ms: u64) -> &mut (u64, u32, u32) {
         let number = now_ms / self.bucket_ms + 1;
         let bucket = &mut self.buckets[(number % BUCKETS as u64) as usize];
--- a/src/fleet/topic_table.rs
+++ b/src/fleet/topic_table.rs
@@ -1,19 +1,19 @@
-/// A keyed topic of the platform's log.
+/// A topic of the platform's log whose records have keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topic {
-    /// Documents of the operator.
+    /// Documents that the operator publishes: the configuration and declarations of weights.
     Operator,
-    /// Records of the replicas.
+    /// Registrations of the replicas.
     Replicas,
-    /// Records of the entries, by which they find each other.
+    /// Registrations of the entries, by which they find each other.
     Members,
 }
 
 impl Topic {
-    /// Every topic.
+    /// Every topic, in the order of the variants.
     pub const ALL: [Self; 3] = [Self::Operator, Self::Replicas, Self::Members];
 
-    /// Stable name for logs and internal calls.
+    /// Stable name in log lines and in the paths of internal calls.
     pub fn label(self) -> &'static str {
         match self {
             Self::Operator => "operator",
@@ -22,30 +22,30 @@
         }
     }
 
-    /// Topic with that name.
+    /// Topic whose [`Topic::label`] is `label`.
     pub fn from_label(label: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|topic| topic.label() == label)
     }
 }
 
-/// The newest record of one key.
+/// The newest record of one key of a topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TopicRecord {
-    /// Key.
+    /// Key of the record within its topic.
     pub key: String,
-    /// Offset of the record.
+    /// Offset of the record in the log.
     pub offset: u64,
-    /// Value; None when the key was dropped.
+    /// Value; None when the key was deleted.
     pub value: Option<Vec<u8>>,
 }
 
 /// The newest record of each key of a topic, merged by offset.
 ///
-/// Records may come in any order, from the log or from other entries: the one
-/// with the higher offset stays, so that nothing ever reverts.
+/// Records may arrive in any order, from the log or from other entries. The record
+/// with the higher offset is kept, so that a key never goes back to an older value.
 #[derive(Debug, Default)]
 pub struct TopicTable {
-    // Ascending by key.
+    // Sorted by key.
     records: Vec<TopicRecord>,
     end_offset: u64,
     complete_from_offset: u64,
@@ -53,25 +53,26 @@
 }
 
 impl TopicTable {
-    /// Offset after the last record that is covered.
+    /// Offset up to which every record was read.
     pub fn end_offset(&self) -> u64 {
         self.end_offset
     }
 
-    /// Offset from which on every change is known. A listing tells nothing of the
-    /// keys that were dropped before it.
+    /// Offset from which on every change is known, deletions included. A listing
+    /// does not contain the keys that were deleted before it.
     pub fn complete_from_offset(&self) -> u64 {
         self.complete_from_offset
     }
 
-    /// Whether the topic was ever read as a whole.
+    /// Whether a complete listing of the topic was applied at least once.
     pub fn has_listing(&self) -> bool {
         self.has_listing
     }
 
-    /// Takes one record; returns whether it is news.
+    /// Applies one record; returns whether it is newer than the known one.
     ///
-    /// It says nothing of the records before it: [`TopicTable::advance_end_offset`] does.
+    /// The end offset stays, since records before this one may be missing; see
+    /// [`TopicTable::advance_end_offset`].
     pub fn apply_record(&mut self, record: TopicRecord) -> bool {
         match self.records.binary_search_by(|r| r.key.cmp(&record.key)) {
             Ok(at) if self.records[at].offset >= record.offset => false,
@@ -86,10 +87,10 @@
         }
     }
 
-    /// Takes the newest record of every key, as read from offset `end_offset`.
+    /// Applies a listing, which holds the newest record of every key as of `end_offset`.
     ///
-    /// Returns the keys that changed; those that the listing lacks are dropped,
-    /// unless a later record of theirs is known.
+    /// Returns the keys that changed. Keys that the listing lacks are deleted, unless
+    /// their known record is at or after `end_offset`.
     pub fn apply_listing(&mut self, listing: Vec<TopicRecord>, end_offset: u64) -> Vec<String> {
         let mut changed = Vec::new();
         let mut listed: Vec<String> = listing.iter().map(|record| record.key.clone()).collect();
@@ -112,17 +113,17 @@
         changed
     }
 
-    /// Notes that a listing was taken in whole.
+    /// Marks that a complete listing was applied.
     pub fn mark_listed(&mut self) {
         self.has_listing = true;
     }
 
-    /// Extends what is covered, after a read that held every record before `offset`.
+    /// Raises the end offset after a read that returned every record before `offset`.
     pub fn advance_end_offset(&mut self, offset: u64) {
         self.end_offset = self.end_offset.max(offset);
     }
 
-    /// Newest record of `key`.
+    /// Newest record of `key`, which may be a deletion.
     pub fn get(&self, key: &str) -> Option<&TopicRecord> {
         let at = self
             .records
@@ -131,12 +132,12 @@
         Some(&self.records[at])
     }
 
-    /// Newest records of the keys that are not dropped.
+    /// Newest records of the keys that are not deleted.
     pub fn live_records(&self) -> impl Iterator<Item = &TopicRecord> {
         self.records.iter().filter(|r| r.value.is_some())
     }
 
-    /// Records at or after `offset`.
+    /// Newest records with an offset of at least `offset`, deletions included.
     pub fn records_since(&self, offset: u64) -> impl Iterator<Item = &TopicRecord> {
         self.records.iter().filter(move |r| r.offset >= offset)
     }
