--- a/src/contracts/branch_share.rs
+++ b/src/contracts/branch_share.rs
@@ -1,7 +1,7 @@
 use crate::document::BranchSection;
 
-/// Queue weight of one percent of guaranteed share; more than any configured weight, so
-/// that guaranteed shares take precedence.
+/// Queue weight of one percent of guaranteed share, large enough that a guaranteed share
+/// normally outweighs the configured weight.
 const WEIGHT_PER_PERCENT: u32 = 10_000;
 
 /// Share that a branch has of the slots of an endpoint.
@@ -28,8 +28,8 @@
 }
 
 impl From<&BranchSection> for BranchShare {
-    /// A guaranteed share outweighs the configured weight, which decides among branches
-    /// without one.
+    /// The guaranteed share mostly determines the weight; the configured weight decides
+    /// among branches without one.
     fn from(section: &BranchSection) -> Self {
         Self {
             branch: section.name.clone(),
--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -334,6 +334,8 @@
         }
     }
 
+    /// Appends a request to the queue of its branch. A branch that starts to wait gets a
+    /// virtual time that is not too far behind those of the waiting branches.
     fn enqueue(&mut self, request: QueuedRequest<T>) {
         if self.waiting == 0 {
             self.reset_virtual_times();
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -111,8 +111,9 @@
 ///
 /// The request goes to the replica with the shortest predicted time. It is refused when
 /// no replica is predicted to meet the latency target, since it would only delay other
-/// requests. A request whose target has passed already goes only to an engine with
-/// free slots.
+/// requests. A request whose target has passed already, or whose client retries after a
+/// refusal, goes only to an engine with enough free slots; one that resumes a stream goes
+/// to any engine at which no request waits.
 pub fn admit_request(input: &AdmissionInput<'_>) -> AdmissionDecision {
     if input.remaining_ms == 0 {
         return refuse(RefusalCause::Expired, input);
--- a/tests/contracts/fair_queue.rs
+++ b/tests/contracts/fair_queue.rs
@@ -11,8 +11,8 @@
 use bergamotfork::contracts::QueueRefusal;
 use bergamotfork::contracts::QueuedRequest;
 
-const FAR_MS: u64 = 1_000_000;
-const MAX_COST: u64 = 100;
+const FAR_DEADLINE_MS: u64 = 1_000_000;
+const MAX_COST_TOKENS: u64 = 100;
 
 fn queue(slots: u32) -> FairQueue<u32> {
     FairQueue::new(QueueLimits {
@@ -35,12 +35,12 @@
     QueuedRequest {
         branch,
         cost_tokens,
-        deadline_ms: FAR_MS,
+        deadline_ms: FAR_DEADLINE_MS,
         item: 0,
     }
 }
 
-fn run(queue: &mut FairQueue<u32>) -> Option<QueuedRequest<u32>> {
+fn pop_running(queue: &mut FairQueue<u32>) -> Option<QueuedRequest<u32>> {
     match queue.pop(0) {
         PopOutcome::Run(request) => Some(request),
         PopOutcome::Nothing => None,
@@ -57,8 +57,8 @@
     });
 }
 
-/// While two branches are backlogged, their service over weight differs by no
-/// more than one request of each (start-time fair queueing, Goyal et al. 1996).
+/// While two branches both have requests waiting, their tokens served over weight differ
+/// by at most one request of each (start-time fair queueing, Goyal et al. 1996).
 #[test]
 fn pop_backlogged_branches_get_their_shares() {
     arbtest(|u: &mut Unstructured<'_>| {
@@ -71,21 +71,21 @@
         let mut served = [0; 2];
         for _ in 0..200 {
             for key in keys {
-                let cost = u.int_in_range(1..=MAX_COST)?;
+                let cost = u.int_in_range(1..=MAX_COST_TOKENS)?;
                 assert_eq!(queue.push(request(key, cost), 0), PushOutcome::Queued);
             }
-            let next = run(&mut queue).expect("both branches wait");
+            let next = pop_running(&mut queue).expect("both branches wait");
             let branch = usize::from(next.branch == keys[1]);
             served[branch] += next.cost_tokens * 1000 / u64::from(weights[branch]);
             finish(&mut queue, &next, None);
-            let bound = MAX_COST * 1000 / u64::from(weights[0].min(weights[1])) * 2;
+            let bound = MAX_COST_TOKENS * 1000 / u64::from(weights[0].min(weights[1])) * 2;
             assert!(served[0].abs_diff(served[1]) <= bound, "{served:?}");
         }
         Ok(())
     });
 }
 
-/// No slot stays free while a request waits.
+/// No slot stays free while a request waits, also with burst limits.
 #[test]
 fn pop_is_work_conserving() {
     arbtest(|u: &mut Unstructured<'_>| {
@@ -99,11 +99,11 @@
         for _ in 0..100 {
             if u.arbitrary()? {
                 let key = *u.choose(&keys)?;
-                queue.push(request(key, u.int_in_range(1..=MAX_COST)?), 0);
+                queue.push(request(key, u.int_in_range(1..=MAX_COST_TOKENS)?), 0);
             } else if let Some(done) = running.pop() {
                 finish(&mut queue, &done, None);
             }
-            while let Some(next) = run(&mut queue) {
+            while let Some(next) = pop_running(&mut queue) {
                 running.push(next);
             }
             assert_eq!(queue.running() as usize, running.len());
@@ -120,20 +120,20 @@
     let idle = queue.set_share(share("idle", 1, 100));
     for _ in 0..50 {
         queue.push(request(busy, 10), 0);
-        let next = run(&mut queue).expect("a request waits");
+        let next = pop_running(&mut queue).expect("a request waits");
         finish(&mut queue, &next, None);
     }
     for _ in 0..10 {
         queue.push(request(busy, 10), 0);
         queue.push(request(idle, 10), 0);
     }
-    let mut of_idle = 0;
+    let mut idle_runs = 0;
     for _ in 0..10 {
-        let next = run(&mut queue).expect("a request waits");
-        of_idle += u32::from(next.branch == idle);
+        let next = pop_running(&mut queue).expect("a request waits");
+        idle_runs += u32::from(next.branch == idle);
         finish(&mut queue, &next, None);
     }
-    assert!((4..=6).contains(&of_idle), "{of_idle}");
+    assert!((4..=6).contains(&idle_runs), "{idle_runs}");
 }
 
 #[test]
@@ -145,13 +145,13 @@
         queue.push(request(capped, 10), 0);
         queue.push(request(other, 10), 0);
     }
-    let running: Vec<_> = std::iter::from_fn(|| run(&mut queue)).collect();
-    let of_capped = running.iter().filter(|it| it.branch == capped).count();
-    assert_eq!((running.len(), of_capped), (4, 2));
+    let running: Vec<_> = std::iter::from_fn(|| pop_running(&mut queue)).collect();
+    let capped_runs = running.iter().filter(|it| it.branch == capped).count();
+    assert_eq!((running.len(), capped_runs), (4, 2));
 }
 
 #[test]
-fn pop_reserve_is_for_branches_below_their_share() {
+fn pop_reserved_slot_goes_to_branch_below_its_share() {
     let mut queue = FairQueue::new(QueueLimits {
         slots: 8,
         reserved_slots: 1,
@@ -163,15 +163,15 @@
     for _ in 0..20 {
         queue.push(request(bursting, 10), 0);
     }
-    let running: Vec<_> = std::iter::from_fn(|| run(&mut queue)).collect();
+    let running: Vec<_> = std::iter::from_fn(|| pop_running(&mut queue)).collect();
     assert_eq!(running.len(), 7);
     queue.push(request(quiet, 10), 0);
-    let next = run(&mut queue).expect("the reserve is free");
+    let next = pop_running(&mut queue).expect("the reserved slot is free");
     assert_eq!(next.branch, quiet);
 }
 
 #[test]
-fn push_full_branch_leaves_room_for_others() {
+fn push_full_branch_does_not_block_others() {
     let mut queue = FairQueue::new(QueueLimits {
         slots: 1,
         reserved_slots: 0,
@@ -201,16 +201,16 @@
     }
 }
 
-/// With one slot and 10 ms a token, three requests of 100 tokens take 3 s.
+/// With one slot and 10 ms per token, three requests of 100 tokens take 3 s.
 #[test]
-fn push_deadline_out_of_reach_is_refused_at_once() {
+fn push_unreachable_deadline_is_refused() {
     let mut queue = queue(1);
     let a = queue.set_share(share("a", 1, 100));
     queue.push(request(a, 100), 0);
-    let learned = run(&mut queue).expect("a request waits");
-    finish(&mut queue, &learned, Some(1000));
+    let first = pop_running(&mut queue).expect("a request waits");
+    finish(&mut queue, &first, Some(1000));
     queue.push(request(a, 100), 0);
-    run(&mut queue).expect("a request waits");
+    pop_running(&mut queue).expect("a request waits");
     queue.push(request(a, 100), 0);
     queue.push(request(a, 100), 0);
     let mut near = request(a, 100);
@@ -227,57 +227,58 @@
     assert_eq!(retry_after_ms, 2000);
 }
 
-/// What was learned while an engine was slow does not shut it off for good.
+/// An idle engine gets requests even when its estimated time exceeds their deadlines, so
+/// that the estimate recovers after the engine was slow.
 #[test]
-fn push_idle_endpoint_is_tried() {
+fn push_idle_endpoint_accepts_after_slow_request() {
     let mut queue = queue(1);
     let a = queue.set_share(share("a", 1, 100));
     queue.push(request(a, 100), 0);
-    let slow = run(&mut queue).expect("a request waits");
+    let slow = pop_running(&mut queue).expect("a request waits");
     finish(&mut queue, &slow, Some(50_000));
     let near = |now_ms: u64| QueuedRequest {
         deadline_ms: now_ms + 2000,
         ..request(a, 100)
     };
     assert_eq!(queue.push(near(0), 0), PushOutcome::Queued);
-    let tried = run(&mut queue).expect("the engine is idle");
+    let probe = pop_running(&mut queue).expect("the engine is idle");
     assert_eq!(
         refusal(queue.push(near(0), 0)),
         QueueRefusal::DeadlineTooNear
     );
-    finish(&mut queue, &tried, Some(1000));
+    finish(&mut queue, &probe, Some(1000));
     for _ in 0..20 {
         queue.push(near(0), 0);
-        let next = run(&mut queue).expect("the engine is idle");
+        let next = pop_running(&mut queue).expect("the engine is idle");
         finish(&mut queue, &next, Some(1000));
     }
     queue.push(near(0), 0);
-    run(&mut queue).expect("the engine is idle");
+    pop_running(&mut queue).expect("the engine is idle");
     assert_eq!(queue.push(near(0), 0), PushOutcome::Queued);
 }
 
 #[test]
-fn pop_gives_up_once_the_answer_cannot_be_whole() {
+fn pop_expires_request_that_cannot_complete() {
     let mut queue = queue(1);
     let a = queue.set_share(share("a", 1, 100));
     queue.push(request(a, 100), 0);
-    let learned = run(&mut queue).expect("a request waits");
-    finish(&mut queue, &learned, Some(1000));
+    let first = pop_running(&mut queue).expect("a request waits");
+    finish(&mut queue, &first, Some(1000));
     queue.push(request(a, 100), 0);
-    run(&mut queue).expect("a request waits");
+    pop_running(&mut queue).expect("a request waits");
     let mut near = request(a, 100);
     near.deadline_ms = 1500;
     assert_eq!(queue.latest_start_ms(&near), 500);
     assert_eq!(queue.push(near, 0), PushOutcome::Queued);
     assert_eq!(queue.pop(500), PopOutcome::Nothing);
     let PopOutcome::Expired { reason, .. } = queue.pop(501) else {
-        panic!("the request cannot be whole by its deadline");
+        panic!("the request cannot complete by its deadline");
     };
     assert_eq!(reason, QueueRefusal::DeadlineTooNear);
 }
 
 #[test]
-fn withdraw_takes_gone_callers() {
+fn withdraw_matching_removes_matching_requests() {
     let mut queue = queue(1);
     let a = queue.set_share(share("a", 1, 100));
     for item in 0..4 {
@@ -289,7 +290,7 @@
             0,
         );
     }
-    let gone = queue.withdraw_matching(|&item| item % 2 == 0);
-    assert_eq!(gone.len(), 2);
+    let withdrawn = queue.withdraw_matching(|&item| item % 2 == 0);
+    assert_eq!(withdrawn.len(), 2);
     assert_eq!(queue.waiting(), 2);
 }
--- a/tests/contracts/main.rs
+++ b/tests/contracts/main.rs
@@ -1,4 +1,4 @@
-//! Shares of branches: the fair queue and its admission.
+//! Shares of branches: the fair queue and its refusals.
 
 mod fair_queue;
 mod simulation;
--- a/tests/contracts/simulation.rs
+++ b/tests/contracts/simulation.rs
@@ -16,13 +16,13 @@
 const USED_TOKENS: u64 = 8;
 const END_MS: u64 = 30_000;
 
-/// One endpoint whose first branch always has requests waiting.
+/// Simulated endpoint whose first branch always has requests waiting.
 struct Endpoint {
     queue: FairQueue<u64>,
     branches: Vec<BranchKey>,
-    /// Branch and end time of what runs.
+    /// Branch and end time of each running request, in ms.
     running: Vec<(BranchKey, u64)>,
-    /// Waits of the branches that stay within their shares.
+    /// Waiting times of requests of the branches that stay within their shares.
     waits_ms: Vec<u64>,
     random: Pcg64Mcg,
 }
@@ -86,10 +86,10 @@
     }
 }
 
-/// Branches at 80% of their shares wait little beside one that bursts, whatever
-/// the queue thinks that requests cost.
+/// Branches that use 80% of their shares wait only shortly while another branch bursts,
+/// although the estimated cost of requests is five times the actual one.
 #[test]
-fn pop_burst_does_not_delay_the_others() {
+fn pop_burst_does_not_delay_other_branches() {
     let mut endpoint = Endpoint::new();
     let arrivals_per_ms = f64::from(SLOTS) / SERVICE_MS as f64 * 0.2;
     let mut busy = 0;
--- a/tests/fleet/admission.rs
+++ b/tests/fleet/admission.rs
@@ -12,8 +12,8 @@
 
 const TARGET_MS: u64 = 400;
 
-/// A usual request that has just arrived.
-fn arrival<'a>(
+/// Input for a request of typical size that has just arrived.
+fn new_request<'a>(
     replicas: &'a [(ReplicaKey, &'a Replica)],
     engine: &'a EngineProfile,
     now_ms: u64,
@@ -48,20 +48,20 @@
     admit_request(&AdmissionInput {
         was_refused_before,
         seed,
-        ..arrival(&replicas, &engine(), now_ms)
+        ..new_request(&replicas, &engine(), now_ms)
     })
 }
 
-/// Replica that a request goes to.
-fn sent_to(admission: AdmissionDecision) -> ReplicaKey {
-    match admission {
+/// Replica that the request is sent to.
+fn chosen_replica(decision: AdmissionDecision) -> ReplicaKey {
+    match decision {
         AdmissionDecision::Send { replica, .. } => replica,
         refusal => panic!("{refusal:?}"),
     }
 }
 
 #[test]
-fn predicted_first_event_grows_with_load_and_prompt() {
+fn predicted_first_event_ms_grows_with_load_and_prompt() {
     let engine = engine();
     let of = |requests, prompt| predicted_first_event_ms(&engine, requests, prompt);
     assert!(of(0, 800.0) < of(15, 800.0));
@@ -70,17 +70,17 @@
 }
 
 #[test]
-fn admit_goes_to_the_least_loaded() {
+fn admit_request_avoids_the_replica_without_free_slots() {
     let (table, keys) = table(0, &[14, 18, 3, 15]);
     for seed in 0..50 {
-        // A difference within the spread may go either way; 3 and 14 differ
-        // by less than a request's reading, 18 waits for slots.
-        assert_ne!(sent_to(decide(&table, 10, seed, false)), keys[1]);
+        // The predictions for 3, 14 and 15 requests differ by less than the processing
+        // of a prompt, so that the random part may decide; with 18, a slot is waited for.
+        assert_ne!(chosen_replica(decide(&table, 10, seed, false)), keys[1]);
     }
 }
 
 #[test]
-fn admit_overload_is_refused_at_once_with_a_pause() {
+fn admit_request_overload_is_refused_with_retry_time() {
     let (table, _) = table(0, &[24, 26, 30]);
     match decide(&table, 10, 1, false) {
         AdmissionDecision::Refuse {
@@ -95,21 +95,21 @@
 }
 
 #[test]
-fn admit_returned_request_needs_free_slots() {
-    let (busy, _) = table(0, &[15, 16]);
+fn admit_request_retry_after_refusal_needs_free_slots() {
+    let (loaded, _) = table(0, &[15, 16]);
     assert!(matches!(
-        decide(&busy, 10, 1, true),
+        decide(&loaded, 10, 1, true),
         AdmissionDecision::Refuse { .. }
     ));
-    let (calm, _) = table(0, &[6, 16]);
+    let (half_free, _) = table(0, &[6, 16]);
     assert!(matches!(
-        decide(&calm, 10, 1, true),
+        decide(&half_free, 10, 1, true),
         AdmissionDecision::Send { .. }
     ));
 }
 
 #[test]
-fn admit_no_replica_is_told_from_overload() {
+fn admit_request_without_replicas_is_refused_as_no_replica() {
     let table = ReplicaTable::default();
     assert!(matches!(
         decide(&table, 10, 1, false),
@@ -120,10 +120,10 @@
     ));
 }
 
-/// Requests arrive in one burst between two load reports; none is turned away
-/// while slots are free, and no engine is filled beyond what it can begin in time.
+/// Requests arrive in one burst between two load reports. None is refused while slots are
+/// free, and no engine gets more requests than it can begin in time.
 #[test]
-fn admit_burst_between_reports_spreads() {
+fn admit_request_burst_between_load_reports_is_spread() {
     let (mut table, keys) = table(0, &[8; 12]);
     let mut sent = vec![0u32; keys.len()];
     let mut refused = 0;
@@ -145,38 +145,39 @@
     assert!(refused >= 200 - 12 * 12, "{refused}");
 }
 
-/// An engine that answers far later than predicted gets nothing while others
-/// have room, as behind a choked link.
+/// An engine that answers far later than predicted, such as behind a saturated link, gets
+/// no requests while another engine has capacity.
 #[test]
-fn admit_overdue_engine_is_left_alone() {
+fn admit_request_overdue_engine_gets_no_requests() {
     let (mut table, keys) = table(1_000, &[0, 6]);
     table.record_send(keys[0], 100.0, 100);
     for seed in 0..20 {
-        assert_eq!(sent_to(decide(&table, 1_020, seed, false)), keys[1]);
+        assert_eq!(chosen_replica(decide(&table, 1_020, seed, false)), keys[1]);
     }
 }
 
-/// One engine with room and five other entries that see the same: each counts
-/// what the others send since the report.
+/// Only one engine has capacity, and five other entries have the same load report: each
+/// entry counts the requests that the others are estimated to have sent since then, so
+/// that the engine is not overloaded.
 #[test]
-fn admit_single_open_engine_is_not_flooded() {
+fn admit_request_counts_requests_of_other_entries() {
     let (table, _) = table(0, &[10]);
     let peer_requests_per_ms = 0.17;
     let replicas: Vec<(ReplicaKey, &Replica)> = table.listed().collect();
     let at = |now_ms| {
         admit_request(&AdmissionInput {
             peer_requests_per_ms,
-            ..arrival(&replicas, &engine(), now_ms)
+            ..new_request(&replicas, &engine(), now_ms)
         })
     };
     assert!(matches!(at(5), AdmissionDecision::Send { .. }));
     assert!(matches!(at(95), AdmissionDecision::Refuse { .. }));
 }
 
-/// A stream that broke off in the middle goes on where a late request would not
-/// begin, but not behind others.
+/// A stream that broke in the middle is resumed even at an engine that would not get a
+/// late request, but not at one where other requests wait already.
 #[test]
-fn admit_begun_stream_goes_on_beside_late_ones() {
+fn admit_request_broken_stream_is_not_queued_behind_others() {
     let decide = |requests: u32| {
         let (table, _) = table(0, &[requests]);
         let replicas: Vec<(ReplicaKey, &Replica)> = table.listed().collect();
@@ -184,7 +185,7 @@
             waited_ms: 1_500,
             has_partial_answer: true,
             remaining_ms: 4_000,
-            ..arrival(&replicas, &engine(), 10)
+            ..new_request(&replicas, &engine(), 10)
         })
     };
     assert!(matches!(decide(15), AdmissionDecision::Send { .. }));
--- a/tests/fleet/fixture.rs
+++ b/tests/fleet/fixture.rs
@@ -5,7 +5,7 @@
 use bergamotfork::fleet::ReplicaState;
 use bergamotfork::fleet::ReplicaTable;
 
-/// An engine of 16 slots, as large as those of the platform.
+/// Profile of an engine with 16 slots and the speed of the platform's engines.
 pub fn engine() -> EngineProfile {
     EngineProfile {
         slots: 16,
@@ -22,6 +22,7 @@
     }
 }
 
+/// Registration of replica `id` at 10.0.0.`host`, port 80.
 pub fn record(id: &str, host: u8) -> ReplicaRecord {
     ReplicaRecord {
         id: id.to_owned(),
@@ -37,6 +38,7 @@
     }
 }
 
+/// Load report of an engine that holds version 1.
 pub fn load(received_ms: u64, running: u32, queued: u32) -> EngineLoad {
     EngineLoad {
         received_ms,
@@ -50,7 +52,8 @@
     }
 }
 
-/// A table of replicas with these requests at each, as reported at `at_ms`.
+/// Table of replicas that reported these numbers of requests, running or queued, at
+/// `at_ms`; with their keys.
 pub fn table(at_ms: u64, requests: &[u32]) -> (ReplicaTable, Vec<ReplicaKey>) {
     let mut table = ReplicaTable::default();
     let mut keys = Vec::new();
--- a/tests/fleet/beliefs.rs
+++ b/tests/fleet/fleet_view.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn catalog_workspace_by_key() {
+fn catalog_workspace_by_api_key() {
     let owner = Workspace {
         name: "w".to_owned(),
         priority: Some(1),
@@ -73,24 +73,24 @@
 }
 
 #[test]
-fn ledger_apply_never_goes_back() {
-    let mut ledger = TopicTable::default();
-    assert!(ledger.apply_record(change("a", 5, Some("new"))));
-    assert!(!ledger.apply_record(change("a", 3, Some("old"))));
-    assert!(!ledger.apply_record(change("a", 5, Some("same"))));
+fn topic_table_apply_record_older_offset_is_ignored() {
+    let mut table = TopicTable::default();
+    assert!(table.apply_record(change("a", 5, Some("new"))));
+    assert!(!table.apply_record(change("a", 3, Some("old"))));
+    assert!(!table.apply_record(change("a", 5, Some("same"))));
     assert_eq!(
-        ledger.get("a").unwrap().value.as_deref(),
+        table.get("a").unwrap().value.as_deref(),
         Some(b"new".as_slice())
     );
-    // One record says nothing of those before it.
-    assert_eq!(ledger.end_offset(), 0);
-    ledger.advance_end_offset(6);
-    ledger.advance_end_offset(4);
-    assert_eq!(ledger.end_offset(), 6);
+    // A single record does not imply that those before it were read.
+    assert_eq!(table.end_offset(), 0);
+    table.advance_end_offset(6);
+    table.advance_end_offset(4);
+    assert_eq!(table.end_offset(), 6);
 }
 
 #[test]
-fn ledger_apply_any_order_gives_the_same() {
+fn topic_table_apply_record_order_does_not_matter() {
     let records = [
         change("a", 1, Some("x")),
         change("b", 2, Some("y")),
@@ -98,11 +98,11 @@
         change("b", 3, Some("z")),
     ];
     let end = |order: &[usize]| {
-        let mut ledger = TopicTable::default();
+        let mut table = TopicTable::default();
         for at in order {
-            ledger.apply_record(records[*at].clone());
+            table.apply_record(records[*at].clone());
         }
-        (ledger.get("a").cloned(), ledger.get("b").cloned())
+        (table.get("a").cloned(), table.get("b").cloned())
     };
     let expected = end(&[0, 1, 2, 3]);
     assert_eq!(end(&[3, 2, 1, 0]), expected);
@@ -110,33 +110,34 @@
 }
 
 #[test]
-fn ledger_apply_listing_drops_what_it_lacks() {
-    let mut ledger = TopicTable::default();
-    ledger.apply_record(change("gone", 1, Some("x")));
-    ledger.apply_record(change("later", 9, Some("y")));
-    let changed = ledger.apply_listing(vec![change("a", 4, Some("z"))], 6);
+fn topic_table_apply_listing_deletes_missing_keys() {
+    let mut table = TopicTable::default();
+    table.apply_record(change("gone", 1, Some("x")));
+    table.apply_record(change("later", 9, Some("y")));
+    let changed = table.apply_listing(vec![change("a", 4, Some("z"))], 6);
     assert!(changed.contains(&"gone".to_owned()));
     assert!(changed.contains(&"a".to_owned()));
-    assert!(ledger.get("gone").unwrap().value.is_none());
-    assert!(ledger.get("later").unwrap().value.is_some());
-    assert_eq!(ledger.end_offset(), 6);
+    assert!(table.get("gone").unwrap().value.is_none());
+    assert!(table.get("later").unwrap().value.is_some());
+    assert_eq!(table.end_offset(), 6);
 }
 
-/// Records that are written while the pages of a listing are read may be on a
-/// later page, and others before them on none: they are read again.
+/// Records written while the pages of a listing are read may be on a later page, while
+/// records before them are on none. The end offset must not cover them, so that they are
+/// read again.
 #[test]
-fn ledger_apply_listing_does_not_cover_what_came_meanwhile() {
-    let mut ledger = TopicTable::default();
+fn topic_table_apply_listing_end_offset_excludes_later_records() {
+    let mut table = TopicTable::default();
     let listing = vec![change("a", 98, Some("old")), change("m", 102, Some("new"))];
-    ledger.apply_listing(listing, 100);
-    assert_eq!(ledger.end_offset(), 100, "the record 101 was not seen");
-    ledger.apply_record(change("a", 101, None));
-    ledger.advance_end_offset(103);
-    assert!(ledger.get("a").unwrap().value.is_none());
+    table.apply_listing(listing, 100);
+    assert_eq!(table.end_offset(), 100, "record 101 is not in the listing");
+    table.apply_record(change("a", 101, None));
+    table.advance_end_offset(103);
+    assert!(table.get("a").unwrap().value.is_none());
 }
 
 #[test]
-fn replica_leaving_gets_no_work() {
+fn replica_leaving_is_not_usable() {
     let (mut table, keys) = table(0, &[1]);
     assert!(table.get(keys[0]).is_usable(10));
     let mut leaving = record("r1", 1);
@@ -146,19 +147,19 @@
 }
 
 #[test]
-fn replica_reborn_under_its_id_is_new() {
+fn register_new_incarnation_resets_exclusion() {
     let (mut table, keys) = table(0, &[1]);
     table.record_connect_failure(keys[0], 10);
     assert!(!table.get(keys[0]).is_usable(20));
-    let mut reborn = record("r1", 1);
-    reborn.born_unix_ms = Some(2);
-    let (key, is_new) = table.register(reborn, 30);
-    assert_eq!((key, is_new), (keys[0], true));
+    let mut new_incarnation = record("r1", 1);
+    new_incarnation.born_unix_ms = Some(2);
+    let (key, is_new_incarnation) = table.register(new_incarnation, 30);
+    assert_eq!((key, is_new_incarnation), (keys[0], true));
     assert!(table.get(key).is_usable(30));
 }
 
 #[test]
-fn replica_unreachable_is_tried_again_ever_later() {
+fn record_connect_failure_pause_grows() {
     let (mut table, keys) = table(0, &[0]);
     let mut now_ms = 0;
     let mut pauses = Vec::new();
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn replica_loading_or_down_gets_no_work() {
+fn replica_loading_or_down_is_not_usable() {
     let (mut table, keys) = table(0, &[0]);
     let ip = "10.0.0.1".parse().unwrap();
     let mut report = load(10, 0, 0);
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn replica_known_requests_adds_sends_since_the_report() {
+fn estimated_requests_adds_sends_since_the_report() {
     let (mut table, keys) = table(100, &[5]);
     let send_id = table.record_send(keys[0], 50.0, 110);
     table.record_send(keys[0], 50.0, 120);
@@ -210,16 +211,16 @@
 }
 
 #[test]
-fn declarations_ages_spread_to_late_starters() {
-    let mut old = Declarations::default();
-    old.add(declaration(2, 1_000, true));
-    old.add(declaration(3, 3_000, true));
-    let notes = old.recent_ages(5_000);
-    // A process that starts finds only the newest, and not its age.
+fn declarations_merge_ages_sets_times_after_late_start() {
+    let mut early = Declarations::default();
+    early.add(declaration(2, 1_000, true));
+    early.add(declaration(3, 3_000, true));
+    let ages = early.recent_ages(5_000);
+    // A process that starts later finds only the newest one in the store, without its age.
     let mut late = Declarations::default();
     late.add(declaration(3, -8_000, false));
     assert!(!late.are_times_exact());
-    late.merge_ages(&notes, 100);
+    late.merge_ages(&ages, 100);
     assert!(late.are_times_exact());
     let known: Vec<(u64, i64)> = late
         .for_model("m")
@@ -228,59 +229,59 @@
     assert_eq!(known, [(2, 100 - 4_000), (3, 100 - 2_000)]);
 }
 
-/// A process that reads the store late begins with new weights at once.
+/// A process that reads the store late learns of new weights from another process first.
 #[test]
-fn declarations_newer_version_is_learned_from_others() {
+fn declarations_merge_ages_adds_newer_version() {
     let mut known = Declarations::default();
     known.add(declaration(2, 1_000, true));
-    let note = DeclarationAge {
+    let age = DeclarationAge {
         model: "m".to_owned(),
         version: 3,
         age_ms: 400,
     };
-    assert!(known.merge_ages(std::slice::from_ref(&note), 5_000));
+    assert!(known.merge_ages(std::slice::from_ref(&age), 5_000));
     assert_eq!(*known.latest().unwrap(), declaration(3, 4_600, true));
     assert!(
-        !known.merge_ages(std::slice::from_ref(&note), 5_100),
-        "news only once"
+        !known.merge_ages(std::slice::from_ref(&age), 5_100),
+        "the version is new only once"
     );
     assert!(
-        !known.merge_ages(std::slice::from_ref(&note), 5_100),
-        "news only once"
+        !known.merge_ages(std::slice::from_ref(&age), 5_100),
+        "the version is new only once"
     );
-    // Its record, which comes later, changes nothing.
+    // The record of the store, which arrives later, changes nothing.
     assert!(!known.add(declaration(3, 6_000, true)));
 }
 
 #[test]
-fn declarations_earliest_age_stays() {
+fn declarations_merge_ages_keeps_earliest_time() {
     let mut known = Declarations::default();
     known.add(declaration(2, 1_000, true));
-    let note = |age_ms| DeclarationAge {
+    let age = |age_ms| DeclarationAge {
         model: "m".to_owned(),
         version: 2,
         age_ms,
     };
-    known.merge_ages(&[note(100)], 2_000);
+    known.merge_ages(&[age(100)], 2_000);
     assert_eq!(known.latest().unwrap().learned_ms, 1_000);
-    known.merge_ages(&[note(1_500)], 2_000);
+    known.merge_ages(&[age(1_500)], 2_000);
     assert_eq!(known.latest().unwrap().learned_ms, 500);
 }
 
 #[test]
-fn rendezvous_rank_agrees_on_every_process() {
+fn rendezvous_rank_matches_rendezvous_order() {
     let names = ["a", "b", "c", "d"];
-    let mut slots: Vec<usize> = names
+    let mut ranks: Vec<usize> = names
         .iter()
         .map(|name| rendezvous_rank(name, names.into_iter(), 7))
         .collect();
     let order: Vec<usize> = rendezvous_order(names.into_iter().zip(0..), 7);
     assert_eq!(
-        order.iter().map(|at| slots[*at]).collect::<Vec<_>>(),
+        order.iter().map(|at| ranks[*at]).collect::<Vec<_>>(),
         [0, 1, 2, 3]
     );
-    slots.sort_unstable();
-    assert_eq!(slots, [0, 1, 2, 3]);
+    ranks.sort_unstable();
+    assert_eq!(ranks, [0, 1, 2, 3]);
 }
 
 #[test]
@@ -291,7 +292,7 @@
         rendezvous_choose_weighted(entries, seed).unwrap()
     };
     let count = |name: &str| (0..8_000).filter(|s| first(&names, *s) == name).count();
-    // Weights of 40 and 200 of 400 in all: 800 and 4,000 of 8,000 choices.
+    // Weights of 40 and 200 out of 400 in total: 800 and 4,000 of 8,000 choices.
     assert!((700..900).contains(&count("a")));
     assert!((3_800..4_200).contains(&count("b")));
     let without_d = &names[..3];
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,6 +1,6 @@
-//! What an entry believes and decides, each decision with the load it answers.
+//! The fleet module: the view of the fleet, admission of requests, and the retry budget.
 
 mod admission;
-mod beliefs;
 mod fixture;
+mod fleet_view;
 mod retries;
--- a/tests/fleet/retries.rs
+++ b/tests/fleet/retries.rs
@@ -3,10 +3,10 @@
 
 const WINDOW_MS: u64 = 10_000;
 
-/// Every entry loses all its answers, as when replicas reset their connections:
-/// together they stay within the ratio and the extra of any window.
+/// All requests fail at every entry, such as when replicas reset their connections. The
+/// entries together stay within the ratio and the extra resends of any window.
 #[test]
-fn retry_window_all_entries_stay_within_the_budget() {
+fn shared_retry_budget_try_resend_all_entries_stay_within_limits() {
     let entries = 6;
     let mut budgets: Vec<SharedRetryBudget> = (0..entries)
         .map(|_| SharedRetryBudget::new(0.2, 100.0, WINDOW_MS))
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn retry_window_most_entries_seen_counts() {
+fn shared_retry_budget_set_entry_count_keeps_maximum() {
     let mut budget = SharedRetryBudget::new(0.0, 12.0, WINDOW_MS);
     budget.set_entry_count(6, 0);
-    // Entries that were killed may have spent their share before.
+    // The entries that failed may have spent their share within this window.
     budget.set_entry_count(1, 1_000);
     let sent = (0..10).filter(|_| budget.try_resend(1_000)).count();
     assert_eq!(sent, 2);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn rate_meter_fades() {
+fn rate_meter_events_per_ms_decays() {
     let mut meter = RateMeter::default();
     for now_ms in (0..5_000).step_by(25) {
         meter.record_event(now_ms);
