--- a/src/fleet/declarations.rs
+++ b/src/fleet/declarations.rs
@@ -18,7 +18,7 @@
     /// Monotonic time of this process at which any process first learned of the
     /// declaration, as far as known; negative when that was before this process started.
     pub learned_ms: i64,
-    /// Whether `learned_ms` is exact, and not only the latest possible time.
+    /// Whether `learned_ms` is known exactly; otherwise it is an assumed bound.
     pub is_time_exact: bool,
 }
 
--- a/src/fleet/replica_table.rs
+++ b/src/fleet/replica_table.rs
@@ -65,9 +65,11 @@
     load: Option<EngineLoad>,
     // Times of the sends that the last load report does not include.
     sent_since_load_ms: Vec<u64>,
+    // Requests of this process that have ended since the last load report.
     ended_since_load: u32,
     // Time until which it gets no requests.
     excluded_until_ms: u64,
+    // Pause after the next failed connection.
     backoff_ms: u64,
     // Exponentially weighted, as of `failure_ratio_updated_ms`.
     failure_ratio: f64,
@@ -198,6 +200,7 @@
         self.mean_latency_ms
     }
 
+    /// Applies a load report; the sends that it covers are no longer counted on top.
     fn record_load(&mut self, load: EngineLoad) {
         let covered_ms = load.received_ms.saturating_sub(LOAD_REPORT_DELAY_MS);
         self.sent_since_load_ms
@@ -209,6 +212,7 @@
         self.load = Some(load);
     }
 
+    /// Updates the failure ratio with the outcome of one request.
     fn record_outcome(&mut self, failed: bool, now_ms: u64) {
         let past = self.failure_ratio(now_ms);
         let newest = if failed { 1.0 } else { 0.0 };
@@ -267,6 +271,7 @@
         }
     }
 
+    /// Key of the replica `id`, removed or not.
     fn find(&self, id: &str) -> Option<ReplicaKey> {
         self.replicas
             .iter()
