--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,30 +1,30 @@
-//! What an entry believes of the fleet, and what it decides from that.
+//! The view that one process has of the fleet, and the decisions based on it.
 //!
-//! The catalogue of routes, the replicas with their observed health and load,
-//! the other entries, and the decisions on placement, admission and retries.
-//! Nothing here does I/O, beyond queueing log lines; time is an argument in ms of
-//! the steady clock.
+//! It holds the configured routes and services, the replicas with their observed
+//! health and load, the other entries, and the declared versions of weights. From
+//! these it decides on placement, admission and retries. The module does no I/O
+//! except queueing log lines; the caller passes the time, in ms of a monotonic clock.
 
 mod admission;
 mod catalog;
 mod declarations;
 mod engine_load;
-mod ledger;
 mod peers;
 mod rate_meter;
+mod rendezvous;
 mod replica;
 mod replica_table;
-mod retry_window;
-mod rotation;
+mod shared_retry_budget;
+mod topic_table;
 
-pub use admission::Admission;
+pub use admission::AdmissionDecision;
 pub use admission::AdmissionInput;
 pub use admission::RefusalCause;
-pub use admission::admit;
+pub use admission::admit_request;
 pub use admission::predicted_first_event_ms;
 pub use catalog::Catalog;
+pub use catalog::ClientLimits;
 pub use catalog::EngineProfile;
-pub use catalog::Limits;
 pub use catalog::ModelProfile;
 pub use catalog::OriginProfile;
 pub use catalog::Route;
@@ -32,24 +32,24 @@
 pub use catalog::Service;
 pub use catalog::Workspace;
 pub use declarations::Declaration;
+pub use declarations::DeclarationRecord;
 pub use declarations::Declarations;
-pub use declarations::DeclaredRecord;
 pub use engine_load::EngineLoad;
-pub use ledger::Ledger;
-pub use ledger::LedgerRecord;
-pub use ledger::Topic;
-pub use peers::DeclarationNote;
-pub use peers::EntryBeat;
+pub use peers::DeclarationAge;
+pub use peers::EntryHeartbeat;
+pub use peers::EntryRegistration;
 pub use peers::LoadReport;
-pub use peers::Member;
 pub use peers::PeerTable;
 pub use rate_meter::RateMeter;
+pub use rendezvous::rendezvous_choose_weighted;
+pub use rendezvous::rendezvous_order;
+pub use rendezvous::rendezvous_rank;
 pub use replica::ReplicaRecord;
 pub use replica::ReplicaState;
 pub use replica_table::Replica;
 pub use replica_table::ReplicaKey;
 pub use replica_table::ReplicaTable;
-pub use retry_window::RetryWindow;
-pub use rotation::rotation_first_weighted;
-pub use rotation::rotation_order;
-pub use rotation::rotation_slot;
+pub use shared_retry_budget::SharedRetryBudget;
+pub use topic_table::Topic;
+pub use topic_table::TopicRecord;
+pub use topic_table::TopicTable;
--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -8,9 +8,9 @@
 use tokio::net::UdpSocket;
 
 use crate::fleet::EngineLoad;
-use crate::fleet::EntryBeat;
+use crate::fleet::EntryHeartbeat;
+use crate::fleet::EntryRegistration;
 use crate::fleet::LoadReport;
-use crate::fleet::Member;
 use crate::fleet::Topic;
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Datagram {
     /// An entry is alive.
-    Beat(EntryBeat),
+    Beat(EntryHeartbeat),
     /// Load of an engine.
     Load(LoadReport),
     /// Pieces of weights that a host holds.
@@ -94,10 +94,10 @@
     }
 }
 
-fn own_beat(state: &GatewayState) -> EntryBeat {
+fn own_beat(state: &GatewayState) -> EntryHeartbeat {
     let mut suspects = state.suspects.export(state.now_ms());
     suspects.truncate(MAX_TOLD_SUSPECTS);
-    EntryBeat {
+    EntryHeartbeat {
         name: state.settings.name.clone(),
         incarnation: state.incarnation,
         internal: state.settings.internal,
@@ -108,7 +108,7 @@
         has_store: state.has_store(),
         ends: state.ends(),
         replicas_age_ms: state.replicas_age_ms(),
-        declared: state.weights.notes(state.now_ms() as i64),
+        declared: state.weights.recent_ages(state.now_ms() as i64),
         suspects,
     }
 }
@@ -118,10 +118,12 @@
     let own = state.settings.internal;
     let registered = state
         .ledger(Topic::Members)
-        .since(0)
-        .filter_map(|record| rmp_serde::from_slice::<Member>(record.value.as_deref()?).ok())
+        .records_since(0)
+        .filter_map(|record| {
+            rmp_serde::from_slice::<EntryRegistration>(record.value.as_deref()?).ok()
+        })
         .map(|member| member.internal);
-    let heard = state.peers.all().map(|peer| peer.internal);
+    let heard = state.peers.all_entries().map(|peer| peer.internal);
     registered
         .chain(heard)
         .filter(|address| *address != own)
@@ -183,7 +185,7 @@
 fn take_load(state: &RefCell<GatewayState>, report: &LoadReport, from: SocketAddr) {
     let mut state = state.borrow_mut();
     let load = EngineLoad {
-        at_ms: state.now_ms(),
+        received_ms: state.now_ms(),
         is_up: report.is_up,
         is_loading: report.is_loading,
         running: report.running,
@@ -192,16 +194,16 @@
         version: report.version,
         pace: f64::from(report.pace),
     };
-    state.replicas.take_load(from.ip(), report.port, load);
+    state.replicas.record_load(from.ip(), report.port, load);
     let now_ms = state.now_ms() as i64;
-    if state.weights.merge(&report.declared, now_ms) {
+    if state.weights.merge_ages(&report.declared, now_ms) {
         state.weights_notice.notify_one();
     }
 }
 
 fn take_beat(
     state: &Rc<RefCell<GatewayState>>,
-    beat: EntryBeat,
+    beat: EntryHeartbeat,
     decoder: &Rc<impl RecordDecoder + 'static>,
 ) {
     let mut known = state.borrow_mut();
@@ -210,7 +212,7 @@
     }
     let now_ms = known.now_ms();
     known.suspects.merge(beat.suspects.iter().cloned(), now_ms);
-    if known.weights.merge(&beat.declared, now_ms as i64) {
+    if known.weights.merge_ages(&beat.declared, now_ms as i64) {
         known.weights_notice.notify_one();
     }
     let own_ends = known.ends();
@@ -223,7 +225,7 @@
     if ends[Topic::Replicas as usize] <= own_ends[Topic::Replicas as usize] {
         known.confirm_replicas(beat.replicas_age_ms);
     }
-    if known.peers.heard(beat, now_ms) {
+    if known.peers.record_heartbeat(beat, now_ms) {
         lines.write();
     }
     for topic in Topic::ALL {
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -2,11 +2,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::fleet::Admission;
+use crate::fleet::AdmissionDecision;
 use crate::fleet::AdmissionInput;
 use crate::fleet::Replica;
 use crate::fleet::ReplicaKey;
-use crate::fleet::admit;
+use crate::fleet::admit_request;
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
 use crate::gateway::forward::Gateway;
@@ -45,7 +45,9 @@
     fn first_event(&self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.replicas.began(self.key, self.ticket, now_ms);
+        state
+            .replicas
+            .record_answer_start(self.key, self.ticket, now_ms);
     }
 
     fn is_lost(&self, silence: Duration) -> bool {
@@ -54,9 +56,9 @@
         }
         let state = self.state.borrow();
         let replica = state.replicas.get(self.key);
-        let is_dark = replica.is_gone
+        let is_dark = replica.is_removed
             || replica
-                .fresh_load(state.now_ms())
+                .recent_load(state.now_ms())
                 .is_some_and(|load| !load.is_up);
         silence >= DARK_SILENCE && is_dark
     }
@@ -66,7 +68,7 @@
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.replicas.ended(self.key, self.ticket, now_ms);
+        state.replicas.record_end(self.key, self.ticket, now_ms);
     }
 }
 
@@ -116,23 +118,23 @@
                     || replica.has_free_slots(others_per_ms, now_ms)
             });
         }
-        let admission = admit(&AdmissionInput {
+        let admission = admit_request(&AdmissionInput {
             now_ms,
             replicas: &usable,
             engine: service.and_then(|service| service.engine.as_ref()),
             failure_domain: &state.settings.failure_domain,
-            entries: state.entry_count(),
-            others_per_ms,
+            entry_count: state.entry_count(),
+            peer_requests_per_ms: others_per_ms,
             prompt_tokens: request.facts.prompt_tokens,
             waited_ms: request.waited_ms(),
-            is_return: request.waited_before_ms > 0,
-            has_begun,
-            target_ms: request.route.target_ms,
-            left_ms: request.left_ms(),
+            was_refused_before: request.waited_before_ms > 0,
+            has_partial_answer: has_begun,
+            target_latency_ms: request.route.target_latency_ms,
+            remaining_ms: request.left_ms(),
             seed,
         });
         match admission {
-            Admission::Send {
+            AdmissionDecision::Send {
                 replica: key,
                 predicted_ms,
             } => {
@@ -148,10 +150,12 @@
                     begin_within_ms: model.and_then(|model| {
                         state.begin_within_ms(model, replica.weights_version(model, now_ms))
                     }),
-                    load_age_ms: replica.fresh_load(now_ms).map(|load| now_ms - load.at_ms),
+                    load_age_ms: replica
+                        .recent_load(now_ms)
+                        .map(|load| now_ms - load.received_ms),
                 })
             }
-            Admission::Refuse {
+            AdmissionDecision::Refuse {
                 cause,
                 retry_after_ms,
             } => Err((cause.label(), retry_after_ms)),
@@ -164,9 +168,9 @@
         let now_ms = state.now_ms();
         let ticket = state
             .replicas
-            .started(place.key, place.predicted_ms, now_ms);
+            .record_send(place.key, place.predicted_ms, now_ms);
         if request.sends == 0 && request.tried.is_empty() {
-            state.budget(&request.service).request(now_ms);
+            state.budget(&request.service).record_request(now_ms);
         }
         request.tried.push(place.key);
         LogLine::new(Event::RequestPlaced)
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -10,14 +10,14 @@
 use crate::calls::DeathId;
 use crate::calls::SuspectTable;
 use crate::fleet::Catalog;
+use crate::fleet::ClientLimits;
 use crate::fleet::Declarations;
-use crate::fleet::Ledger;
-use crate::fleet::Limits;
 use crate::fleet::PeerTable;
 use crate::fleet::RateMeter;
 use crate::fleet::ReplicaTable;
-use crate::fleet::RetryWindow;
+use crate::fleet::SharedRetryBudget;
 use crate::fleet::Topic;
+use crate::fleet::TopicTable;
 use crate::gateway::GatewaySettings;
 use crate::gateway::TopicSink;
 use crate::observe::Event;
@@ -94,8 +94,8 @@
     pub weights_notice: Rc<Notify>,
     /// Wakes the task that tells others what is new.
     pub news_notice: Rc<Notify>,
-    pub(super) ledgers: [Ledger; 3],
-    pub(super) budgets: Vec<(String, RetryWindow)>,
+    pub(super) ledgers: [TopicTable; 3],
+    pub(super) budgets: Vec<(String, SharedRetryBudget)>,
     demands: Vec<(String, RateMeter)>,
     longest_deadlines_ms: Vec<(String, u64)>,
     pub(super) lost_topics: [bool; 3],
@@ -151,18 +151,18 @@
     }
 
     /// What clients may send; the usual limits before a configuration is known.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> ClientLimits {
         self.catalog
             .as_ref()
-            .map_or_else(Limits::default, |catalog| catalog.limits)
+            .map_or_else(ClientLimits::default, |catalog| catalog.limits)
     }
 
     /// Whether new clients are welcome.
     pub fn is_ready(&self) -> bool {
         self.stopping.is_none()
             && self.catalog.is_some()
-            && self.ledgers[Topic::Replicas as usize].is_known()
-            && (self.weights.are_exact() || self.now_ms() >= AGES_AWAITED_MS)
+            && self.ledgers[Topic::Replicas as usize].has_listing()
+            && (self.weights.are_times_exact() || self.now_ms() >= AGES_AWAITED_MS)
     }
 
     /// Ends of the topics, in the order of `Topic::ALL`.
@@ -201,7 +201,7 @@
     pub fn has_reader(&self) -> bool {
         let settings = &self.settings;
         let now_ms = self.now_ms();
-        self.peers.has_reader(
+        self.peers.has_other_reader(
             &settings.name,
             &settings.failure_domain,
             now_ms,
@@ -243,7 +243,7 @@
     }
 
     /// Budget of resends to `service`.
-    pub fn budget(&mut self, service: &str) -> &mut RetryWindow {
+    pub fn budget(&mut self, service: &str) -> &mut SharedRetryBudget {
         let at = match self
             .budgets
             .binary_search_by(|budget| budget.0.as_str().cmp(service))
@@ -251,7 +251,7 @@
             Ok(at) => at,
             Err(at) => {
                 let settings = &self.settings;
-                let budget = RetryWindow::new(
+                let budget = SharedRetryBudget::new(
                     settings.resend_ratio,
                     settings.resend_extra,
                     settings.resend_window_ms,
@@ -274,7 +274,7 @@
                 at
             }
         };
-        demands[at].1.add(now_ms);
+        demands[at].1.record_event(now_ms);
     }
 
     /// Requests for `service` that the other entries get in a ms, if each gets
@@ -282,14 +282,14 @@
     pub fn others_demand_per_ms(&self, service: &str) -> f64 {
         let others = f64::from(self.entry_count() - 1);
         match self.demands.binary_search_by(|d| d.0.as_str().cmp(service)) {
-            Ok(at) => self.demands[at].1.per_ms(self.now_ms()) * others,
+            Ok(at) => self.demands[at].1.events_per_ms(self.now_ms()) * others,
             Err(_) => 0.0,
         }
     }
 
     /// Entries alive, this one among them.
     pub fn entry_count(&self) -> u32 {
-        let peers = self.peers.alive(self.now_ms()).count();
+        let peers = self.peers.live_entries(self.now_ms()).count();
         u32::try_from(peers).unwrap_or(u32::MAX - 1) + 1
     }
 
@@ -372,7 +372,7 @@
         let now_ms = self.now_ms() as i64;
         let apply_ms = (self.settings.weights_apply_ms - WEIGHTS_CANCEL_MS) as i64;
         self.weights
-            .of(model)
+            .for_model(model)
             .filter(|declaration| declaration.version > version)
             .map(|declaration| declaration.learned_ms + apply_ms - now_ms)
             .min()
@@ -389,7 +389,7 @@
         let now_ms = self.now_ms() as i64;
         let due_ms = self.settings.weights_apply_ms.saturating_sub(ahead_ms) as i64;
         self.weights
-            .of(model)
+            .for_model(model)
             .filter(|declaration| now_ms - declaration.learned_ms >= due_ms)
             .map(|declaration| declaration.version)
             .max()
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -144,7 +144,9 @@
     loop {
         let must_read = {
             let state = state.borrow();
-            let is_known = TOPICS.iter().all(|topic| state.ledger(*topic).is_known());
+            let is_known = TOPICS
+                .iter()
+                .all(|topic| state.ledger(*topic).has_listing());
             let now_ms = state.now_ms();
             let is_without_entries = state.last_heartbeat_ms().is_none_or(|last_received_ms| {
                 now_ms.saturating_sub(last_received_ms) >= ENTRIES_TIMEOUT_MS
@@ -179,7 +181,7 @@
                 let mut state = state.borrow_mut();
                 state.record_heartbeat(&heartbeat);
                 let now_ms = state.now_ms() as i64;
-                state.declared.merge(&heartbeat.declared, now_ms);
+                state.declared.merge_ages(&heartbeat.declared, now_ms);
             }
             for topic in TOPICS {
                 let (is_behind, now_ms) = {
--- a/src/staging/relay_entry.rs
+++ b/src/staging/relay_entry.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddr;
 
-use crate::fleet::rotation_first_weighted;
+use crate::fleet::rendezvous_choose_weighted;
 
 /// An entry that relays pieces of weights to the hosts of a region.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,7 +34,7 @@
         let weighted = (0..entries.len())
             .filter(has_room)
             .map(|index| (names[index].as_str(), entries[index].link_mbps, index));
-        let Some(index) = rotation_first_weighted(weighted, u64::from(piece)) else {
+        let Some(index) = rendezvous_choose_weighted(weighted, u64::from(piece)) else {
             break;
         };
         assigned[index] += 1;
--- a/src/staging/reporter.rs
+++ b/src/staging/reporter.rs
@@ -79,7 +79,7 @@
     let port = state.settings.replica.port();
     let models = state.models();
     let declared = if with_declarations {
-        state.declared.notes(state.now_ms() as i64)
+        state.declared.recent_ages(state.now_ms() as i64)
     } else {
         Vec::new()
     };
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -6,15 +6,15 @@
 
 use crate::fleet::Catalog;
 use crate::fleet::Declaration;
+use crate::fleet::DeclarationRecord;
 use crate::fleet::Declarations;
-use crate::fleet::DeclaredRecord;
-use crate::fleet::EntryBeat;
-use crate::fleet::Ledger;
-use crate::fleet::LedgerRecord;
+use crate::fleet::EntryHeartbeat;
 use crate::fleet::OriginProfile;
 use crate::fleet::ReplicaRecord;
 use crate::fleet::Topic;
-use crate::fleet::rotation_slot;
+use crate::fleet::TopicRecord;
+use crate::fleet::TopicTable;
+use crate::fleet::rendezvous_rank;
 use crate::gateway::OperatorRecord;
 use crate::gateway::RecordDecoder;
 use crate::gateway::TopicSink;
@@ -99,7 +99,7 @@
     pub pending_order: Option<(String, u64)>,
     /// Declared versions of weights.
     pub declared: Declarations,
-    ledgers: [Ledger; 3],
+    ledgers: [TopicTable; 3],
     started_at: Instant,
 }
 
@@ -128,7 +128,7 @@
     }
 
     /// Records the heartbeat of an entry and drops entries without recent heartbeats.
-    pub fn record_heartbeat(&mut self, heartbeat: &EntryBeat) {
+    pub fn record_heartbeat(&mut self, heartbeat: &EntryHeartbeat) {
         let address = heartbeat.internal;
         let now_ms = self.now_ms();
         self.entries
@@ -220,13 +220,13 @@
     /// Returns the version of `model` to load next; `None` when no newer version is
     /// declared.
     pub fn next_load(&self, model: &str) -> Option<NextLoad> {
-        let mut declared: Vec<Declaration> = self.declared.of(model).cloned().collect();
+        let mut declared: Vec<Declaration> = self.declared.for_model(model).cloned().collect();
         if declared.is_empty() {
             declared.push(Declaration {
                 model: model.to_owned(),
                 version: INITIAL_VERSION,
                 learned_ms: 0,
-                is_exact: false,
+                is_time_exact: false,
             });
         }
         let downloads: Vec<DownloadProgress> = self
@@ -258,7 +258,7 @@
             if self.now_ms() as i64 >= next.not_before_ms {
                 return None;
             }
-            let latest = self.declared.of(model).last()?.version;
+            let latest = self.declared.for_model(model).last()?.version;
             return (!self.is_complete(model, latest)).then_some(latest);
         }
         // Other hosts may lack pieces that are in the staging area here, but not
@@ -285,7 +285,7 @@
             .iter()
             .map(|r| r.address.to_string())
             .collect();
-        let slot = rotation_slot(&own, names.iter().map(String::as_str), 0);
+        let slot = rendezvous_rank(&own, names.iter().map(String::as_str), 0);
         slot.min(names.len()) as f64 / names.len().max(1) as f64
     }
 
@@ -346,24 +346,24 @@
 
     /// Records a version that the operator declared in the store.
     fn record_declaration(&mut self, model: String, version: u64, offset: u64) {
-        let record = DeclaredRecord {
+        let record = DeclarationRecord {
             model,
             version,
             offset,
-            is_fresh: self.ledger(Topic::Operator).is_known(),
+            is_after_listing: self.ledger(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
-        self.declared.declare(record, now_ms, apply_ms);
+        self.declared.add_record(record, now_ms, apply_ms);
     }
 }
 
 impl TopicSink for StagingState {
-    fn ledger(&self, topic: Topic) -> &Ledger {
+    fn ledger(&self, topic: Topic) -> &TopicTable {
         &self.ledgers[topic as usize]
     }
 
-    fn ledger_mut(&mut self, topic: Topic) -> &mut Ledger {
+    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable {
         &mut self.ledgers[topic as usize]
     }
 
@@ -400,16 +400,16 @@
     fn take_records(
         &mut self,
         topic: Topic,
-        records: Vec<LedgerRecord>,
+        records: Vec<TopicRecord>,
         next_offset: u64,
         decoder: &impl RecordDecoder,
     ) {
         for record in records {
             let key = record.key.clone();
-            if self.ledgers[topic as usize].apply(record) {
+            if self.ledgers[topic as usize].apply_record(record) {
                 self.take_change(topic, &key, decoder);
             }
         }
-        self.ledgers[topic as usize].advance(next_offset);
+        self.ledgers[topic as usize].advance_end_offset(next_offset);
     }
 }
--- a/tests/contracts/simulation.rs
+++ b/tests/contracts/simulation.rs
@@ -5,10 +5,10 @@
 use bergamotfork::contracts::BranchKey;
 use bergamotfork::contracts::BranchShare;
 use bergamotfork::contracts::FairQueue;
-use bergamotfork::contracts::Finished;
-use bergamotfork::contracts::Popped;
+use bergamotfork::contracts::FinishedRequest;
+use bergamotfork::contracts::PopOutcome;
 use bergamotfork::contracts::QueueLimits;
-use bergamotfork::contracts::Waiting;
+use bergamotfork::contracts::QueuedRequest;
 
 const SLOTS: u32 = 32;
 const SERVICE_MS: u64 = 460;
@@ -16,13 +16,13 @@
 const USED_TOKENS: u64 = 8;
 const END_MS: u64 = 30_000;
 
-/// One endpoint whose first branch always has requests waiting.
+/// Simulated endpoint whose first branch always has requests waiting.
 struct Endpoint {
     queue: FairQueue<u64>,
     branches: Vec<BranchKey>,
-    /// Branch and end time of what runs.
+    /// Branch and end time of each running request, in ms.
     running: Vec<(BranchKey, u64)>,
-    /// Waits of the branches that stay within their shares.
+    /// Waiting times of requests of the branches that stay within their shares.
     waits_ms: Vec<u64>,
     random: Pcg64Mcg,
 }
@@ -31,9 +31,9 @@
     fn new() -> Self {
         let mut queue = FairQueue::new(QueueLimits {
             slots: SLOTS,
-            reserved: 1,
-            branch_waiting: 64,
-            waiting: 256,
+            reserved_slots: 1,
+            max_waiting_per_branch: 64,
+            max_waiting: 256,
         });
         let share = |name: &str| BranchShare {
             branch: name.to_owned(),
@@ -52,7 +52,7 @@
     }
 
     fn push(&mut self, branch: usize, now_ms: u64) {
-        let request = Waiting {
+        let request = QueuedRequest {
             branch: self.branches[branch],
             cost_tokens: COST_TOKENS,
             deadline_ms: u64::MAX,
@@ -69,14 +69,14 @@
         self.running = running;
         let ended: Vec<(BranchKey, u64)> = ended;
         for (branch, _) in ended {
-            self.queue.finish(Finished {
+            self.queue.finish(FinishedRequest {
                 branch,
                 cost_tokens: COST_TOKENS,
                 used_tokens: USED_TOKENS,
                 held_ms: Some(SERVICE_MS),
             });
         }
-        while let Popped::Run(next) = self.queue.pop(now_ms) {
+        while let PopOutcome::Run(next) = self.queue.pop(now_ms) {
             if next.branch != self.branches[0] {
                 self.waits_ms.push(now_ms - next.item);
             }
@@ -86,10 +86,10 @@
     }
 }
 
-/// Branches at 80% of their shares wait little beside one that bursts, whatever
-/// the queue thinks that requests cost.
+/// Branches that use 80% of their shares wait only shortly while another branch bursts,
+/// although the estimated cost of requests is five times the actual one.
 #[test]
-fn pop_burst_does_not_delay_the_others() {
+fn pop_burst_does_not_delay_other_branches() {
     let mut endpoint = Endpoint::new();
     let arrivals_per_ms = f64::from(SLOTS) / SERVICE_MS as f64 * 0.2;
     let mut busy = 0;
--- a/tests/fleet/fixture.rs
+++ b/tests/fleet/fixture.rs
@@ -5,23 +5,24 @@
 use bergamotfork::fleet::ReplicaState;
 use bergamotfork::fleet::ReplicaTable;
 
-/// An engine of 16 slots, as large as those of the platform.
+/// Profile of an engine with 16 slots and the speed of the platform's engines.
 pub fn engine() -> EngineProfile {
     EngineProfile {
         slots: 16,
         step_ms: 9.27,
         step_per_request_ms: 0.0232,
         step_per_1k_context_ms: 0.0322,
-        read_per_ms: 20.7,
+        prompt_tokens_per_ms: 20.7,
         steps_per_pass: 5,
-        usual_prompt: 979.0,
-        usual_answer: 92.0,
+        mean_prompt_tokens: 979.0,
+        mean_answer_tokens: 92.0,
         chunks: 48,
         chunk_bytes: 49_152,
         models: Vec::new(),
     }
 }
 
+/// Registration of replica `id` at 10.0.0.`host`, port 80.
 pub fn record(id: &str, host: u8) -> ReplicaRecord {
     ReplicaRecord {
         id: id.to_owned(),
@@ -37,9 +38,10 @@
     }
 }
 
-pub fn load(at_ms: u64, running: u32, queued: u32) -> EngineLoad {
+/// Load report of an engine that holds version 1.
+pub fn load(received_ms: u64, running: u32, queued: u32) -> EngineLoad {
     EngineLoad {
-        at_ms,
+        received_ms,
         is_up: true,
         is_loading: false,
         running,
@@ -50,7 +52,8 @@
     }
 }
 
-/// A table of replicas with these requests at each, as reported at `at_ms`.
+/// Table of replicas that reported these numbers of requests, running or queued, at
+/// `at_ms`; with their keys.
 pub fn table(at_ms: u64, requests: &[u32]) -> (ReplicaTable, Vec<ReplicaKey>) {
     let mut table = ReplicaTable::default();
     let mut keys = Vec::new();
@@ -58,7 +61,7 @@
         let (key, _) = table.register(record(&format!("r{host}"), host), at_ms);
         let ip = format!("10.0.0.{host}").parse().unwrap();
         let running = (*requests).min(16);
-        table.take_load(ip, 80, load(at_ms, running, requests - running));
+        table.record_load(ip, 80, load(at_ms, running, requests - running));
         keys.push(key);
     }
     (table, keys)
