--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -112,7 +112,7 @@
 impl fmt::Display for SourceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreachable(why) => write!(f, "the store did not answer: {why}"),
+            Self::Unreachable(reason) => write!(f, "the store did not answer: {reason}"),
             Self::Refused(status) => write!(f, "the store refused with status {status}"),
         }
     }
@@ -165,18 +165,18 @@
 
 /// A record that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadRecord {
+pub struct InvalidRecord {
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
-impl fmt::Display for BadRecord {
+impl fmt::Display for InvalidRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "unreadable record: {}", self.why)
+        write!(f, "unreadable record: {}", self.reason)
     }
 }
 
-impl std::error::Error for BadRecord {}
+impl std::error::Error for InvalidRecord {}
 
 /// A document of the operator.
 #[derive(Debug, Clone)]
@@ -197,7 +197,7 @@
 /// Reads the values of records.
 pub trait RecordDecoder {
     /// Reads a document of the operator.
-    fn operator_record(&self, key: &str, value: &[u8]) -> Result<OperatorRecord, BadRecord>;
+    fn operator_record(&self, key: &str, value: &[u8]) -> Result<OperatorRecord, InvalidRecord>;
     /// Reads the record of a replica.
-    fn replica_record(&self, key: &str, value: &[u8]) -> Result<ReplicaRecord, BadRecord>;
+    fn replica_record(&self, key: &str, value: &[u8]) -> Result<ReplicaRecord, InvalidRecord>;
 }
--- a/src/gateway/records_reply.rs
+++ b/src/gateway/records_reply.rs
@@ -23,26 +23,26 @@
 
 /// Why an answer with records can't be used.
 #[derive(Debug)]
-pub enum BadRecordsReply {
+pub enum RecordsReplyError {
     /// It would unpack to that many bytes, or is cut off.
-    Size(usize),
+    Length(usize),
     /// It can't be unpacked.
-    Packing(lz4_flex::block::DecompressError),
+    Compression(lz4_flex::block::DecompressError),
     /// It can't be decoded.
     Encoding(rmp_serde::decode::Error),
 }
 
-impl std::fmt::Display for BadRecordsReply {
+impl std::fmt::Display for RecordsReplyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Size(len) => write!(f, "records of {len} bytes are not taken"),
-            Self::Packing(error) => write!(f, "records can't be unpacked: {error}"),
+            Self::Length(len) => write!(f, "records of {len} bytes are not taken"),
+            Self::Compression(error) => write!(f, "records can't be unpacked: {error}"),
             Self::Encoding(error) => write!(f, "records can't be decoded: {error}"),
         }
     }
 }
 
-impl std::error::Error for BadRecordsReply {}
+impl std::error::Error for RecordsReplyError {}
 
 impl RecordsReply {
     /// What a process lacks that knows the topic up to `offset`: the changes since,
@@ -72,14 +72,15 @@
     /// # Errors
     ///
     /// When the bytes are cut off, too many once unpacked, or not records.
-    pub fn unpack(bytes: &[u8]) -> Result<Self, BadRecordsReply> {
+    pub fn unpack(bytes: &[u8]) -> Result<Self, RecordsReplyError> {
         let (len, packed) = lz4_flex::block::uncompressed_size(bytes)
-            .map_err(|_| BadRecordsReply::Size(bytes.len()))?;
+            .map_err(|_| RecordsReplyError::Length(bytes.len()))?;
         if len > MAX_UNPACKED_BYTES {
-            return Err(BadRecordsReply::Size(len));
+            return Err(RecordsReplyError::Length(len));
         }
-        let plain = lz4_flex::block::decompress(packed, len).map_err(BadRecordsReply::Packing)?;
-        rmp_serde::from_slice(&plain).map_err(BadRecordsReply::Encoding)
+        let plain =
+            lz4_flex::block::decompress(packed, len).map_err(RecordsReplyError::Compression)?;
+        rmp_serde::from_slice(&plain).map_err(RecordsReplyError::Encoding)
     }
 
     /// The records as a ledger takes them.
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -11,14 +11,14 @@
 use bergamotfork::fleet::ReplicaRecord;
 use bergamotfork::fleet::ReplicaState;
 use bergamotfork::fleet::Topic;
-use bergamotfork::gateway::BadRecord;
-use bergamotfork::gateway::BadRecordsReply;
 use bergamotfork::gateway::EventSplitter;
 use bergamotfork::gateway::GatewaySettings;
 use bergamotfork::gateway::GatewayState;
+use bergamotfork::gateway::InvalidRecord;
 use bergamotfork::gateway::OperatorRecord;
 use bergamotfork::gateway::RecordDecoder;
 use bergamotfork::gateway::RecordsReply;
+use bergamotfork::gateway::RecordsReplyError;
 use bergamotfork::gateway::SourceError;
 use bergamotfork::gateway::StreamEvent;
 use bergamotfork::gateway::TopicSink;
@@ -67,11 +67,11 @@
 struct Addresses;
 
 impl RecordDecoder for Addresses {
-    fn operator_record(&self, _key: &str, _value: &[u8]) -> Result<OperatorRecord, BadRecord> {
+    fn operator_record(&self, _key: &str, _value: &[u8]) -> Result<OperatorRecord, InvalidRecord> {
         Ok(OperatorRecord::Other)
     }
 
-    fn replica_record(&self, key: &str, value: &[u8]) -> Result<ReplicaRecord, BadRecord> {
+    fn replica_record(&self, key: &str, value: &[u8]) -> Result<ReplicaRecord, InvalidRecord> {
         Ok(ReplicaRecord {
             id: key.to_owned(),
             service: "s".to_owned(),
@@ -242,19 +242,19 @@
     let packed = RecordsReply::since(&ledger, 0).pack();
     assert!(matches!(
         RecordsReply::unpack(&packed[..2]),
-        Err(BadRecordsReply::Size(2))
+        Err(RecordsReplyError::Length(2))
     ));
     assert!(matches!(
         RecordsReply::unpack(&packed[..packed.len() - 1]),
-        Err(BadRecordsReply::Packing(_))
+        Err(RecordsReplyError::Compression(_))
     ));
     assert!(matches!(
         RecordsReply::unpack(&[0xff, 0xff, 0xff, 0x7f, 0]),
-        Err(BadRecordsReply::Size(0x7fff_ffff))
+        Err(RecordsReplyError::Length(0x7fff_ffff))
     ));
     let other = lz4_flex::block::compress_prepend_size(b"not records");
     assert!(matches!(
         RecordsReply::unpack(&other),
-        Err(BadRecordsReply::Encoding(_))
+        Err(RecordsReplyError::Encoding(_))
     ));
 }
