--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -10,8 +10,8 @@
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
-use crate::gateway::Records;
 use crate::gateway::SourceError;
+use crate::gateway::TopicRead;
 
 /// Takes the records of the topics.
 pub trait TopicSink {
@@ -20,9 +20,9 @@
     /// The same, to change.
     fn ledger_mut(&mut self, topic: Topic) -> &mut Ledger;
     /// Learns from the newest record of a key that changed.
-    fn take_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder);
+    fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder);
     /// Takes the newest record of each key of a topic.
-    fn take_listing(
+    fn handle_listing(
         &mut self,
         topic: Topic,
         records: Vec<LedgerRecord>,
@@ -30,12 +30,12 @@
         decoder: &impl RecordDecoder,
     ) {
         for key in self.ledger_mut(topic).apply_listing(records, end_offset) {
-            self.take_change(topic, &key, decoder);
+            self.handle_change(topic, &key, decoder);
         }
         self.ledger_mut(topic).set_known();
     }
     /// Takes records that followed; `next_offset` is where to go on.
-    fn take_records(
+    fn handle_records(
         &mut self,
         topic: Topic,
         records: Vec<LedgerRecord>,
@@ -125,7 +125,7 @@
 ) -> Result<(), SourceError> {
     let listing = source.listing(topic).await?;
     let mut state = state.borrow_mut();
-    state.take_listing(topic, listing.records, listing.end_offset, decoder);
+    state.handle_listing(topic, listing.records, listing.end_offset, decoder);
     Ok(())
 }
 
@@ -143,13 +143,13 @@
         READ_WAIT
     };
     match source.read(topic, from, wait).await? {
-        Records::Trimmed => Ok(true),
-        Records::Next {
+        TopicRead::Trimmed => Ok(true),
+        TopicRead::Next {
             records,
             next_offset,
         } => {
             let mut state = state.borrow_mut();
-            state.take_records(topic, records, next_offset, decoder);
+            state.handle_records(topic, records, next_offset, decoder);
             Ok(false)
         }
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,7 +5,6 @@
 //! the wire calls things is behind the traits in `ports`, which an adapter
 //! implements.
 
-mod adopt;
 mod beats;
 mod directory;
 mod ending;
@@ -27,8 +26,8 @@
 mod request;
 mod settings;
 mod state;
+mod topic_records;
 
-pub use adopt::reject_record;
 pub use beats::Datagram;
 pub use beats::HaveNote;
 pub use beats::for_each_datagram;
@@ -48,10 +47,10 @@
 pub use ports::OperatorRecord;
 pub use ports::RecordDecoder;
 pub use ports::RecordSource;
-pub use ports::Records;
 pub use ports::RequestFacts;
 pub use ports::SendFacts;
 pub use ports::SourceError;
+pub use ports::TopicRead;
 pub use process::run;
 pub use pull::pull_records;
 pub use records_reply::RecordsReply;
@@ -59,3 +58,4 @@
 pub use reload::changed_settings;
 pub use settings::GatewaySettings;
 pub use state::GatewayState;
+pub use topic_records::log_rejected_record;
--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -131,7 +131,7 @@
 
 /// Records that followed an offset.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Records {
+pub enum TopicRead {
     /// Records in order, and the offset after the last.
     Next {
         /// Records, oldest first; those that are no keyed records are left out.
@@ -153,7 +153,7 @@
         topic: Topic,
         offset: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<Records, SourceError>>;
+    ) -> impl Future<Output = Result<TopicRead, SourceError>>;
     /// Appends a record to one of the system's own topics.
     fn publish(
         &mut self,
--- a/src/gateway/pull.rs
+++ b/src/gateway/pull.rs
@@ -59,8 +59,8 @@
         .write();
     let mut state = state.borrow_mut();
     if is_listing {
-        state.take_listing(topic, records, end_offset, decoder);
+        state.handle_listing(topic, records, end_offset, decoder);
     } else {
-        state.take_records(topic, records, end_offset, decoder);
+        state.handle_records(topic, records, end_offset, decoder);
     }
 }
--- a/src/gateway/adopt.rs
+++ b/src/gateway/topic_records.rs
@@ -26,7 +26,7 @@
         &mut self.ledgers[topic as usize]
     }
 
-    fn take_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
+    fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
         let Some(record) = self.ledger(topic).get(key) else {
             return;
         };
@@ -46,7 +46,7 @@
         }
     }
 
-    fn take_records(
+    fn handle_records(
         &mut self,
         topic: Topic,
         records: Vec<LedgerRecord>,
@@ -62,7 +62,7 @@
         }
         self.ledgers[topic as usize].advance(next_offset);
         for key in changed {
-            self.take_change(topic, &key, decoder);
+            self.handle_change(topic, &key, decoder);
         }
     }
 }
@@ -115,7 +115,7 @@
             }
             Ok(OperatorRecord::Weights { model, version }) => self.declare(model, version, offset),
             Ok(OperatorRecord::Other) => {}
-            Err(error) => reject_record(Topic::Operator, key, offset, &error),
+            Err(error) => log_rejected_record(Topic::Operator, key, offset, &error),
         }
     }
 
@@ -158,7 +158,7 @@
                 }
             }
             Err(error) => {
-                reject_record(Topic::Replicas, key, offset, &error);
+                log_rejected_record(Topic::Replicas, key, offset, &error);
                 self.remove_replica(key);
             }
         }
@@ -172,7 +172,7 @@
 }
 
 /// Logs a record that can't be read.
-pub fn reject_record(topic: Topic, key: &str, offset: u64, error: &dyn std::error::Error) {
+pub fn log_rejected_record(topic: Topic, key: &str, offset: u64, error: &dyn std::error::Error) {
     LogLine::new(Event::RecordRejected)
         .text("topic", topic.label())
         .text("key", key)
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -18,7 +18,7 @@
 use crate::gateway::OperatorRecord;
 use crate::gateway::RecordDecoder;
 use crate::gateway::TopicSink;
-use crate::gateway::reject_record;
+use crate::gateway::log_rejected_record;
 use crate::staging::EngineReport;
 use crate::staging::NearEntry;
 use crate::staging::Stage;
@@ -341,7 +341,7 @@
         &mut self.ledgers[topic as usize]
     }
 
-    fn take_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
+    fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
         let Some(record) = self.ledgers[topic as usize].get(key) else {
             return;
         };
@@ -354,7 +354,7 @@
                     self.declare(model, version, offset);
                 }
                 Ok(OperatorRecord::Other) => {}
-                Err(error) => reject_record(topic, key, offset, &error),
+                Err(error) => log_rejected_record(topic, key, offset, &error),
             },
             (Topic::Replicas, value) => {
                 self.replicas.retain(|replica| replica.id != key);
@@ -363,7 +363,7 @@
                     Some(Ok(record)) if record.service == self.settings.service => {
                         self.replicas.push(record);
                     }
-                    Some(Err(error)) => reject_record(topic, key, offset, &error),
+                    Some(Err(error)) => log_rejected_record(topic, key, offset, &error),
                     _ => {}
                 }
             }
@@ -371,7 +371,7 @@
         }
     }
 
-    fn take_records(
+    fn handle_records(
         &mut self,
         topic: Topic,
         records: Vec<LedgerRecord>,
@@ -381,7 +381,7 @@
         for record in records {
             let key = record.key.clone();
             if self.ledgers[topic as usize].apply(record) {
-                self.take_change(topic, &key, decoder);
+                self.handle_change(topic, &key, decoder);
             }
         }
         self.ledgers[topic as usize].advance(next_offset);
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -141,7 +141,7 @@
     let records = vec![record(0, Some("127.0.0.1:9"))];
     state
         .borrow_mut()
-        .take_listing(Topic::Replicas, records, 1, &Addresses);
+        .handle_listing(Topic::Replicas, records, 1, &Addresses);
     state
 }
 
@@ -161,7 +161,7 @@
     }
     let lost = SourceError::Refused(503);
     state.note_source(Topic::Replicas, Some(&lost));
-    state.take_records(
+    state.handle_records(
         Topic::Replicas,
         vec![record(1, Some("127.0.0.1:9"))],
         2,
@@ -169,7 +169,7 @@
     );
     assert!(state.has_reader());
     assert_eq!(listed(&state), 1);
-    state.take_records(Topic::Replicas, vec![record(2, None)], 3, &Addresses);
+    state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &Addresses);
     assert_eq!(listed(&state), 0);
 }
 
@@ -180,7 +180,7 @@
     let mut state = state.borrow_mut();
     let lost = SourceError::Refused(503);
     state.note_source(Topic::Replicas, Some(&lost));
-    state.take_records(Topic::Replicas, vec![record(2, None)], 3, &Addresses);
+    state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &Addresses);
     assert_eq!(listed(&state), 1);
 }
 
