--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -15,7 +15,7 @@
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
 use crate::gateway::TopicSink;
-use crate::gateway::pull_records;
+use crate::gateway::fetch_records;
 use crate::observe::Event;
 use crate::observe::LogLine;
 use crate::weights::HaveMap;
@@ -34,7 +34,7 @@
 
 /// What a host tells the others of a version of weights.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HaveNote {
+pub struct HeldPieces {
     /// Where its endpoint process answers.
     pub address: SocketAddr,
     /// Model.
@@ -53,7 +53,7 @@
     /// Load of an engine.
     Load(LoadReport),
     /// Pieces of weights that a host holds.
-    Have(HaveNote),
+    Have(HeldPieces),
 }
 
 impl Datagram {
@@ -229,12 +229,12 @@
     for topic in Topic::ALL {
         let is_behind = ends[topic as usize] > own_ends[topic as usize]
             && (is_near || known.is_outdated(topic));
-        if is_behind && known.may_pull(topic) {
+        if is_behind && known.try_begin_fetch(topic) {
             let state = state.clone();
             let decoder = decoder.clone();
             actix_rt::spawn(async move {
-                pull_records(&state, topic, internal, &*decoder).await;
-                state.borrow_mut().pull_ended(topic);
+                fetch_records(&state, topic, internal, &*decoder).await;
+                state.borrow_mut().end_fetch(topic);
             });
         }
     }
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -27,7 +27,7 @@
 
 impl<D: Dialect + 'static> InternalHandler for Directory<D> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
-        if self.dialect.directory_question(&request.head).is_none() {
+        if self.dialect.directory_query(&request.head).is_none() {
             return InternalReply::status(404);
         }
         let state = self.state.borrow();
@@ -45,11 +45,11 @@
         }
         addresses.sort_unstable();
         addresses.truncate(MAX_ADDRESSES);
-        let keep_s = state.settings.directory_keep_s;
+        let keep_s = state.settings.directory_ttl_s;
         InternalReply {
             status: 200,
             content_type: "application/json",
-            body: self.dialect.directory_answer(&addresses, keep_s),
+            body: self.dialect.directory_body(&addresses, keep_s),
         }
     }
 }
@@ -65,7 +65,7 @@
 
 impl<D: Dialect + 'static> InternalHandler for Readiness<D> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
-        if !self.dialect.is_readiness(&request.head) {
+        if !self.dialect.is_readiness_check(&request.head) {
             return InternalReply::status(404);
         }
         let is_ready = self.state.borrow().is_ready();
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -3,8 +3,8 @@
 
 use tokio::time::Instant;
 
-use crate::gateway::AnswerFacts;
 use crate::gateway::Dialect;
+use crate::gateway::ResponseFacts;
 use crate::gateway::SendFacts;
 use crate::gateway::request::Request;
 use crate::http1::BodyDecoder;
@@ -103,7 +103,7 @@
         Err(Http1Error::TimedOut) => return Sent::Broken("silent"),
         Err(error) => return Sent::Broken(error.label()),
     };
-    let answer = dialect.answer_facts(&head);
+    let answer = dialect.response_facts(&head);
     if let Some(outcome) = reject(&answer, &head, request, facts) {
         return outcome;
     }
@@ -128,7 +128,7 @@
 
 /// Outcome of an answer that is not the replica's answer to this request.
 fn reject(
-    answer: &AnswerFacts,
+    answer: &ResponseFacts,
     head: &ResponseHead,
     request: &Request,
     facts: &SendFacts<'_>,
@@ -181,12 +181,12 @@
     bytes.extend_from_slice(head.target.as_bytes());
     bytes.extend_from_slice(b" HTTP/1.1\r\n");
     for (name, value) in head.headers.iter() {
-        let stays = is_connection_line(name, &head.headers) || !dialect.is_forwarded(name);
+        let stays = is_connection_line(name, &head.headers) || !dialect.is_forwarded_header(name);
         if !stays {
             write_line(name, value, &mut bytes);
         }
     }
-    dialect.write_send_lines(facts, &mut bytes);
+    dialect.write_send_headers(facts, &mut bytes);
     let has_length = head.headers.values("content-length").next().is_some()
         || head.headers.values("transfer-encoding").next().is_some();
     if has_length {
--- a/src/gateway/pull.rs
+++ b/src/gateway/fetch.rs
@@ -13,10 +13,10 @@
 use crate::observe::LogLine;
 
 /// Time for reading records from another process.
-const PULL_TIMEOUT: Duration = Duration::from_millis(800);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Reads the records that this process lacks from an entry.
-pub async fn pull_records(
+pub async fn fetch_records(
     state: &RefCell<impl TopicSink>,
     topic: Topic,
     peer: SocketAddr,
@@ -30,7 +30,7 @@
     let from = if is_known { from } else { 0 };
     let target = format!("{RECORDS_PATH}/{}/{from}", topic.label());
     let mut client = Client::new(peer, Duration::ZERO);
-    let reply = match client.ask(&Ask::get(&target, PULL_TIMEOUT)).await {
+    let reply = match client.ask(&Ask::get(&target, FETCH_TIMEOUT)).await {
         Ok(reply) if reply.status == 200 => reply,
         Ok(reply) => {
             log::debug!("{peer} refused to give records: {}", reply.status);
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -71,7 +71,10 @@
         };
         match accepted {
             // One holder of `open` is this loop itself.
-            Ok(_) if Rc::strong_count(&open) > gateway.state.borrow().settings.max_clients => {
+            Ok(_)
+                if Rc::strong_count(&open)
+                    > gateway.state.borrow().settings.max_client_connections =>
+            {
                 gateway.metrics.refused("connection");
             }
             Ok((stream, _)) => {
--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -58,7 +58,7 @@
 
 /// What the head of a replica's answer says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseFacts {
     /// Identity of the attempt that it answers.
     pub attempt_id: Option<String>,
     /// Whether it bears the replica's signature.
@@ -75,7 +75,7 @@
 
 /// A client's question where to connect.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DirectoryQuestion {
+pub struct DirectoryQuery {
     /// Region of the client.
     pub region: String,
     /// Failure domain of the client.
@@ -87,17 +87,17 @@
     /// Reads the headers of a request.
     fn request_facts(&self, head: &RequestHead) -> RequestFacts;
     /// Whether a client's header line goes on to the replica as it is.
-    fn is_forwarded(&self, name: &str) -> bool;
+    fn is_forwarded_header(&self, name: &str) -> bool;
     /// Appends the header lines that a send adds.
-    fn write_send_lines(&self, facts: &SendFacts<'_>, out: &mut Vec<u8>);
+    fn write_send_headers(&self, facts: &SendFacts<'_>, out: &mut Vec<u8>);
     /// Reads the head of an answer.
-    fn answer_facts(&self, head: &ResponseHead) -> AnswerFacts;
+    fn response_facts(&self, head: &ResponseHead) -> ResponseFacts;
     /// Reads a question to the directory; None when it is not one.
-    fn directory_question(&self, head: &RequestHead) -> Option<DirectoryQuestion>;
+    fn directory_query(&self, head: &RequestHead) -> Option<DirectoryQuery>;
     /// Body of the directory's answer.
-    fn directory_answer(&self, addresses: &[String], keep_s: u64) -> Vec<u8>;
+    fn directory_body(&self, addresses: &[String], keep_s: u64) -> Vec<u8>;
     /// Whether a call asks for readiness.
-    fn is_readiness(&self, head: &RequestHead) -> bool;
+    fn is_readiness_check(&self, head: &RequestHead) -> bool;
 }
 
 /// Why the platform's store did not answer as asked.
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -23,8 +23,8 @@
 use crate::gateway::forward::Gateway;
 use crate::gateway::front::serve_clients;
 use crate::gateway::piece_cache::PieceCache;
-use crate::gateway::reload::adopt_settings;
-use crate::gateway::reload::changed_settings;
+use crate::gateway::reload::apply_settings;
+use crate::gateway::reload::wait_for_changed_settings;
 use crate::http1::serve_internal;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -87,7 +87,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            new = changed_settings(&mut hang_up, &mut changed) => adopt_settings(&state, &new),
+            new = wait_for_changed_settings(&mut hang_up, &mut changed) => apply_settings(&state, &new),
         }
     }
     let grace_ms = state.borrow().settings.grace_ms;
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -9,12 +9,12 @@
 use crate::observe::LogLine;
 
 /// Interval at which settings are looked at without a signal.
-const LOOK_INTERVAL: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Waits until settings change, by a signal or without one.
 ///
 /// `changed` gives the settings when they differ from the last ones.
-pub async fn changed_settings<T>(
+pub async fn wait_for_changed_settings<T>(
     hang_up: &mut Signal,
     mut changed: impl FnMut() -> Option<T>,
 ) -> T {
@@ -24,7 +24,7 @@
         }
         tokio::select! {
             _ = hang_up.recv() => {}
-            () = tokio::time::sleep(LOOK_INTERVAL) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
     }
 }
@@ -33,21 +33,21 @@
 ///
 /// Names and addresses stay as they were at the start: other processes know
 /// this one by them.
-pub fn adopt_settings(state: &RefCell<GatewayState>, new: &GatewaySettings) {
+pub fn apply_settings(state: &RefCell<GatewayState>, new: &GatewaySettings) {
     let mut state = state.borrow_mut();
     let settings = &mut state.settings;
     settings.grace_ms = new.grace_ms;
-    settings.directory_keep_s = new.directory_keep_s;
-    settings.resend_ratio = new.resend_ratio;
-    settings.resend_extra = new.resend_extra;
+    settings.directory_ttl_s = new.directory_ttl_s;
+    settings.retry_ratio = new.retry_ratio;
+    settings.retry_extra = new.retry_extra;
     settings.weights_apply_ms = new.weights_apply_ms;
-    settings.max_clients = new.max_clients;
+    settings.max_client_connections = new.max_client_connections;
     let needs_restart = settings.front != new.front
         || settings.internal != new.internal
         || settings.failure_domain != new.failure_domain
-        || settings.resend_window_ms != new.resend_window_ms;
+        || settings.retry_window_ms != new.retry_window_ms;
     for (_, budget) in &mut state.budgets {
-        budget.set_limits(new.resend_ratio, new.resend_extra);
+        budget.set_limits(new.retry_ratio, new.retry_extra);
     }
     LogLine::new(Event::SettingsReloaded)
         .number("grace_ms", new.grace_ms)
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -22,17 +22,17 @@
     /// Time between a stop signal and the kill.
     pub grace_ms: u64,
     /// Time that clients keep a directory answer.
-    pub directory_keep_s: u64,
+    pub directory_ttl_s: u64,
     /// Share of the requests that may be sent once more.
-    pub resend_ratio: f64,
+    pub retry_ratio: f64,
     /// Further sends that all entries may make within a window.
-    pub resend_extra: f64,
+    pub retry_extra: f64,
     /// Window of the budget.
-    pub resend_window_ms: u64,
+    pub retry_window_ms: u64,
     /// Time within which new weights must answer every request.
     pub weights_apply_ms: u64,
     /// Bandwidth of the host's link.
     pub link_mbps: f64,
     /// Connections of clients that may be open at once.
-    pub max_clients: usize,
+    pub max_client_connections: usize,
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -102,7 +102,7 @@
     pub(super) away_ms: Option<u64>,
     pub(super) lapsed: Vec<String>,
     breaks: Vec<Break>,
-    pulls: [bool; 3],
+    fetching: [bool; 3],
     replicas_fresh_ms: u64,
     rng: Pcg64Mcg,
     started: Instant,
@@ -133,7 +133,7 @@
             away_ms: None,
             lapsed: Vec::new(),
             breaks: Vec::new(),
-            pulls: [false; 3],
+            fetching: [false; 3],
             replicas_fresh_ms: 0,
             rng,
             started: Instant::now(),
@@ -171,13 +171,13 @@
     }
 
     /// Whether a read of `topic` from another entry may start; it counts as started.
-    pub fn may_pull(&mut self, topic: Topic) -> bool {
-        !std::mem::replace(&mut self.pulls[topic as usize], true)
+    pub fn try_begin_fetch(&mut self, topic: Topic) -> bool {
+        !std::mem::replace(&mut self.fetching[topic as usize], true)
     }
 
     /// Notes that a read of `topic` from another entry has ended.
-    pub fn pull_ended(&mut self, topic: Topic) {
-        self.pulls[topic as usize] = false;
+    pub fn end_fetch(&mut self, topic: Topic) {
+        self.fetching[topic as usize] = false;
     }
 
     /// Whether the store answers this process.
@@ -252,9 +252,9 @@
             Err(at) => {
                 let settings = &self.settings;
                 let budget = RetryWindow::new(
-                    settings.resend_ratio,
-                    settings.resend_extra,
-                    settings.resend_window_ms,
+                    settings.retry_ratio,
+                    settings.retry_extra,
+                    settings.retry_window_ms,
                 );
                 self.budgets.insert(at, (service.to_owned(), budget));
                 at
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -10,14 +10,14 @@
 
 use crate::fleet::Topic;
 use crate::gateway::Datagram;
-use crate::gateway::HaveNote;
+use crate::gateway::HeldPieces;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
 use crate::gateway::TopicSink;
-use crate::gateway::changed_settings;
+use crate::gateway::fetch_records;
 use crate::gateway::for_each_datagram;
-use crate::gateway::pull_records;
 use crate::gateway::read_listing;
+use crate::gateway::wait_for_changed_settings;
 use crate::http1::serve_internal;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -101,7 +101,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            new = changed_settings(&mut hang_up, &mut changed) => {
+            new = wait_for_changed_settings(&mut hang_up, &mut changed) => {
                 state.borrow_mut().settings.weights_apply_ms = new.weights_apply_ms;
                 LogLine::new(Event::SettingsReloaded)
                     .number("weights_apply_ms", new.weights_apply_ms)
@@ -176,7 +176,7 @@
                 if is_behind && pulls.borrow_mut()[topic as usize].starts(now_ms, wait_ms) {
                     let (state, decoder, pulls) = (state.clone(), decoder.clone(), pulls.clone());
                     actix_rt::spawn(async move {
-                        pull_records(&state, topic, beat.internal, &*decoder).await;
+                        fetch_records(&state, topic, beat.internal, &*decoder).await;
                         pulls.borrow_mut()[topic as usize].ended();
                     });
                 }
@@ -250,7 +250,7 @@
     for stage in &state.stages {
         for copy in stage.copies() {
             let version = copy.manifest.version;
-            let note = Datagram::Have(HaveNote {
+            let note = Datagram::Have(HeldPieces {
                 address: own,
                 model: stage.model.clone(),
                 version,
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -99,13 +99,13 @@
         internal: any,
         metrics: any,
         grace_ms: 1_000,
-        directory_keep_s: 1,
-        resend_ratio: 0.1,
-        resend_extra: 1.0,
-        resend_window_ms: 1_000,
+        directory_ttl_s: 1,
+        retry_ratio: 0.1,
+        retry_extra: 1.0,
+        retry_window_ms: 1_000,
         weights_apply_ms: 8_000,
         link_mbps: 100.0,
-        max_clients: 10,
+        max_client_connections: 10,
     }
 }
 
