--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -67,11 +67,11 @@
 pub async fn send_beats(state: Rc<RefCell<GatewayState>>, socket: Rc<UdpSocket>) {
     let mut count = 0u64;
     let mut is_news = false;
-    let news = state.borrow().news_notice.clone();
+    let news = state.borrow().update_notice.clone();
     loop {
         let (bytes, targets) = {
             let mut state = state.borrow_mut();
-            state.settle_lapsed();
+            state.remove_lapsed_replicas();
             let beat = Datagram::Beat(own_beat(&state));
             let mut targets = entry_targets(&state);
             if is_news || count.is_multiple_of(BEATS_PER_HELLO) {
@@ -106,7 +106,7 @@
         link_mbps: state.settings.link_mbps,
         is_ready: state.is_ready(),
         has_store: state.has_store(),
-        ends: state.ends(),
+        ends: state.end_offsets(),
         replicas_age_ms: state.replicas_age_ms(),
         declared: state.weights.notes(state.now_ms() as i64),
         suspects,
@@ -213,7 +213,7 @@
     if known.weights.merge(&beat.declared, now_ms as i64) {
         known.weights_notice.notify_one();
     }
-    let own_ends = known.ends();
+    let own_ends = known.end_offsets();
     let lines = LogLine::new(Event::EntrySeen)
         .text("entry", &beat.name)
         .flag("ready", beat.is_ready);
--- a/src/gateway/ending.rs
+++ b/src/gateway/ending.rs
@@ -134,7 +134,7 @@
 
     /// Whether the client's connection ends after this answer.
     pub(super) fn closes(&self, request: &Request) -> bool {
-        request.head.wants_close() || self.state.borrow().stopping.is_some()
+        request.head.wants_close() || self.state.borrow().stopping_since.is_some()
     }
 
     pub(super) fn log_end(
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -78,7 +78,7 @@
     let mut failures = 0u32;
     loop {
         if !must_list && state.borrow().has_reader() {
-            if !state.borrow().is_lost(topic) {
+            if !state.borrow().is_topic_unavailable(topic) {
                 tokio::time::sleep(READER_CHECK).await;
                 continue;
             }
@@ -97,7 +97,7 @@
                 failures = 0;
                 let pause = {
                     let mut state = state.borrow_mut();
-                    state.note_source(topic, None);
+                    state.record_store_result(topic, None);
                     if topic == Topic::Replicas {
                         state.confirm_replicas(0);
                         REPLICAS_PAUSE
@@ -108,7 +108,7 @@
                 tokio::time::sleep(pause).await;
             }
             Err(error) => {
-                state.borrow_mut().note_source(topic, Some(&error));
+                state.borrow_mut().record_store_result(topic, Some(&error));
                 failures += 1;
                 tokio::time::sleep(retry_pause(failures)).await;
             }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -185,7 +185,7 @@
     fn has_budget(&self, request: &Request) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.budget(&request.service).has_room(now_ms)
+        state.retry_budget(&request.service).has_room(now_ms)
     }
 
     /// Learns from what became of a send; returns an answer to pass on.
@@ -203,7 +203,7 @@
                 log::debug!("{} was not reached: {error}", place.id);
                 progress.unreachable += 1;
                 state.replicas.unreachable(place.key, now_ms);
-                state.blame_breaks(&place.id);
+                state.suspect_broken_connections(&place.id);
                 "unreachable"
             }
             Sent::NotRun => {
@@ -226,7 +226,7 @@
                 progress.may_have_run = true;
                 state.replicas.broke(place.key, now_ms);
                 if *cause != "silent" {
-                    state.note_break(request.fingerprint, &place.id);
+                    state.record_broken_connection(request.fingerprint, &place.id);
                 }
                 cause
             }
@@ -277,7 +277,7 @@
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         let entries = state.entry_count();
-        let budget = state.budget(&request.service);
+        let budget = state.retry_budget(&request.service);
         budget.set_entries(entries, now_ms);
         let allowed = budget.try_resend(now_ms);
         if allowed {
@@ -337,7 +337,7 @@
                 let mut state = self.state.borrow_mut();
                 state.replicas.broke(place.key, now_ms);
                 if cause != "silent" {
-                    state.note_break(request.fingerprint, &place.id);
+                    state.record_broken_connection(request.fingerprint, &place.id);
                 }
                 drop(state);
                 log_failed_attempt(request, place, cause);
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -116,12 +116,12 @@
                 return;
             }
         };
-        gateway.state.borrow_mut().requests += 1;
+        gateway.state.borrow_mut().active_requests += 1;
         let next = match admit(gateway, head, body, arrived) {
             Ok(request) => gateway.forward(&mut client, *request).await,
             Err((head, refusal)) => refuse(&client, gateway, &head, &refusal).await,
         };
-        gateway.state.borrow_mut().requests -= 1;
+        gateway.state.borrow_mut().active_requests -= 1;
         if next == Next::Close {
             return;
         }
@@ -138,7 +138,7 @@
         (
             state.limits(),
             state.stop_notice.clone(),
-            state.stopping.is_some(),
+            state.stopping_since.is_some(),
         )
     };
     let head_time = Duration::from_millis(limits.head_timeout_ms);
@@ -188,7 +188,7 @@
 ) -> Result<Box<Request>, (RequestHead, Refusal)> {
     let mut state = gateway.state.borrow_mut();
     if state
-        .stopping
+        .stopping_since
         .is_some_and(|since| since.elapsed() >= LEAVE_TIME)
     {
         let refusal = Refusal {
@@ -227,8 +227,8 @@
     let deadline_ms = facts.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     let waited_before_ms = state.waited_before_ms(&route.name, deadline_ms);
     let until = arrived + Duration::from_millis(deadline_ms.min(route.timeout_ms));
-    let service = choose_service(&route, state.random());
-    state.count_demand(&service);
+    let service = choose_service(&route, state.random_bits());
+    state.count_request(&service);
     let target = format!(
         "{}{}{}",
         host,
@@ -303,7 +303,7 @@
     head: &RequestHead,
     refusal: &Refusal,
 ) -> Next {
-    let close = head.wants_close() || gateway.state.borrow().stopping.is_some();
+    let close = head.wants_close() || gateway.state.borrow().stopping_since.is_some();
     let facts = gateway.dialect.request_facts(head);
     let config = gateway
         .state
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -78,7 +78,7 @@
         has_begun: bool,
     ) -> Result<Place, (&'static str, u64)> {
         let mut state = self.state.borrow_mut();
-        let seed = state.random();
+        let seed = state.random_bits();
         let now_ms = state.now_ms();
         let model = request.facts.model.as_deref();
         let required = model.and_then(|model| state.required_version(model));
@@ -109,7 +109,7 @@
             0 => usable.len().max(1),
             open => open,
         };
-        let others_per_ms = state.others_demand_per_ms(&request.service) / sharers as f64;
+        let others_per_ms = state.others_rate_per_ms(&request.service) / sharers as f64;
         if let (Some(model), Some(expected)) = (model, expected) {
             usable.retain(|(_, replica)| {
                 replica.weights_version(model, now_ms) >= expected
@@ -166,7 +166,7 @@
             .replicas
             .started(place.key, place.predicted_ms, now_ms);
         if request.sends == 0 && request.tried.is_empty() {
-            state.budget(&request.service).request(now_ms);
+            state.retry_budget(&request.service).request(now_ms);
         }
         request.tried.push(place.key);
         LogLine::new(Event::RequestPlaced)
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -158,21 +158,21 @@
 async fn stop(state: &RefCell<GatewayState>, grace: Duration) {
     let began = Instant::now();
     LogLine::new(Event::ProcessStopping)
-        .number("requests", state.borrow().requests)
+        .number("requests", state.borrow().active_requests)
         .write();
     flush_log();
-    state.borrow_mut().stopping = Some(began);
+    state.borrow_mut().stopping_since = Some(began);
     state.borrow().stop_notice.notify_waiters();
     loop {
         tokio::time::sleep(DRAIN_PAUSE).await;
         let waited = began.elapsed();
-        let is_idle = state.borrow().requests == 0 && waited >= LEAVE_TIME;
+        let is_idle = state.borrow().active_requests == 0 && waited >= LEAVE_TIME;
         if is_idle || waited + KILL_MARGIN >= grace {
             break;
         }
     }
     LogLine::new(Event::ProcessStopped)
-        .number("requests", state.borrow().requests)
+        .number("requests", state.borrow().active_requests)
         .write();
     flush_log();
     tokio::time::sleep(DRAIN_PAUSE).await;
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -46,7 +46,7 @@
         || settings.internal != new.internal
         || settings.failure_domain != new.failure_domain
         || settings.retry_window_ms != new.retry_window_ms;
-    for (_, budget) in &mut state.budgets {
+    for (_, budget) in &mut state.retry_budgets {
         budget.set_limits(new.retry_ratio, new.retry_extra);
     }
     LogLine::new(Event::SettingsReloaded)
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -31,36 +31,36 @@
 const MAX_SUSPECTS: usize = 64;
 
 /// Time between a broken connection and the sign that its replica crashed, in ms.
-const BREAK_WINDOW_MS: u64 = 2_500;
+const BROKEN_CONNECTION_WINDOW_MS: u64 = 2_500;
 
 /// Part by which the deadlines of clients that ask for the first time differ.
 const DEADLINE_SPREAD: f64 = 0.17;
 
 /// Time before the bound on new weights from which a request must get them, in
 /// ms: it may wait at a replica, and this process learned of them late.
-const WEIGHTS_MARGIN_MS: u64 = 1_300;
+const WEIGHTS_REQUIRED_MARGIN_MS: u64 = 1_300;
 
 /// Time before the bound at which a request that waits at an engine with old
 /// weights is taken back, in ms: this process learned of them late.
-const WEIGHTS_CANCEL_MS: u64 = 400;
+const WEIGHTS_CANCEL_MARGIN_MS: u64 = 400;
 
 /// Time before the bound from which engines without new weights get only what
 /// can begin at once, in ms: the longest wait at an engine more than the margin.
-const WEIGHTS_NOTICE_MS: u64 = 3_000;
+const WEIGHTS_EXPECTED_MARGIN_MS: u64 = 3_000;
 
 /// Age of the replicas' records at which a far entry is asked for them, in ms.
-const OUTDATED_MS: u64 = 1_000;
+const REPLICAS_OUTDATED_MS: u64 = 1_000;
 
 /// Time after its start in which an entry waits for the ages of declarations, in
 /// ms: two beats of the others.
-const AGES_AWAITED_MS: u64 = 600;
+const DECLARATION_AGE_WAIT_MS: u64 = 600;
 
 /// Broken connections remembered.
-const MAX_BREAKS: usize = 256;
+const MAX_BROKEN_CONNECTIONS: usize = 256;
 
 /// A request whose connection to a replica broke.
 #[derive(Debug)]
-struct Break {
+struct BrokenConnection {
     fingerprint: Digest,
     replica: String,
     incarnation: u64,
@@ -85,25 +85,25 @@
     /// Incarnation of this process.
     pub incarnation: u64,
     /// When a stop signal came.
-    pub stopping: Option<Instant>,
+    pub stopping_since: Option<Instant>,
     /// Requests under way.
-    pub requests: usize,
+    pub active_requests: usize,
     /// Wakes tasks that wait for a stop signal.
     pub stop_notice: Rc<Notify>,
     /// Wakes the task that reads new weights ahead.
     pub weights_notice: Rc<Notify>,
     /// Wakes the task that tells others what is new.
-    pub news_notice: Rc<Notify>,
+    pub update_notice: Rc<Notify>,
     pub(super) ledgers: [Ledger; 3],
-    pub(super) budgets: Vec<(String, RetryWindow)>,
-    demands: Vec<(String, RateMeter)>,
+    pub(super) retry_budgets: Vec<(String, RetryWindow)>,
+    request_rates: Vec<(String, RateMeter)>,
     longest_deadlines_ms: Vec<(String, u64)>,
-    pub(super) lost_topics: [bool; 3],
-    pub(super) away_ms: Option<u64>,
-    pub(super) lapsed: Vec<String>,
-    breaks: Vec<Break>,
+    pub(super) unavailable_topics: [bool; 3],
+    pub(super) store_unreachable_ms: Option<u64>,
+    pub(super) lapsed_replicas: Vec<String>,
+    broken_connections: Vec<BrokenConnection>,
     fetching: [bool; 3],
-    replicas_fresh_ms: u64,
+    replicas_confirmed_ms: u64,
     rng: Pcg64Mcg,
     started: Instant,
 }
@@ -120,21 +120,21 @@
             peers: PeerTable::default(),
             suspects: SuspectTable::new(SUSPECT_WINDOW_MS, MAX_SUSPECTS),
             incarnation: rng.random(),
-            stopping: None,
-            requests: 0,
+            stopping_since: None,
+            active_requests: 0,
             stop_notice: Rc::new(Notify::new()),
             weights_notice: Rc::new(Notify::new()),
-            news_notice: Rc::new(Notify::new()),
+            update_notice: Rc::new(Notify::new()),
             ledgers: Default::default(),
-            budgets: Vec::new(),
-            demands: Vec::new(),
+            retry_budgets: Vec::new(),
+            request_rates: Vec::new(),
             longest_deadlines_ms: Vec::new(),
-            lost_topics: [false; 3],
-            away_ms: None,
-            lapsed: Vec::new(),
-            breaks: Vec::new(),
+            unavailable_topics: [false; 3],
+            store_unreachable_ms: None,
+            lapsed_replicas: Vec::new(),
+            broken_connections: Vec::new(),
             fetching: [false; 3],
-            replicas_fresh_ms: 0,
+            replicas_confirmed_ms: 0,
             rng,
             started: Instant::now(),
         }))
@@ -146,7 +146,7 @@
     }
 
     /// Random bits.
-    pub fn random(&mut self) -> u64 {
+    pub fn random_bits(&mut self) -> u64 {
         self.rng.random()
     }
 
@@ -159,14 +159,14 @@
 
     /// Whether new clients are welcome.
     pub fn is_ready(&self) -> bool {
-        self.stopping.is_none()
+        self.stopping_since.is_none()
             && self.catalog.is_some()
             && self.ledgers[Topic::Replicas as usize].is_known()
-            && (self.weights.are_exact() || self.now_ms() >= AGES_AWAITED_MS)
+            && (self.weights.are_exact() || self.now_ms() >= DECLARATION_AGE_WAIT_MS)
     }
 
     /// Ends of the topics, in the order of `Topic::ALL`.
-    pub fn ends(&self) -> [u64; 3] {
+    pub fn end_offsets(&self) -> [u64; 3] {
         Topic::ALL.map(|topic| self.ledger(topic).end_offset())
     }
 
@@ -182,19 +182,19 @@
 
     /// Whether the store answers this process.
     pub fn has_store(&self) -> bool {
-        !self.lost_topics.contains(&true)
+        !self.unavailable_topics.contains(&true)
     }
 
     /// Age of the replicas' records, since the store confirmed them to this entry
     /// or to one that told it.
     pub fn replicas_age_ms(&self) -> u64 {
-        self.now_ms().saturating_sub(self.replicas_fresh_ms)
+        self.now_ms().saturating_sub(self.replicas_confirmed_ms)
     }
 
     /// Notes that the replicas' records are as of `age_ms` ago.
     pub fn confirm_replicas(&mut self, age_ms: u64) {
-        let fresh_ms = self.now_ms().saturating_sub(age_ms);
-        self.replicas_fresh_ms = self.replicas_fresh_ms.max(fresh_ms);
+        let confirmed_ms = self.now_ms().saturating_sub(age_ms);
+        self.replicas_confirmed_ms = self.replicas_confirmed_ms.max(confirmed_ms);
     }
 
     /// Whether another entry reads the store for this one, and tells it.
@@ -211,23 +211,23 @@
 
     /// Whether what is known of `topic` is so old that a far entry is asked.
     pub fn is_outdated(&self, topic: Topic) -> bool {
-        topic != Topic::Replicas || self.replicas_age_ms() >= OUTDATED_MS
+        topic != Topic::Replicas || self.replicas_age_ms() >= REPLICAS_OUTDATED_MS
     }
 
     /// Notes whether the store answers for `topic`.
-    pub fn note_source(&mut self, topic: Topic, error: Option<&dyn std::error::Error>) {
-        let lost = &mut self.lost_topics[topic as usize];
+    pub fn record_store_result(&mut self, topic: Topic, error: Option<&dyn std::error::Error>) {
+        let is_unavailable = &mut self.unavailable_topics[topic as usize];
         match error {
-            Some(error) if !*lost => {
-                *lost = true;
+            Some(error) if !*is_unavailable => {
+                *is_unavailable = true;
                 LogLine::new(Event::DependencyLost)
                     .text("dependency", "store")
                     .text("topic", topic.label())
                     .text("error", error.to_string())
                     .write();
             }
-            None if *lost => {
-                *lost = false;
+            None if *is_unavailable => {
+                *is_unavailable = false;
                 LogLine::new(Event::DependencyRegained)
                     .text("dependency", "store")
                     .text("topic", topic.label())
@@ -238,14 +238,14 @@
     }
 
     /// Whether the store did not answer the last read of `topic`.
-    pub fn is_lost(&self, topic: Topic) -> bool {
-        self.lost_topics[topic as usize]
+    pub fn is_topic_unavailable(&self, topic: Topic) -> bool {
+        self.unavailable_topics[topic as usize]
     }
 
     /// Budget of resends to `service`.
-    pub fn budget(&mut self, service: &str) -> &mut RetryWindow {
+    pub fn retry_budget(&mut self, service: &str) -> &mut RetryWindow {
         let at = match self
-            .budgets
+            .retry_budgets
             .binary_search_by(|budget| budget.0.as_str().cmp(service))
         {
             Ok(at) => at,
@@ -256,33 +256,36 @@
                     settings.retry_extra,
                     settings.retry_window_ms,
                 );
-                self.budgets.insert(at, (service.to_owned(), budget));
+                self.retry_budgets.insert(at, (service.to_owned(), budget));
                 at
             }
         };
-        &mut self.budgets[at].1
+        &mut self.retry_budgets[at].1
     }
 
     /// Counts a request for `service`, sent or refused.
-    pub fn count_demand(&mut self, service: &str) {
+    pub fn count_request(&mut self, service: &str) {
         let now_ms = self.now_ms();
-        let demands = &mut self.demands;
-        let at = match demands.binary_search_by(|d| d.0.as_str().cmp(service)) {
+        let request_rates = &mut self.request_rates;
+        let at = match request_rates.binary_search_by(|d| d.0.as_str().cmp(service)) {
             Ok(at) => at,
             Err(at) => {
-                demands.insert(at, (service.to_owned(), RateMeter::default()));
+                request_rates.insert(at, (service.to_owned(), RateMeter::default()));
                 at
             }
         };
-        demands[at].1.add(now_ms);
+        request_rates[at].1.add(now_ms);
     }
 
     /// Requests for `service` that the other entries get in a ms, if each gets
     /// as many as this one.
-    pub fn others_demand_per_ms(&self, service: &str) -> f64 {
+    pub fn others_rate_per_ms(&self, service: &str) -> f64 {
         let others = f64::from(self.entry_count() - 1);
-        match self.demands.binary_search_by(|d| d.0.as_str().cmp(service)) {
-            Ok(at) => self.demands[at].1.per_ms(self.now_ms()) * others,
+        match self
+            .request_rates
+            .binary_search_by(|d| d.0.as_str().cmp(service))
+        {
+            Ok(at) => self.request_rates[at].1.per_ms(self.now_ms()) * others,
             Err(_) => 0.0,
         }
     }
@@ -309,25 +312,25 @@
                 deadline_ms
             }
         };
-        let first_ms = longest_ms - (longest_ms as f64 * DEADLINE_SPREAD) as u64;
-        first_ms.saturating_sub(deadline_ms)
+        let first_request_ms = longest_ms - (longest_ms as f64 * DEADLINE_SPREAD) as u64;
+        first_request_ms.saturating_sub(deadline_ms)
     }
 
     /// Remembers what was at a replica when its connection broke, for the case
     /// that the replica crashed.
-    pub fn note_break(&mut self, fingerprint: Digest, replica: &str) {
+    pub fn record_broken_connection(&mut self, fingerprint: Digest, replica: &str) {
         let now_ms = self.now_ms();
-        self.breaks
-            .retain(|entry| now_ms.saturating_sub(entry.at_ms) < BREAK_WINDOW_MS);
-        if self.breaks.len() >= MAX_BREAKS {
-            self.breaks.remove(0);
+        self.broken_connections
+            .retain(|entry| now_ms.saturating_sub(entry.at_ms) < BROKEN_CONNECTION_WINDOW_MS);
+        if self.broken_connections.len() >= MAX_BROKEN_CONNECTIONS {
+            self.broken_connections.remove(0);
         }
         let born_unix_ms = self
             .replicas
             .listed()
             .find(|(_, known)| known.record.id == replica)
             .and_then(|(_, known)| known.record.born_unix_ms);
-        self.breaks.push(Break {
+        self.broken_connections.push(BrokenConnection {
             fingerprint,
             replica: replica.to_owned(),
             incarnation: born_unix_ms.unwrap_or(0),
@@ -337,40 +340,40 @@
 
     /// Blames the requests whose connections to `replica` broke just before it
     /// could not be reached.
-    pub fn blame_breaks(&mut self, replica: &str) {
+    pub fn suspect_broken_connections(&mut self, replica: &str) {
         let now_ms = self.now_ms();
-        let breaks = std::mem::take(&mut self.breaks);
-        for entry in breaks {
-            if now_ms.saturating_sub(entry.at_ms) >= BREAK_WINDOW_MS {
+        let broken_connections = std::mem::take(&mut self.broken_connections);
+        for entry in broken_connections {
+            if now_ms.saturating_sub(entry.at_ms) >= BROKEN_CONNECTION_WINDOW_MS {
                 continue;
             }
             if entry.replica != replica {
-                self.breaks.push(entry);
+                self.broken_connections.push(entry);
                 continue;
             }
             LogLine::new(Event::CrashSuspected)
                 .text("replica", replica)
                 .text("fingerprint", entry.fingerprint.to_string())
                 .write();
-            let death = DeathId {
+            let crash = DeathId {
                 endpoint: entry.replica,
                 incarnation: entry.incarnation,
                 crash_no: DeathId::PROCESS_DEATH,
             };
-            self.suspects.add_death(entry.fingerprint, death, now_ms);
+            self.suspects.add_death(entry.fingerprint, crash, now_ms);
         }
     }
 
     /// Version of `model` that every answer must at least come from now.
     pub fn required_version(&self, model: &str) -> Option<u64> {
-        self.version_due_in(model, WEIGHTS_MARGIN_MS)
+        self.version_due_in(model, WEIGHTS_REQUIRED_MARGIN_MS)
     }
 
     /// Time until a request at an engine with `version` of `model` must have
     /// begun; None while no later version is declared.
     pub fn begin_within_ms(&self, model: &str, version: u64) -> Option<u64> {
         let now_ms = self.now_ms() as i64;
-        let apply_ms = (self.settings.weights_apply_ms - WEIGHTS_CANCEL_MS) as i64;
+        let apply_ms = (self.settings.weights_apply_ms - WEIGHTS_CANCEL_MARGIN_MS) as i64;
         self.weights
             .of(model)
             .filter(|declaration| declaration.version > version)
@@ -382,7 +385,7 @@
     /// Version of `model` that is due soon: engines without it get only what
     /// can begin at once.
     pub fn expected_version(&self, model: &str) -> Option<u64> {
-        self.version_due_in(model, WEIGHTS_NOTICE_MS)
+        self.version_due_in(model, WEIGHTS_EXPECTED_MARGIN_MS)
     }
 
     fn version_due_in(&self, model: &str, ahead_ms: u64) -> Option<u64> {
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -15,7 +15,7 @@
 /// Time after the store's return within which a lapsed record is waited for, in
 /// ms: it comes back within about two seconds, but a replica that has left must
 /// be out of use within the same time.
-const LAPSE_GRACE_MS: u64 = 1_600;
+const LAPSE_TOLERANCE_MS: u64 = 1_600;
 
 impl TopicSink for GatewayState {
     fn ledger(&self, topic: Topic) -> &Ledger {
@@ -35,11 +35,11 @@
         match (topic, value) {
             (Topic::Operator, Some(value)) => {
                 self.take_operator(key, &value, offset, decoder);
-                self.news_notice.notify_one();
+                self.update_notice.notify_one();
             }
             (Topic::Replicas, Some(value)) => self.take_replica(key, &value, offset, decoder),
-            (Topic::Replicas, None) if self.is_lapse_excused() => {
-                self.lapsed.push(key.to_owned());
+            (Topic::Replicas, None) if self.is_lapse_tolerated() => {
+                self.lapsed_replicas.push(key.to_owned());
             }
             (Topic::Replicas, None) => self.remove_replica(key),
             (Topic::Operator, None) | (Topic::Members, _) => {}
@@ -70,11 +70,11 @@
 impl GatewayState {
     /// Takes replicas out whose records lapsed while the store was away and did
     /// not come back since.
-    pub fn settle_lapsed(&mut self) {
-        if self.lapsed.is_empty() || self.is_lapse_excused() {
+    pub fn remove_lapsed_replicas(&mut self) {
+        if self.lapsed_replicas.is_empty() || self.is_lapse_tolerated() {
             return;
         }
-        for id in std::mem::take(&mut self.lapsed) {
+        for id in std::mem::take(&mut self.lapsed_replicas) {
             let is_listed = self
                 .ledger(Topic::Replicas)
                 .get(&id)
@@ -89,13 +89,13 @@
     ///
     /// The store is away when it answers neither this process nor the entry
     /// that reads for it.
-    fn is_lapse_excused(&mut self) -> bool {
+    fn is_lapse_tolerated(&mut self) -> bool {
         let now_ms = self.now_ms();
-        if self.lost_topics[Topic::Replicas as usize] && !self.has_reader() {
-            self.away_ms = Some(now_ms);
+        if self.unavailable_topics[Topic::Replicas as usize] && !self.has_reader() {
+            self.store_unreachable_ms = Some(now_ms);
         }
-        self.away_ms
-            .is_some_and(|away_ms| now_ms < away_ms + LAPSE_GRACE_MS)
+        self.store_unreachable_ms
+            .is_some_and(|store_unreachable_ms| now_ms < store_unreachable_ms + LAPSE_TOLERANCE_MS)
     }
 
     fn take_operator(
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -160,7 +160,7 @@
         state.peers.heard(beat(format!("entry-{index}")), now_ms);
     }
     let lost = SourceError::Refused(503);
-    state.note_source(Topic::Replicas, Some(&lost));
+    state.record_store_result(Topic::Replicas, Some(&lost));
     state.handle_records(
         Topic::Replicas,
         vec![record(1, Some("127.0.0.1:9"))],
@@ -179,7 +179,7 @@
     let state = with_one_replica();
     let mut state = state.borrow_mut();
     let lost = SourceError::Refused(503);
-    state.note_source(Topic::Replicas, Some(&lost));
+    state.record_store_result(Topic::Replicas, Some(&lost));
     state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &Addresses);
     assert_eq!(listed(&state), 1);
 }
