--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -46,26 +46,27 @@
 
 /// Longest wait of one read for new records: a silent connection is noticed soon
 /// after it.
-const READ_WAIT: Duration = Duration::from_secs(2);
+const MAX_READ_WAIT: Duration = Duration::from_secs(2);
 
 /// Longest wait of one read for records of replicas: the other entries of the
 /// failure domain count on it that the store is heard from all the time.
-const REPLICAS_WAIT: Duration = Duration::from_millis(200);
+const MAX_REPLICAS_READ_WAIT: Duration = Duration::from_millis(200);
 
 /// Pause between reads of the replicas' records, which change all the time.
-const REPLICAS_PAUSE: Duration = Duration::from_millis(400);
+const REPLICAS_READ_PAUSE: Duration = Duration::from_millis(400);
 
 /// Pause between looks at whether another entry still reads for this one.
-const READER_CHECK: Duration = Duration::from_millis(200);
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pause between tries to reach a lost store while another entry reads it.
-const LOST_PAUSE: Duration = Duration::from_secs(2);
+const UNAVAILABLE_STORE_PAUSE: Duration = Duration::from_secs(2);
 
 /// Pause between reads of other topics.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
+const READ_PAUSE: Duration = Duration::from_millis(20);
 
 /// Shortest and longest pause after a failed read.
-const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(600));
+const RETRY_PAUSE_RANGE: (Duration, Duration) =
+    (Duration::from_millis(150), Duration::from_millis(600));
 
 /// Keeps a topic up to date from the platform's store.
 pub async fn follow_topic(
@@ -79,19 +80,19 @@
     loop {
         if !must_list && state.borrow().has_reader() {
             if !state.borrow().is_topic_unavailable(topic) {
-                tokio::time::sleep(READER_CHECK).await;
+                tokio::time::sleep(READER_CHECK_INTERVAL).await;
                 continue;
             }
-            tokio::time::sleep(LOST_PAUSE).await;
+            tokio::time::sleep(UNAVAILABLE_STORE_PAUSE).await;
         }
-        let step = if must_list {
+        let result = if must_list {
             read_listing(&state, topic, &mut source, &*decoder)
                 .await
                 .map(|()| false)
         } else {
-            read(&state, topic, &mut source, &*decoder).await
+            read_changes(&state, topic, &mut source, &*decoder).await
         };
-        match step {
+        match result {
             Ok(is_trimmed) => {
                 must_list = is_trimmed;
                 failures = 0;
@@ -100,9 +101,9 @@
                     state.record_store_result(topic, None);
                     if topic == Topic::Replicas {
                         state.confirm_replicas(0);
-                        REPLICAS_PAUSE
+                        REPLICAS_READ_PAUSE
                     } else {
-                        SHORT_PAUSE
+                        READ_PAUSE
                     }
                 };
                 tokio::time::sleep(pause).await;
@@ -130,7 +131,7 @@
 }
 
 /// Reads what followed; returns whether records are missing.
-async fn read(
+async fn read_changes(
     state: &RefCell<GatewayState>,
     topic: Topic,
     source: &mut impl RecordSource,
@@ -138,9 +139,9 @@
 ) -> Result<bool, SourceError> {
     let from = state.borrow().ledger(topic).end_offset();
     let wait = if topic == Topic::Replicas {
-        REPLICAS_WAIT
+        MAX_REPLICAS_READ_WAIT
     } else {
-        READ_WAIT
+        MAX_READ_WAIT
     };
     match source.read(topic, from, wait).await? {
         TopicRead::Trimmed => Ok(true),
@@ -157,7 +158,7 @@
 
 /// Pause that grows with the failures, spread so that entries do not meet.
 fn retry_pause(failures: u32) -> Duration {
-    let (shortest, longest) = RETRY_PAUSE;
+    let (shortest, longest) = RETRY_PAUSE_RANGE;
     let pause = (shortest * failures.min(8)).min(longest);
     pause.mul_f64(rand::rng().random_range(0.75..1.25))
 }
--- a/src/gateway/beats.rs
+++ b/src/gateway/heartbeats.rs
@@ -21,16 +21,16 @@
 use crate::weights::HaveMap;
 
 /// Interval of the beats between entries.
-const BEAT_INTERVAL: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Beats to entries for each beat to an endpoint process.
-const BEATS_PER_HELLO: u64 = 2;
+const HEARTBEATS_PER_ENDPOINT_HEARTBEAT: u64 = 2;
 
 /// Largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 
 /// Suspects told in one beat, so that it fits a datagram.
-const MAX_TOLD_SUSPECTS: usize = 16;
+const MAX_SENT_SUSPECTS: usize = 16;
 
 /// What a host tells the others of a version of weights.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -64,22 +64,22 @@
 }
 
 /// Tells the other entries and the endpoint processes that this one is alive.
-pub async fn send_beats(state: Rc<RefCell<GatewayState>>, socket: Rc<UdpSocket>) {
-    let mut count = 0u64;
-    let mut is_news = false;
-    let news = state.borrow().update_notice.clone();
+pub async fn send_heartbeats(state: Rc<RefCell<GatewayState>>, socket: Rc<UdpSocket>) {
+    let mut heartbeat_count = 0u64;
+    let mut has_update = false;
+    let notice = state.borrow().update_notice.clone();
     loop {
         let (bytes, targets) = {
             let mut state = state.borrow_mut();
             state.remove_lapsed_replicas();
-            let beat = Datagram::Beat(own_beat(&state));
+            let heartbeat = Datagram::Beat(own_heartbeat(&state));
             let mut targets = entry_targets(&state);
-            if is_news || count.is_multiple_of(BEATS_PER_HELLO) {
+            if has_update || heartbeat_count.is_multiple_of(HEARTBEATS_PER_ENDPOINT_HEARTBEAT) {
                 targets.extend(endpoint_targets(&state));
             }
             targets.sort_unstable();
             targets.dedup();
-            (beat.encode(), targets)
+            (heartbeat.encode(), targets)
         };
         for target in targets {
             // A lost beat is made good by the next one.
@@ -87,16 +87,16 @@
                 log::debug!("a beat to {target} was not sent: {error}");
             }
         }
-        count += 1;
-        is_news = tokio::time::timeout(BEAT_INTERVAL, news.notified())
+        heartbeat_count += 1;
+        has_update = tokio::time::timeout(HEARTBEAT_INTERVAL, notice.notified())
             .await
             .is_ok();
     }
 }
 
-fn own_beat(state: &GatewayState) -> EntryBeat {
+fn own_heartbeat(state: &GatewayState) -> EntryBeat {
     let mut suspects = state.suspects.export(state.now_ms());
-    suspects.truncate(MAX_TOLD_SUSPECTS);
+    suspects.truncate(MAX_SENT_SUSPECTS);
     EntryBeat {
         name: state.settings.name.clone(),
         incarnation: state.incarnation,
@@ -121,9 +121,9 @@
         .since(0)
         .filter_map(|record| rmp_serde::from_slice::<Member>(record.value.as_deref()?).ok())
         .map(|member| member.internal);
-    let heard = state.peers.all().map(|peer| peer.internal);
+    let received = state.peers.all().map(|peer| peer.internal);
     registered
-        .chain(heard)
+        .chain(received)
         .filter(|address| *address != own)
         .collect()
 }
@@ -147,7 +147,7 @@
 }
 
 /// Hands each readable datagram to `take`, with its sender.
-pub async fn for_each_datagram(socket: &UdpSocket, mut take: impl FnMut(Datagram, SocketAddr)) {
+pub async fn for_each_datagram(socket: &UdpSocket, mut handle: impl FnMut(Datagram, SocketAddr)) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buffer).await {
@@ -159,7 +159,7 @@
             }
         };
         match rmp_serde::from_slice(&buffer[..len]) {
-            Ok(datagram) => take(datagram, from),
+            Ok(datagram) => handle(datagram, from),
             Err(error) => log::debug!("a datagram from {from} is unreadable: {error}"),
         }
     }
@@ -172,15 +172,15 @@
     decoder: Rc<impl RecordDecoder + 'static>,
 ) {
     for_each_datagram(&socket, |datagram, from| match datagram {
-        Datagram::Beat(beat) => take_beat(&state, beat, &decoder),
-        Datagram::Load(report) => take_load(&state, &report, from),
+        Datagram::Beat(heartbeat) => apply_heartbeat(&state, heartbeat, &decoder),
+        Datagram::Load(report) => apply_load_report(&state, &report, from),
         // Notes on pieces are for endpoint processes.
         Datagram::Have(_) => {}
     })
     .await;
 }
 
-fn take_load(state: &RefCell<GatewayState>, report: &LoadReport, from: SocketAddr) {
+fn apply_load_report(state: &RefCell<GatewayState>, report: &LoadReport, from: SocketAddr) {
     let mut state = state.borrow_mut();
     let load = EngineLoad {
         at_ms: state.now_ms(),
@@ -199,37 +199,39 @@
     }
 }
 
-fn take_beat(
+fn apply_heartbeat(
     state: &Rc<RefCell<GatewayState>>,
-    beat: EntryBeat,
+    heartbeat: EntryBeat,
     decoder: &Rc<impl RecordDecoder + 'static>,
 ) {
-    let mut known = state.borrow_mut();
-    if beat.name == known.settings.name {
+    let mut current = state.borrow_mut();
+    if heartbeat.name == current.settings.name {
         return;
     }
-    let now_ms = known.now_ms();
-    known.suspects.merge(beat.suspects.iter().cloned(), now_ms);
-    if known.weights.merge(&beat.declared, now_ms as i64) {
-        known.weights_notice.notify_one();
+    let now_ms = current.now_ms();
+    current
+        .suspects
+        .merge(heartbeat.suspects.iter().cloned(), now_ms);
+    if current.weights.merge(&heartbeat.declared, now_ms as i64) {
+        current.weights_notice.notify_one();
     }
-    let own_ends = known.end_offsets();
-    let lines = LogLine::new(Event::EntrySeen)
-        .text("entry", &beat.name)
-        .flag("ready", beat.is_ready);
-    let internal = beat.internal;
-    let is_near = beat.failure_domain == known.settings.failure_domain;
-    let ends = beat.ends;
-    if ends[Topic::Replicas as usize] <= own_ends[Topic::Replicas as usize] {
-        known.confirm_replicas(beat.replicas_age_ms);
+    let own_end_offsets = current.end_offsets();
+    let line = LogLine::new(Event::EntrySeen)
+        .text("entry", &heartbeat.name)
+        .flag("ready", heartbeat.is_ready);
+    let internal = heartbeat.internal;
+    let is_same_domain = heartbeat.failure_domain == current.settings.failure_domain;
+    let ends = heartbeat.ends;
+    if ends[Topic::Replicas as usize] <= own_end_offsets[Topic::Replicas as usize] {
+        current.confirm_replicas(heartbeat.replicas_age_ms);
     }
-    if known.peers.heard(beat, now_ms) {
-        lines.write();
+    if current.peers.heard(heartbeat, now_ms) {
+        line.write();
     }
     for topic in Topic::ALL {
-        let is_behind = ends[topic as usize] > own_ends[topic as usize]
-            && (is_near || known.is_outdated(topic));
-        if is_behind && known.try_begin_fetch(topic) {
+        let is_behind = ends[topic as usize] > own_end_offsets[topic as usize]
+            && (is_same_domain || current.is_outdated(topic));
+        if is_behind && current.try_begin_fetch(topic) {
             let state = state.clone();
             let decoder = decoder.clone();
             actix_rt::spawn(async move {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,7 +5,6 @@
 //! the wire calls things is behind the traits in `ports`, which an adapter
 //! implements.
 
-mod beats;
 mod directory;
 mod ending;
 mod event_splitter;
@@ -14,6 +13,7 @@
 mod follow;
 mod forward;
 mod front;
+mod heartbeats;
 mod own_answer;
 mod piece_cache;
 mod placement;
@@ -28,15 +28,15 @@
 mod state;
 mod topic_records;
 
-pub use beats::Datagram;
-pub use beats::HeldPieces;
-pub use beats::for_each_datagram;
 pub use event_splitter::EventSplitter;
 pub use event_splitter::StreamEvent;
 pub use fetch::fetch_records;
 pub use follow::TopicSink;
 pub use follow::follow_topic;
 pub use follow::read_listing;
+pub use heartbeats::Datagram;
+pub use heartbeats::HeldPieces;
+pub use heartbeats::for_each_datagram;
 pub use piece_cache::MANIFEST_PATH;
 pub use piece_cache::PIECE_PATH;
 pub use ports::Credential;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -14,14 +14,14 @@
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
-use crate::gateway::beats::receive_datagrams;
-use crate::gateway::beats::send_beats;
 use crate::gateway::directory::Directory;
 use crate::gateway::directory::Internal;
 use crate::gateway::directory::Readiness;
 use crate::gateway::follow::follow_topic;
 use crate::gateway::forward::Gateway;
 use crate::gateway::front::serve_clients;
+use crate::gateway::heartbeats::receive_datagrams;
+use crate::gateway::heartbeats::send_heartbeats;
 use crate::gateway::piece_cache::PieceCache;
 use crate::gateway::reload::apply_settings;
 use crate::gateway::reload::wait_for_changed_settings;
@@ -76,7 +76,7 @@
         ));
     }
     actix_rt::spawn(register(state.clone(), source()));
-    actix_rt::spawn(send_beats(state.clone(), socket.clone()));
+    actix_rt::spawn(send_heartbeats(state.clone(), socket.clone()));
     actix_rt::spawn(receive_datagrams(state.clone(), socket, decoder));
     actix_rt::spawn(flush_log_every(LOG_INTERVAL));
     LogLine::new(Event::ProcessStarted)
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -34,10 +34,12 @@
         let offset = record.offset;
         match (topic, value) {
             (Topic::Operator, Some(value)) => {
-                self.take_operator(key, &value, offset, decoder);
+                self.apply_operator_record(key, &value, offset, decoder);
                 self.update_notice.notify_one();
             }
-            (Topic::Replicas, Some(value)) => self.take_replica(key, &value, offset, decoder),
+            (Topic::Replicas, Some(value)) => {
+                self.apply_replica_record(key, &value, offset, decoder)
+            }
             (Topic::Replicas, None) if self.is_lapse_tolerated() => {
                 self.lapsed_replicas.push(key.to_owned());
             }
@@ -98,7 +100,7 @@
             .is_some_and(|store_unreachable_ms| now_ms < store_unreachable_ms + LAPSE_TOLERANCE_MS)
     }
 
-    fn take_operator(
+    fn apply_operator_record(
         &mut self,
         key: &str,
         value: &[u8],
@@ -113,13 +115,15 @@
                     .write();
                 self.catalog = Some(Rc::from(catalog));
             }
-            Ok(OperatorRecord::Weights { model, version }) => self.declare(model, version, offset),
+            Ok(OperatorRecord::Weights { model, version }) => {
+                self.apply_declaration(model, version, offset)
+            }
             Ok(OperatorRecord::Other) => {}
             Err(error) => log_rejected_record(Topic::Operator, key, offset, &error),
         }
     }
 
-    fn declare(&mut self, model: String, version: u64, offset: u64) {
+    fn apply_declaration(&mut self, model: String, version: u64, offset: u64) {
         let record = DeclaredRecord {
             model,
             version,
@@ -133,7 +137,13 @@
         }
     }
 
-    fn take_replica(&mut self, key: &str, value: &[u8], offset: u64, decoder: &impl RecordDecoder) {
+    fn apply_replica_record(
+        &mut self,
+        key: &str,
+        value: &[u8],
+        offset: u64,
+        decoder: &impl RecordDecoder,
+    ) {
         let now_ms = self.now_ms();
         match decoder.replica_record(key, value) {
             Ok(record) => {
@@ -141,8 +151,8 @@
                 let was_leaving = self.replicas.listed().any(|(_, known)| {
                     known.record.id == record.id && known.record.state == ReplicaState::Leaving
                 });
-                let (key, is_news) = self.replicas.register(record, now_ms);
-                if is_news || (is_leaving && !was_leaving) {
+                let (key, is_new_incarnation) = self.replicas.register(record, now_ms);
+                if is_new_incarnation || (is_leaving && !was_leaving) {
                     let record = &self.replicas.get(key).record;
                     let event = if is_leaving {
                         Event::ReplicaLeaving
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -109,7 +109,7 @@
     }
 }
 
-fn beat(name: String) -> EntryBeat {
+fn heartbeat(name: String) -> EntryBeat {
     let any: SocketAddr = "127.0.0.1:2".parse().unwrap();
     EntryBeat {
         name,
@@ -157,7 +157,9 @@
     let mut state = state.borrow_mut();
     for index in 0..8 {
         let now_ms = state.now_ms();
-        state.peers.heard(beat(format!("entry-{index}")), now_ms);
+        state
+            .peers
+            .heard(heartbeat(format!("entry-{index}")), now_ms);
     }
     let lost = SourceError::Refused(503);
     state.record_store_result(Topic::Replicas, Some(&lost));
@@ -193,7 +195,7 @@
         let reads = |own: &&String| {
             let mut peers = PeerTable::default();
             for name in names.iter().filter(|name| name != own) {
-                peers.heard(beat(name.clone()), 0);
+                peers.heard(heartbeat(name.clone()), 0);
             }
             !peers.has_reader(own, "z", 1, age_ms)
         };
