--- a/src/gateway/fetch.rs
+++ b/src/gateway/fetch.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Topic;
 use crate::gateway::RecordDecoder;
 use crate::gateway::TopicSink;
-use crate::gateway::directory::RECORDS_PATH;
+use crate::gateway::handlers::RECORDS_PATH;
 use crate::gateway::records_reply::RecordsReply;
 use crate::http1::Ask;
 use crate::http1::Client;
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -12,7 +12,7 @@
 use crate::gateway::forward::Gateway;
 use crate::gateway::forward::Next;
 use crate::gateway::own_answer::own_answer;
-use crate::gateway::process::LEAVE_TIME;
+use crate::gateway::process::STOP_ACCEPT_TIME;
 use crate::gateway::request::Request;
 use crate::http1::BodyDecoder;
 use crate::http1::Connection;
@@ -96,7 +96,7 @@
 async fn left<D: Dialect>(gateway: &Gateway<D>) {
     let notice = gateway.state.borrow().stop_notice.clone();
     notice.notified().await;
-    tokio::time::sleep(LEAVE_TIME).await;
+    tokio::time::sleep(STOP_ACCEPT_TIME).await;
 }
 
 async fn serve_client<D: Dialect>(mut client: Connection, gateway: &Gateway<D>) {
@@ -189,7 +189,7 @@
     let mut state = gateway.state.borrow_mut();
     if state
         .stopping_since
-        .is_some_and(|since| since.elapsed() >= LEAVE_TIME)
+        .is_some_and(|since| since.elapsed() >= STOP_ACCEPT_TIME)
     {
         let refusal = Refusal {
             status: 503,
--- a/src/gateway/directory.rs
+++ b/src/gateway/handlers.rs
@@ -18,14 +18,14 @@
 
 /// Answers clients that ask where to connect.
 #[derive(Debug)]
-pub struct Directory<D> {
+pub struct DirectoryHandler<D> {
     /// What the process knows.
     pub state: Rc<RefCell<GatewayState>>,
     /// The wire.
     pub dialect: Rc<D>,
 }
 
-impl<D: Dialect + 'static> InternalHandler for Directory<D> {
+impl<D: Dialect + 'static> InternalHandler for DirectoryHandler<D> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
         if self.dialect.directory_query(&request.head).is_none() {
             return InternalReply::status(404);
@@ -56,14 +56,14 @@
 
 /// Answers the platform's readiness checks.
 #[derive(Debug)]
-pub struct Readiness<D> {
+pub struct ReadinessHandler<D> {
     /// What the process knows.
     pub state: Rc<RefCell<GatewayState>>,
     /// The wire.
     pub dialect: Rc<D>,
 }
 
-impl<D: Dialect + 'static> InternalHandler for Readiness<D> {
+impl<D: Dialect + 'static> InternalHandler for ReadinessHandler<D> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
         if !self.dialect.is_readiness_check(&request.head) {
             return InternalReply::status(404);
@@ -81,7 +81,7 @@
 
 /// Answers the other processes of the system, and readers of metrics.
 #[derive(Debug)]
-pub struct Internal<O> {
+pub struct InternalCallHandler<O> {
     /// What the process knows.
     pub state: Rc<RefCell<GatewayState>>,
     /// Counters.
@@ -101,10 +101,10 @@
     bytes: Vec<u8>,
 }
 
-impl<O: OriginPort> Internal<O> {
+impl<O: OriginPort> InternalCallHandler<O> {
     /// Records at or after an offset: `TOPIC/OFFSET`.
-    fn records(&self, question: &str) -> Option<InternalReply> {
-        let (label, offset) = question.split_once('/')?;
+    fn records_reply(&self, path_rest: &str) -> Option<InternalReply> {
+        let (label, offset) = path_rest.split_once('/')?;
         let topic = Topic::from_label(label)?;
         let offset = offset.parse().ok()?;
         let state = self.state.borrow();
@@ -132,7 +132,7 @@
     }
 }
 
-impl<O: OriginPort> InternalHandler for Internal<O> {
+impl<O: OriginPort> InternalHandler for InternalCallHandler<O> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
         let path = request.head.path();
         if path == METRICS_PATH {
@@ -142,7 +142,7 @@
             return reply;
         }
         path.strip_prefix(RECORDS_PATH)
-            .and_then(|rest| self.records(rest.strip_prefix('/')?))
+            .and_then(|rest| self.records_reply(rest.strip_prefix('/')?))
             .unwrap_or_else(|| InternalReply::status(404))
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,7 +5,6 @@
 //! the wire calls things is behind the traits in `ports`, which an adapter
 //! implements.
 
-mod directory;
 mod ending;
 mod event_splitter;
 mod exchange;
@@ -13,6 +12,7 @@
 mod follow;
 mod forward;
 mod front;
+mod handlers;
 mod heartbeats;
 mod own_answer;
 mod piece_cache;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -14,12 +14,12 @@
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
-use crate::gateway::directory::Directory;
-use crate::gateway::directory::Internal;
-use crate::gateway::directory::Readiness;
 use crate::gateway::follow::follow_topic;
 use crate::gateway::forward::Gateway;
 use crate::gateway::front::serve_clients;
+use crate::gateway::handlers::DirectoryHandler;
+use crate::gateway::handlers::InternalCallHandler;
+use crate::gateway::handlers::ReadinessHandler;
 use crate::gateway::heartbeats::receive_datagrams;
 use crate::gateway::heartbeats::send_heartbeats;
 use crate::gateway::piece_cache::PieceCache;
@@ -34,17 +34,17 @@
 use crate::weights::OriginPort;
 
 /// Interval at which log lines are handed to their writer.
-const LOG_INTERVAL: Duration = Duration::from_millis(250);
+const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time after a stop signal in which requests are still taken: clients learn of
 /// it and connect elsewhere.
-pub const LEAVE_TIME: Duration = Duration::from_millis(2_500);
+pub const STOP_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
 /// Time before the kill at which the process ends by itself.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// Pause between looks at what is still under way while stopping.
-const DRAIN_PAUSE: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an entry process until a stop signal.
 ///
@@ -63,7 +63,7 @@
     let metrics = Rc::new(Metrics::new());
     let state = GatewayState::new(settings.clone());
     let pieces = PieceCache::new(state.clone(), origin, metrics.clone());
-    listen(&settings, &state, &dialect, &metrics, &pieces).await?;
+    start_listeners(&settings, &state, &dialect, &metrics, &pieces).await?;
     actix_rt::spawn(pieces.clone().read_ahead());
     actix_rt::spawn(pieces.evict_unused());
     let socket = Rc::new(UdpSocket::bind(settings.internal).await?);
@@ -75,10 +75,10 @@
             decoder.clone(),
         ));
     }
-    actix_rt::spawn(register(state.clone(), source()));
+    actix_rt::spawn(register_entry(state.clone(), source()));
     actix_rt::spawn(send_heartbeats(state.clone(), socket.clone()));
     actix_rt::spawn(receive_datagrams(state.clone(), socket, decoder));
-    actix_rt::spawn(flush_log_every(LOG_INTERVAL));
+    actix_rt::spawn(flush_log_every(LOG_FLUSH_INTERVAL));
     LogLine::new(Event::ProcessStarted)
         .text("role", "entry")
         .text("host", &settings.name)
@@ -91,11 +91,11 @@
         }
     }
     let grace_ms = state.borrow().settings.grace_ms;
-    stop(&state, Duration::from_millis(grace_ms)).await;
+    drain_and_stop(&state, Duration::from_millis(grace_ms)).await;
     Ok(())
 }
 
-async fn listen(
+async fn start_listeners(
     settings: &GatewaySettings,
     state: &Rc<RefCell<GatewayState>>,
     dialect: &Rc<impl Dialect + 'static>,
@@ -110,21 +110,21 @@
     };
     actix_rt::spawn(serve_clients(front, gateway));
     if let Some(address) = settings.ready {
-        let readiness = Readiness {
+        let readiness = ReadinessHandler {
             state: state.clone(),
             dialect: dialect.clone(),
         };
         actix_rt::spawn(serve_internal(TcpListener::bind(address).await?, readiness));
     }
     if let Some(address) = settings.directory {
-        let directory = Directory {
+        let directory = DirectoryHandler {
             state: state.clone(),
             dialect: dialect.clone(),
         };
         actix_rt::spawn(serve_internal(TcpListener::bind(address).await?, directory));
     }
     for address in [settings.internal, settings.metrics] {
-        let internal = Internal {
+        let internal = InternalCallHandler {
             state: state.clone(),
             metrics: metrics.clone(),
             pieces: pieces.clone(),
@@ -136,7 +136,7 @@
 }
 
 /// Registers this entry so that the others find it.
-async fn register(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
+async fn register_entry(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
     let member = {
         let settings = &state.borrow().settings;
         Member {
@@ -155,7 +155,7 @@
 }
 
 /// Takes no new clients, finishes what is under way, and ends before the kill.
-async fn stop(state: &RefCell<GatewayState>, grace: Duration) {
+async fn drain_and_stop(state: &RefCell<GatewayState>, grace: Duration) {
     let began = Instant::now();
     LogLine::new(Event::ProcessStopping)
         .number("requests", state.borrow().active_requests)
@@ -164,9 +164,9 @@
     state.borrow_mut().stopping_since = Some(began);
     state.borrow().stop_notice.notify_waiters();
     loop {
-        tokio::time::sleep(DRAIN_PAUSE).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         let waited = began.elapsed();
-        let is_idle = state.borrow().active_requests == 0 && waited >= LEAVE_TIME;
+        let is_idle = state.borrow().active_requests == 0 && waited >= STOP_ACCEPT_TIME;
         if is_idle || waited + KILL_MARGIN >= grace {
             break;
         }
@@ -175,5 +175,5 @@
         .number("requests", state.borrow().active_requests)
         .write();
     flush_log();
-    tokio::time::sleep(DRAIN_PAUSE).await;
+    tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
 }
