--- a/src/gateway/request.rs
+++ b/src/gateway/admitted_request.rs
@@ -11,7 +11,7 @@
 
 /// A request that was read whole and may be forwarded.
 #[derive(Debug)]
-pub struct Request {
+pub struct AdmittedRequest {
     /// Head, as sent.
     pub head: RequestHead,
     /// Whole body.
@@ -29,33 +29,33 @@
     /// Urgency at an engine.
     pub urgency: u8,
     /// When its head was complete.
-    pub arrived: Instant,
+    pub received_at: Instant,
     /// When its final answer is due.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Least time the client had waited before, by its deadline.
     pub waited_before_ms: u64,
     /// Names what is asked, whoever asks again.
     pub fingerprint: Digest,
     /// Replicas that it was sent to.
-    pub tried: Vec<ReplicaKey>,
+    pub tried_replicas: Vec<ReplicaKey>,
     /// Sends that reached a replica.
     pub sends: u32,
 }
 
-impl Request {
+impl AdmittedRequest {
     /// Time until the final answer is due.
     pub fn left_ms(&self) -> u64 {
-        let left = self.until.saturating_duration_since(Instant::now());
+        let left = self.deadline.saturating_duration_since(Instant::now());
         u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
     }
 
     /// Time since it arrived.
     pub fn waited_ms(&self) -> u64 {
-        u64::try_from(self.arrived.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.received_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
     /// Whether the route allows one more replica.
-    pub fn may_send_again(&self) -> bool {
+    pub fn has_attempts_left(&self) -> bool {
         self.sends < self.route.max_attempts
     }
 }
--- a/src/gateway/front.rs
+++ b/src/gateway/client_listener.rs
@@ -9,11 +9,11 @@
 use crate::fleet::Route;
 use crate::gateway::Credential;
 use crate::gateway::Dialect;
+use crate::gateway::admitted_request::AdmittedRequest;
+use crate::gateway::forward::ConnectionReuse;
 use crate::gateway::forward::Gateway;
-use crate::gateway::forward::Next;
-use crate::gateway::own_answer::own_answer;
+use crate::gateway::local_response::local_response;
 use crate::gateway::process::STOP_ACCEPT_TIME;
-use crate::gateway::request::Request;
 use crate::http1::BodyDecoder;
 use crate::http1::Connection;
 use crate::http1::Framing;
@@ -27,7 +27,7 @@
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
 /// Time for an answer of the system's own to go out.
-const OWN_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const LOCAL_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Pause that a client is told while this entry knows no configuration, in ms.
 const RETRY_AFTER_START_MS: u64 = 500;
@@ -108,7 +108,7 @@
                 return;
             }
         };
-        let arrived = Instant::now();
+        let received_at = Instant::now();
         let body = match read_body(&mut client, gateway, &head).await {
             Ok(body) => body,
             Err(error) => {
@@ -117,12 +117,12 @@
             }
         };
         gateway.state.borrow_mut().active_requests += 1;
-        let next = match admit(gateway, head, body, arrived) {
+        let next = match admit(gateway, head, body, received_at) {
             Ok(request) => gateway.forward(&mut client, *request).await,
             Err((head, refusal)) => refuse(&client, gateway, &head, &refusal).await,
         };
         gateway.state.borrow_mut().active_requests -= 1;
-        if next == Next::Close {
+        if next == ConnectionReuse::Close {
             return;
         }
     }
@@ -169,7 +169,7 @@
         client
             .write_until(
                 b"HTTP/1.1 100 Continue\r\n\r\n",
-                Instant::now() + OWN_ANSWER_TIMEOUT,
+                Instant::now() + LOCAL_RESPONSE_TIMEOUT,
             )
             .await?;
     }
@@ -184,8 +184,8 @@
     gateway: &Gateway<D>,
     head: RequestHead,
     body: Vec<u8>,
-    arrived: Instant,
-) -> Result<Box<Request>, (RequestHead, Refusal)> {
+    received_at: Instant,
+) -> Result<Box<AdmittedRequest>, (RequestHead, Refusal)> {
     let mut state = gateway.state.borrow_mut();
     if state
         .stopping_since
@@ -226,7 +226,7 @@
     };
     let deadline_ms = facts.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     let waited_before_ms = state.waited_before_ms(&route.name, deadline_ms);
-    let until = arrived + Duration::from_millis(deadline_ms.min(route.timeout_ms));
+    let deadline = received_at + Duration::from_millis(deadline_ms.min(route.timeout_ms));
     let service = choose_service(&route, state.random_bits());
     state.count_request(&service);
     let target = format!(
@@ -237,7 +237,7 @@
     );
     let fingerprint = fingerprint(&target, &body);
     let is_late = waited_before_ms > 0;
-    Ok(Box::new(Request {
+    Ok(Box::new(AdmittedRequest {
         fingerprint,
         head,
         body,
@@ -247,10 +247,10 @@
         service,
         workspace,
         urgency: urgency(priority, is_late),
-        arrived,
-        until,
+        received_at,
+        deadline,
         waited_before_ms,
-        tried: Vec::new(),
+        tried_replicas: Vec::new(),
         sends: 0,
     }))
 }
@@ -302,7 +302,7 @@
     gateway: &Gateway<D>,
     head: &RequestHead,
     refusal: &Refusal,
-) -> Next {
+) -> ConnectionReuse {
     let close = head.wants_close() || gateway.state.borrow().stopping_since.is_some();
     let facts = gateway.dialect.request_facts(head);
     let config = gateway
@@ -318,11 +318,11 @@
         .number("config", config)
         .write();
     gateway.metrics.refused(refusal.cause);
-    let bytes = own_answer(refusal.status, refusal.retry_after_ms, close);
-    let until = Instant::now() + OWN_ANSWER_TIMEOUT;
-    match client.write_until(&bytes, until).await {
-        Ok(()) if !close => Next::Keep,
-        _ => Next::Close,
+    let bytes = local_response(refusal.status, refusal.retry_after_ms, close);
+    let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
+    match client.write_until(&bytes, deadline).await {
+        Ok(()) if !close => ConnectionReuse::Keep,
+        _ => ConnectionReuse::Close,
     }
 }
 
@@ -345,9 +345,9 @@
         .text("cause", error.label())
         .write();
     gateway.metrics.refused(error.label());
-    let bytes = own_answer(status, None, true);
-    let until = Instant::now() + OWN_ANSWER_TIMEOUT;
-    if let Err(error) = client.write_until(&bytes, until).await {
+    let bytes = local_response(status, None, true);
+    let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
+    if let Err(error) = client.write_until(&bytes, deadline).await {
         log::debug!("a client left before its answer: {error}");
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -6,7 +6,7 @@
 use crate::gateway::Dialect;
 use crate::gateway::ResponseFacts;
 use crate::gateway::SendFacts;
-use crate::gateway::request::Request;
+use crate::gateway::admitted_request::AdmittedRequest;
 use crate::http1::BodyDecoder;
 use crate::http1::Connection;
 use crate::http1::Headers;
@@ -21,10 +21,10 @@
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// Largest answer that is kept in memory, in bytes.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Header lines that concern one connection only, or that framing sets anew.
-const CONNECTION_LINES: [&str; 10] = [
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -39,7 +39,7 @@
 
 /// A whole answer of a replica.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ReplicaResponse {
     /// Head.
     pub head: ResponseHead,
     /// Whole body.
@@ -59,7 +59,7 @@
 
 /// What became of one send.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// Nothing was sent.
     Unreachable(Http1Error),
     /// The replica states that the request did not run.
@@ -71,7 +71,7 @@
     /// It may have run, and there is no valid answer.
     Broken(&'static str),
     /// The answer.
-    Answer(Answer),
+    Response(ReplicaResponse),
     /// The beginning of a stream.
     Stream(Box<EventStream>),
 }
@@ -81,85 +81,85 @@
 /// The head of the answer must come before `head_until`. A connection carries
 /// one request only: whatever a replica sends after its answer, or too late,
 /// can then belong to no other.
-pub async fn send(
+pub async fn send_to_replica(
     dialect: &impl Dialect,
-    request: &Request,
+    request: &AdmittedRequest,
     address: SocketAddr,
     facts: &SendFacts<'_>,
-    head_until: Instant,
-) -> Sent {
+    head_deadline: Instant,
+) -> SendOutcome {
     let mut connection = match Connection::open(address, CONNECT_TIMEOUT).await {
         Ok(connection) => connection,
-        Err(error) => return Sent::Unreachable(error),
+        Err(error) => return SendOutcome::Unreachable(error),
     };
     connection.reset_on_drop();
     let bytes = request_bytes(dialect, request, facts);
-    match connection.write_or_readable(&bytes, request.until).await {
+    match connection.write_or_readable(&bytes, request.deadline).await {
         Ok(_) => {}
-        Err(error) => return Sent::Broken(error.label()),
+        Err(error) => return SendOutcome::Broken(error.label()),
     }
-    let head = match read_head(&mut connection, head_until.min(request.until)).await {
+    let head = match read_head(&mut connection, head_deadline.min(request.deadline)).await {
         Ok(head) => head,
-        Err(Http1Error::TimedOut) => return Sent::Broken("silent"),
-        Err(error) => return Sent::Broken(error.label()),
+        Err(Http1Error::TimedOut) => return SendOutcome::Broken("silent"),
+        Err(error) => return SendOutcome::Broken(error.label()),
     };
     let answer = dialect.response_facts(&head);
-    if let Some(outcome) = reject(&answer, &head, request, facts) {
+    if let Some(outcome) = reject_response(&answer, &head, request, facts) {
         return outcome;
     }
     let framing = match head.framing(&request.head.method) {
         Ok(framing) => framing,
-        Err(error) => return Sent::Broken(error.label()),
+        Err(error) => return SendOutcome::Broken(error.label()),
     };
     let decoder = BodyDecoder::new(framing);
     if request.route.kind.is_streaming() && head.status == 200 {
-        return Sent::Stream(Box::new(EventStream {
+        return SendOutcome::Stream(Box::new(EventStream {
             head,
             connection,
             decoder,
         }));
     }
-    let read = connection.read_body(decoder, MAX_ANSWER_BYTES, || request.until);
+    let read = connection.read_body(decoder, MAX_RESPONSE_BYTES, || request.deadline);
     match read.await {
-        Ok(body) => Sent::Answer(Answer { head, body }),
-        Err(error) => Sent::Broken(error.label()),
+        Ok(body) => SendOutcome::Response(ReplicaResponse { head, body }),
+        Err(error) => SendOutcome::Broken(error.label()),
     }
 }
 
 /// Outcome of an answer that is not the replica's answer to this request.
-fn reject(
+fn reject_response(
     answer: &ResponseFacts,
     head: &ResponseHead,
-    request: &Request,
+    request: &AdmittedRequest,
     facts: &SendFacts<'_>,
-) -> Option<Sent> {
-    let is_other = answer
+) -> Option<SendOutcome> {
+    let is_other_attempt = answer
         .attempt_id
         .as_ref()
         .is_some_and(|id| *id != request.facts.attempt_id);
-    if is_other {
-        return Some(Sent::Broken("other_answer"));
+    if is_other_attempt {
+        return Some(SendOutcome::Broken("other_answer"));
     }
     if answer.is_misdirected {
-        let is_expected = answer.replica_id.as_deref() == Some(facts.replica_id);
-        return Some(if is_expected {
-            Sent::OtherWeights
+        let is_expected_replica = answer.replica_id.as_deref() == Some(facts.replica_id);
+        return Some(if is_expected_replica {
+            SendOutcome::OtherWeights
         } else {
-            Sent::Misplaced
+            SendOutcome::Misplaced
         });
     }
     if answer.is_not_run && head.status >= 400 {
-        return Some(Sent::NotRun);
+        return Some(SendOutcome::NotRun);
     }
     if !answer.is_signed {
-        return Some(Sent::Broken("unsigned"));
+        return Some(SendOutcome::Broken("unsigned"));
     }
-    answer.is_encoded.then_some(Sent::Broken("encoded"))
+    answer.is_encoded.then_some(SendOutcome::Broken("encoded"))
 }
 
 async fn read_head(
     connection: &mut Connection,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<ResponseHead, Http1Error> {
     loop {
         match ResponseHead::take(&mut connection.inbox, MAX_HEAD_BYTES)? {
@@ -167,13 +167,17 @@
             Some(head) => return Ok(head),
             None => {}
         }
-        if connection.fill_until(until).await? == 0 {
+        if connection.fill_until(deadline).await? == 0 {
             return Err(Http1Error::BrokenOff);
         }
     }
 }
 
-fn request_bytes(dialect: &impl Dialect, request: &Request, facts: &SendFacts<'_>) -> Vec<u8> {
+fn request_bytes(
+    dialect: &impl Dialect,
+    request: &AdmittedRequest,
+    facts: &SendFacts<'_>,
+) -> Vec<u8> {
     let head = &request.head;
     let mut bytes = Vec::with_capacity(1024 + request.body.len());
     bytes.extend_from_slice(head.method.as_bytes());
@@ -181,9 +185,10 @@
     bytes.extend_from_slice(head.target.as_bytes());
     bytes.extend_from_slice(b" HTTP/1.1\r\n");
     for (name, value) in head.headers.iter() {
-        let stays = is_connection_line(name, &head.headers) || !dialect.is_forwarded_header(name);
-        if !stays {
-            write_line(name, value, &mut bytes);
+        let is_dropped =
+            is_hop_by_hop_header(name, &head.headers) || !dialect.is_forwarded_header(name);
+        if !is_dropped {
+            write_header(name, value, &mut bytes);
         }
     }
     dialect.write_send_headers(facts, &mut bytes);
@@ -191,7 +196,7 @@
         || head.headers.values("transfer-encoding").next().is_some();
     if has_length {
         let length = request.body.len().to_string();
-        write_line("Content-Length", length.as_bytes(), &mut bytes);
+        write_header("Content-Length", length.as_bytes(), &mut bytes);
     }
     bytes.extend_from_slice(b"Connection: close\r\n\r\n");
     bytes.extend_from_slice(&request.body);
@@ -199,15 +204,15 @@
 }
 
 /// Whether a header line concerns only the connection it came on.
-pub fn is_connection_line(name: &str, headers: &Headers) -> bool {
-    CONNECTION_LINES
+pub fn is_hop_by_hop_header(name: &str, headers: &Headers) -> bool {
+    HOP_BY_HOP_HEADERS
         .iter()
         .any(|line| line.eq_ignore_ascii_case(name))
         || headers.has_token("connection", name)
 }
 
 /// Appends one header line.
-pub fn write_line(name: &str, value: &[u8], out: &mut Vec<u8>) {
+pub fn write_header(name: &str, value: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
     out.extend_from_slice(value);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -9,35 +9,35 @@
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
 use crate::gateway::SendFacts;
-use crate::gateway::ending::Ending;
+use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::exchange;
-use crate::gateway::exchange::Answer;
-use crate::gateway::exchange::Sent;
-use crate::gateway::placement::Place;
+use crate::gateway::exchange::ReplicaResponse;
+use crate::gateway::exchange::SendOutcome;
+use crate::gateway::placement::ChosenReplica;
 use crate::gateway::relay::StreamEnd;
 use crate::gateway::relay::StreamRelay;
-use crate::gateway::request::Request;
+use crate::gateway::request_outcome::RequestOutcome;
 use crate::http1::Connection;
 use crate::observe::Event;
 use crate::observe::LogLine;
 use crate::observe::Metrics;
 
 /// Connections that may fail to open before a request is given up.
-const MAX_UNREACHABLE: u32 = 4;
+const MAX_FAILED_CONNECTIONS: u32 = 4;
 
 /// Silence before the first event after which a repeatable stream is sent to
 /// another replica: several targets, and less than a client's patience.
-const FIRST_EVENT_PATIENCE: Duration = Duration::from_millis(1_600);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// Longest wait for a plain repeatable answer before another replica is asked.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(900);
+const PLAIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Pause that a refused client is told when no replica can be used, in ms.
-const RETRY_AFTER_FAULT_MS: u64 = 500;
+const RETRY_AFTER_FAILURE_MS: u64 = 500;
 
 /// Whether a client's connection can be used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum ConnectionReuse {
     /// For a further request.
     Keep,
     /// No.
@@ -67,79 +67,87 @@
 
 /// What was learned from the sends of one request so far.
 #[derive(Debug, Default)]
-pub(super) struct Progress {
-    unreachable: u32,
+pub(super) struct SendHistory {
+    failed_connections: u32,
     pub(super) may_have_run: bool,
-    pub(super) fallback: Option<Answer>,
+    pub(super) fallback_response: Option<ReplicaResponse>,
     pub(super) last_cause: &'static str,
     pub(super) replica: String,
 }
 
 impl<D: Dialect> Gateway<D> {
     /// Forwards one request and answers its client.
-    pub async fn forward(&self, client: &mut Connection, mut request: Request) -> Next {
-        let mut relay = StreamRelay::new(request.facts.last_event_id, request.until);
-        let mut progress = Progress::default();
-        if self.is_refused_suspect(&request) {
-            let ending = Ending {
+    pub async fn forward(
+        &self,
+        client: &mut Connection,
+        mut request: AdmittedRequest,
+    ) -> ConnectionReuse {
+        let mut relay = StreamRelay::new(request.facts.last_event_id, request.deadline);
+        let mut history = SendHistory::default();
+        if self.is_refused_as_suspect(&request) {
+            let outcome = RequestOutcome {
                 status: 503,
                 cause: "crash_suspect",
                 retry_after_ms: Some(request.left_ms() / 3),
             };
-            return self.end(client, &request, &progress, ending).await;
+            return self
+                .send_local_response(client, &request, &history, outcome)
+                .await;
         }
         loop {
-            let place = match self.place(&request, relay.has_begun()) {
-                Ok(place) => place,
+            let chosen = match self.choose_replica(&request, relay.has_begun()) {
+                Ok(chosen) => chosen,
                 Err((cause, retry_after_ms)) => {
                     return self
-                        .give_up(client, &request, &relay, progress, cause, retry_after_ms)
+                        .end_attempts(client, &request, &relay, history, cause, retry_after_ms)
                         .await;
                 }
             };
-            progress.replica.clone_from(&place.id);
-            let visit = self.begin(&mut request, &place);
-            let sent = self.send(client, &request, &relay, &place).await;
+            history.replica.clone_from(&chosen.id);
+            let in_flight = self.register_send(&mut request, &chosen);
+            let sent = self.send(client, &request, &relay, &chosen).await;
             let Some(sent) = sent else {
-                drop(visit);
-                return self.client_left(&request, &progress);
+                drop(in_flight);
+                return self.client_disconnected(&request, &history);
             };
-            let answered = self.take_outcome(&mut request, &place, sent, &mut progress);
+            let answered = self.record_outcome(&mut request, &chosen, sent, &mut history);
             match answered {
-                None => drop(visit),
-                Some(Sent::Answer(answer)) => {
-                    drop(visit);
-                    return self.answer(client, &request, &progress, answer).await;
+                None => drop(in_flight),
+                Some(SendOutcome::Response(answer)) => {
+                    drop(in_flight);
+                    return self
+                        .send_replica_response(client, &request, &history, answer)
+                        .await;
                 }
-                Some(Sent::Stream(stream)) => {
-                    let close = self.closes(&request);
-                    let end = relay.pump(client, stream, close, &visit).await;
-                    drop(visit);
+                Some(SendOutcome::Stream(stream)) => {
+                    let close = self.closes_connection(&request);
+                    let end = relay.relay_part(client, stream, close, &in_flight).await;
+                    drop(in_flight);
                     if let Some(next) =
-                        self.stream_ended(&request, &place, &relay, end, &mut progress)
+                        self.finish_stream(&request, &chosen, &relay, end, &mut history)
                     {
                         return next;
                     }
                 }
                 Some(_) => unreachable!("only answers are handed on"),
             }
-            if !self.may_resend(&request, &progress) {
-                let cause = progress.last_cause;
+            if !self.try_take_retry(&request, &history) {
+                let cause = history.last_cause;
                 return self
-                    .give_up(
+                    .end_attempts(
                         client,
                         &request,
                         &relay,
-                        progress,
+                        history,
                         cause,
-                        RETRY_AFTER_FAULT_MS,
+                        RETRY_AFTER_FAILURE_MS,
                     )
                     .await;
             }
         }
     }
 
-    fn is_refused_suspect(&self, request: &Request) -> bool {
+    fn is_refused_as_suspect(&self, request: &AdmittedRequest) -> bool {
         let state = self.state.borrow();
         state.suspects.standing(request.fingerprint, state.now_ms()) == Standing::Refused
     }
@@ -148,130 +156,136 @@
     async fn send(
         &self,
         client: &mut Connection,
-        request: &Request,
+        request: &AdmittedRequest,
         relay: &StreamRelay,
-        place: &Place,
-    ) -> Option<Sent> {
+        chosen: &ChosenReplica,
+    ) -> Option<SendOutcome> {
         let is_streaming = request.route.kind.is_streaming();
         let facts = SendFacts {
-            replica_id: &place.id,
+            replica_id: &chosen.id,
             left_ms: request.left_ms(),
             workspace: request.workspace.as_deref(),
             last_event_id: relay.last_id().or(request.facts.last_event_id),
-            weights_version: place.weights_version,
+            weights_version: chosen.weights_version,
             urgency: is_streaming.then_some(request.urgency),
         };
-        let patience = if is_streaming {
-            FIRST_EVENT_PATIENCE
+        let head_timeout = if is_streaming {
+            FIRST_EVENT_TIMEOUT
         } else {
-            ANSWER_PATIENCE
+            PLAIN_RESPONSE_TIMEOUT
         };
-        let may_leave = request.route.kind.is_repeatable()
+        let may_retry = request.route.kind.is_repeatable()
             && request.sends + 1 < request.route.max_attempts
-            && self.has_budget(request);
-        let head_until = if may_leave {
-            Instant::now() + patience
+            && self.has_retry_budget(request);
+        let head_deadline = if may_retry {
+            Instant::now() + head_timeout
         } else {
-            request.until
+            request.deadline
         };
-        let head_until = match place.begin_within_ms {
-            Some(within_ms) => head_until.min(Instant::now() + Duration::from_millis(within_ms)),
-            None => head_until,
+        let head_deadline = match chosen.begin_within_ms {
+            Some(within_ms) => head_deadline.min(Instant::now() + Duration::from_millis(within_ms)),
+            None => head_deadline,
         };
-        let work = exchange::send(&*self.dialect, request, place.address, &facts, head_until);
+        let work = exchange::send_to_replica(
+            &*self.dialect,
+            request,
+            chosen.address,
+            &facts,
+            head_deadline,
+        );
         client.unless_closed(work).await
     }
 
-    fn has_budget(&self, request: &Request) -> bool {
+    fn has_retry_budget(&self, request: &AdmittedRequest) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         state.retry_budget(&request.service).has_room(now_ms)
     }
 
     /// Learns from what became of a send; returns an answer to pass on.
-    fn take_outcome(
+    fn record_outcome(
         &self,
-        request: &mut Request,
-        place: &Place,
-        sent: Sent,
-        progress: &mut Progress,
-    ) -> Option<Sent> {
+        request: &mut AdmittedRequest,
+        chosen: &ChosenReplica,
+        sent: SendOutcome,
+        history: &mut SendHistory,
+    ) -> Option<SendOutcome> {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         let cause = match &sent {
-            Sent::Unreachable(error) => {
-                log::debug!("{} was not reached: {error}", place.id);
-                progress.unreachable += 1;
-                state.replicas.unreachable(place.key, now_ms);
-                state.suspect_broken_connections(&place.id);
+            SendOutcome::Unreachable(error) => {
+                log::debug!("{} was not reached: {error}", chosen.id);
+                history.failed_connections += 1;
+                state.replicas.unreachable(chosen.key, now_ms);
+                state.suspect_broken_connections(&chosen.id);
                 "unreachable"
             }
-            Sent::NotRun => {
+            SendOutcome::NotRun => {
                 request.sends += 1;
-                state.replicas.was_full(place.key, now_ms);
+                state.replicas.was_full(chosen.key, now_ms);
                 "replica_full"
             }
-            Sent::OtherWeights => {
+            SendOutcome::OtherWeights => {
                 request.sends += 1;
-                state.replicas.was_full(place.key, now_ms);
+                state.replicas.was_full(chosen.key, now_ms);
                 "other_weights"
             }
-            Sent::Misplaced => {
+            SendOutcome::Misplaced => {
                 request.sends += 1;
-                state.replicas.misplaced(place.key, now_ms);
+                state.replicas.misplaced(chosen.key, now_ms);
                 "misplaced"
             }
-            Sent::Broken(cause) => {
+            SendOutcome::Broken(cause) => {
                 request.sends += 1;
-                progress.may_have_run = true;
-                state.replicas.broke(place.key, now_ms);
+                history.may_have_run = true;
+                state.replicas.broke(chosen.key, now_ms);
                 if *cause != "silent" {
-                    state.record_broken_connection(request.fingerprint, &place.id);
+                    state.record_broken_connection(request.fingerprint, &chosen.id);
                 }
                 cause
             }
-            Sent::Answer(answer) => {
+            SendOutcome::Response(answer) => {
                 request.sends += 1;
                 let failed = answer.head.status >= 500;
-                let latency_ms = request.arrived.elapsed().as_secs_f64() * 1_000.0;
+                let latency_ms = request.received_at.elapsed().as_secs_f64() * 1_000.0;
                 state
                     .replicas
-                    .answered(place.key, latency_ms, failed, now_ms);
-                let again = failed
+                    .answered(chosen.key, latency_ms, failed, now_ms);
+                let is_retryable = failed
                     && request.route.kind == RouteKind::Idempotent
-                    && request.may_send_again()
+                    && request.has_attempts_left()
                     && request.left_ms() > request.route.target_ms / 2;
-                if !again {
+                if !is_retryable {
                     drop(state);
                     return Some(sent);
                 }
                 "replica_error"
             }
-            Sent::Stream(_) => {
+            SendOutcome::Stream(_) => {
                 request.sends += 1;
                 drop(state);
                 return Some(sent);
             }
         };
         drop(state);
-        progress.last_cause = cause;
-        log_failed_attempt(request, place, cause);
-        if let Sent::Answer(answer) = sent {
-            progress.fallback = Some(answer);
+        history.last_cause = cause;
+        log_failed_attempt(request, chosen, cause);
+        if let SendOutcome::Response(answer) = sent {
+            history.fallback_response = Some(answer);
         }
         None
     }
 
     /// Whether one more send is allowed, and takes it out of the budget.
-    fn may_resend(&self, request: &Request, progress: &Progress) -> bool {
+    fn try_take_retry(&self, request: &AdmittedRequest, history: &SendHistory) -> bool {
         if request.left_ms() == 0 {
             return false;
         }
-        if progress.last_cause == "unreachable" {
-            return progress.unreachable < MAX_UNREACHABLE;
+        if history.last_cause == "unreachable" {
+            return history.failed_connections < MAX_FAILED_CONNECTIONS;
         }
-        let is_safe = !progress.may_have_run || request.route.kind.is_repeatable();
-        if !is_safe || !request.may_send_again() {
+        let is_safe = !history.may_have_run || request.route.kind.is_repeatable();
+        if !is_safe || !request.has_attempts_left() {
             return false;
         }
         let mut state = self.state.borrow_mut();
@@ -281,76 +295,76 @@
         budget.set_entries(entries, now_ms);
         let allowed = budget.try_resend(now_ms);
         if allowed {
-            self.metrics.retried(progress.last_cause);
+            self.metrics.retried(history.last_cause);
         }
         allowed
     }
 
     /// Ends a stream, or returns None when another replica may go on with it.
-    fn stream_ended(
+    fn finish_stream(
         &self,
-        request: &Request,
-        place: &Place,
+        request: &AdmittedRequest,
+        chosen: &ChosenReplica,
         relay: &StreamRelay,
         end: StreamEnd,
-        progress: &mut Progress,
-    ) -> Option<Next> {
+        history: &mut SendHistory,
+    ) -> Option<ConnectionReuse> {
         let now_ms = self.state.borrow().now_ms();
         match end {
             StreamEnd::Complete => {
                 let latency_ms = relay.first_event_at().map_or(0.0, |at| {
-                    at.duration_since(request.arrived).as_secs_f64() * 1_000.0
+                    at.duration_since(request.received_at).as_secs_f64() * 1_000.0
                 });
                 let mut state = self.state.borrow_mut();
                 state
                     .replicas
-                    .answered(place.key, latency_ms, false, now_ms);
+                    .answered(chosen.key, latency_ms, false, now_ms);
                 drop(state);
-                self.log_end(
+                self.log_request_end(
                     request,
-                    progress,
-                    &Ending {
+                    history,
+                    &RequestOutcome {
                         status: 200,
                         cause: "complete",
                         retry_after_ms: None,
                     },
                     Some((latency_ms, relay.events())),
                 );
-                Some(if self.closes(request) {
-                    Next::Close
+                Some(if self.closes_connection(request) {
+                    ConnectionReuse::Close
                 } else {
-                    Next::Keep
+                    ConnectionReuse::Keep
                 })
             }
-            StreamEnd::ClientGone => Some(self.client_left(request, progress)),
+            StreamEnd::ClientDisconnected => Some(self.client_disconnected(request, history)),
             StreamEnd::TimedOut if relay.has_begun() => {
-                Some(self.break_off(request, progress, "timeout"))
+                Some(self.abort_stream(request, history, "timeout"))
             }
             StreamEnd::TimedOut => {
-                progress.may_have_run = true;
-                progress.last_cause = "timeout";
+                history.may_have_run = true;
+                history.last_cause = "timeout";
                 None
             }
             StreamEnd::Broken(cause) => {
-                progress.may_have_run = true;
-                progress.last_cause = cause;
+                history.may_have_run = true;
+                history.last_cause = cause;
                 let mut state = self.state.borrow_mut();
-                state.replicas.broke(place.key, now_ms);
+                state.replicas.broke(chosen.key, now_ms);
                 if cause != "silent" {
-                    state.record_broken_connection(request.fingerprint, &place.id);
+                    state.record_broken_connection(request.fingerprint, &chosen.id);
                 }
                 drop(state);
-                log_failed_attempt(request, place, cause);
+                log_failed_attempt(request, chosen, cause);
                 None
             }
         }
     }
 }
 
-fn log_failed_attempt(request: &Request, place: &Place, cause: &str) {
+fn log_failed_attempt(request: &AdmittedRequest, chosen: &ChosenReplica, cause: &str) {
     LogLine::new(Event::AttemptFailed)
         .text("id", &request.facts.attempt_id)
-        .text("replica", &place.id)
+        .text("replica", &chosen.id)
         .text("cause", cause)
         .number("sends", request.sends)
         .write();
--- a/src/gateway/own_answer.rs
+++ b/src/gateway/local_response.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 /// An answer of the system's own, without a body.
-pub fn own_answer(status: u16, retry_after_ms: Option<u64>, close: bool) -> Vec<u8> {
+pub fn local_response(status: u16, retry_after_ms: Option<u64>, close: bool) -> Vec<u8> {
     let reason = match status {
         400 => "Bad Request",
         401 => "Unauthorized",
@@ -27,7 +27,7 @@
 }
 
 /// Name of an outcome in the metrics; status 0 is an answer that was not finished.
-pub fn outcome_of(status: u16) -> &'static str {
+pub fn outcome_label(status: u16) -> &'static str {
     match status {
         200..300 => "served",
         502 | 504 => "failed",
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,16 +5,16 @@
 //! the wire calls things is behind the traits in `ports`, which an adapter
 //! implements.
 
-mod ending;
+mod admitted_request;
+mod client_listener;
 mod event_splitter;
 mod exchange;
 mod fetch;
 mod follow;
 mod forward;
-mod front;
 mod handlers;
 mod heartbeats;
-mod own_answer;
+mod local_response;
 mod piece_cache;
 mod placement;
 mod ports;
@@ -23,7 +23,7 @@
 mod records_reply;
 mod relay;
 mod reload;
-mod request;
+mod request_outcome;
 mod settings;
 mod state;
 mod topic_records;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -9,22 +9,22 @@
 use crate::fleet::admit;
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
+use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::forward::Gateway;
-use crate::gateway::relay::StreamWatch;
-use crate::gateway::request::Request;
+use crate::gateway::relay::StreamObserver;
 use crate::observe::Event;
 use crate::observe::LogLine;
 
 /// Silence within a stream after which its replica is given up, if no report of
 /// it comes either.
-const DARK_SILENCE: Duration = Duration::from_millis(800);
+const UNREPORTED_SILENCE: Duration = Duration::from_millis(800);
 
 /// Silence within a stream after which its connection is given up in any case.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_500);
+const MAX_STREAM_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// Where a request goes.
 #[derive(Debug)]
-pub(super) struct Place {
+pub(super) struct ChosenReplica {
     pub(super) key: ReplicaKey,
     pub(super) id: String,
     pub(super) address: SocketAddr,
@@ -35,34 +35,34 @@
 }
 
 /// Counts a request at a replica for as long as it lives.
-pub(super) struct Visit<'a> {
+pub(super) struct InFlightGuard<'a> {
     state: &'a RefCell<GatewayState>,
     key: ReplicaKey,
     ticket: u64,
 }
 
-impl StreamWatch for Visit<'_> {
+impl StreamObserver for InFlightGuard<'_> {
     fn first_event(&self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         state.replicas.began(self.key, self.ticket, now_ms);
     }
 
-    fn is_lost(&self, silence: Duration) -> bool {
-        if silence >= STREAM_SILENCE {
+    fn is_replica_lost(&self, silence: Duration) -> bool {
+        if silence >= MAX_STREAM_SILENCE {
             return true;
         }
         let state = self.state.borrow();
         let replica = state.replicas.get(self.key);
-        let is_dark = replica.is_gone
+        let is_down = replica.is_gone
             || replica
                 .fresh_load(state.now_ms())
                 .is_some_and(|load| !load.is_up);
-        silence >= DARK_SILENCE && is_dark
+        silence >= UNREPORTED_SILENCE && is_down
     }
 }
 
-impl Drop for Visit<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
@@ -72,11 +72,11 @@
 
 impl<D: Dialect> Gateway<D> {
     /// Chooses a replica, or tells why there is none and when to come back.
-    pub(super) fn place(
+    pub(super) fn choose_replica(
         &self,
-        request: &Request,
+        request: &AdmittedRequest,
         has_begun: bool,
-    ) -> Result<Place, (&'static str, u64)> {
+    ) -> Result<ChosenReplica, (&'static str, u64)> {
         let mut state = self.state.borrow_mut();
         let seed = state.random_bits();
         let now_ms = state.now_ms();
@@ -90,7 +90,7 @@
             .filter(|(key, replica)| {
                 replica.record.service == request.service
                     && replica.is_usable(now_ms)
-                    && !request.tried.contains(key)
+                    && !request.tried_replicas.contains(key)
                     && model.is_none_or(|model| {
                         let version = replica.weights_version(model, now_ms);
                         version > 0 && version >= required.unwrap_or(0)
@@ -104,12 +104,12 @@
             });
         }
         // What the others send goes to the replicas that have room.
-        let open = usable.iter().filter(|(_, r)| r.has_free_slots(0.0, now_ms));
-        let sharers = match open.count() {
+        let free_replicas = usable.iter().filter(|(_, r)| r.has_free_slots(0.0, now_ms));
+        let candidates = match free_replicas.count() {
             0 => usable.len().max(1),
-            open => open,
+            free_replicas => free_replicas,
         };
-        let others_per_ms = state.others_rate_per_ms(&request.service) / sharers as f64;
+        let others_per_ms = state.others_rate_per_ms(&request.service) / candidates as f64;
         if let (Some(model), Some(expected)) = (model, expected) {
             usable.retain(|(_, replica)| {
                 replica.weights_version(model, now_ms) >= expected
@@ -137,7 +137,7 @@
                 predicted_ms,
             } => {
                 let replica = state.replicas.get(key);
-                Ok(Place {
+                Ok(ChosenReplica {
                     key,
                     id: replica.record.id.clone(),
                     address: replica.record.address,
@@ -159,30 +159,34 @@
     }
 
     /// Counts a send.
-    pub(super) fn begin<'a>(&'a self, request: &mut Request, place: &Place) -> Visit<'a> {
+    pub(super) fn register_send<'a>(
+        &'a self,
+        request: &mut AdmittedRequest,
+        chosen: &ChosenReplica,
+    ) -> InFlightGuard<'a> {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         let ticket = state
             .replicas
-            .started(place.key, place.predicted_ms, now_ms);
-        if request.sends == 0 && request.tried.is_empty() {
+            .started(chosen.key, chosen.predicted_ms, now_ms);
+        if request.sends == 0 && request.tried_replicas.is_empty() {
             state.retry_budget(&request.service).request(now_ms);
         }
-        request.tried.push(place.key);
+        request.tried_replicas.push(chosen.key);
         LogLine::new(Event::RequestPlaced)
             .text("id", &request.facts.attempt_id)
-            .text("replica", &place.id)
-            .number("predicted_ms", place.predicted_ms as i64)
+            .text("replica", &chosen.id)
+            .number("predicted_ms", chosen.predicted_ms as i64)
             .number(
                 "load_age_ms",
-                place.load_age_ms.map_or(-1, |age| age as i64),
+                chosen.load_age_ms.map_or(-1, |age| age as i64),
             )
             .number("config", request.catalog.version)
             .number("left_ms", request.left_ms())
             .write();
-        Visit {
+        InFlightGuard {
             state: &self.state,
-            key: place.key,
+            key: chosen.key,
             ticket,
         }
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -4,13 +4,13 @@
 
 use crate::gateway::event_splitter::EventSplitter;
 use crate::gateway::exchange::EventStream;
-use crate::gateway::exchange::is_connection_line;
-use crate::gateway::exchange::write_line;
+use crate::gateway::exchange::is_hop_by_hop_header;
+use crate::gateway::exchange::write_header;
 use crate::http1::Connection;
 use crate::http1::ResponseHead;
 
 /// Silence after which the health of a stream's replica is looked at.
-const SILENCE_CHECK: Duration = Duration::from_millis(300);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How a stream, or the part of it from one replica, ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// The whole stream has been passed on.
     Complete,
     /// The client left.
-    ClientGone,
+    ClientDisconnected,
     /// The replica's part broke off.
     Broken(&'static str),
     /// The time for the request is over.
@@ -26,40 +26,40 @@
 }
 
 /// Follows the part of a stream that one replica sends.
-pub trait StreamWatch {
+pub trait StreamObserver {
     /// Takes note of an event; only the first one tells something.
     fn first_event(&self);
     /// Whether a replica that was silent for that long is to be given up.
-    fn is_lost(&self, silence: Duration) -> bool;
+    fn is_replica_lost(&self, silence: Duration) -> bool;
 }
 
 /// A stream on its way to one client, over one or more replicas.
 #[derive(Debug)]
 pub struct StreamRelay {
     head: Option<Vec<u8>>,
-    is_head_out: bool,
+    is_head_sent: bool,
     last_id: Option<u64>,
     events: u64,
     first_event_at: Option<Instant>,
-    until: Instant,
+    deadline: Instant,
 }
 
 impl StreamRelay {
     /// Relay of a stream that the client wants from after `last_id`.
-    pub fn new(last_id: Option<u64>, until: Instant) -> Self {
+    pub fn new(last_id: Option<u64>, deadline: Instant) -> Self {
         Self {
             head: None,
-            is_head_out: false,
+            is_head_sent: false,
             last_id,
             events: 0,
             first_event_at: None,
-            until,
+            deadline,
         }
     }
 
     /// Whether anything has gone to the client.
     pub fn has_begun(&self) -> bool {
-        self.is_head_out
+        self.is_head_sent
     }
 
     /// Id of the last event that the client has.
@@ -81,28 +81,28 @@
     ///
     /// `watch` is told of the first event, and asked whether to give a silent
     /// replica up.
-    pub async fn pump(
+    pub async fn relay_part(
         &mut self,
         client: &mut Connection,
         mut stream: Box<EventStream>,
         close: bool,
-        watch: &impl StreamWatch,
+        observer: &impl StreamObserver,
     ) -> StreamEnd {
         if self.head.is_none() {
-            self.head = Some(head_bytes(&stream.head, close));
+            self.head = Some(chunked_head(&stream.head, close));
         }
         let mut splitter = EventSplitter::default();
-        let mut heard = Instant::now();
+        let mut last_received = Instant::now();
         loop {
             let decoded = stream
                 .decoder
                 .decode(&mut stream.connection.inbox, splitter.buffer());
             let events = self.events;
-            if let Some(end) = self.pass_on(client, &mut splitter).await {
+            if let Some(end) = self.forward_events(client, &mut splitter).await {
                 return end;
             }
             if events < self.events {
-                watch.first_event();
+                observer.first_event();
             }
             if let Err(error) = decoded {
                 return StreamEnd::Broken(error.label());
@@ -113,7 +113,7 @@
             if splitter.is_overfull() {
                 return StreamEnd::Broken("event_too_large");
             }
-            let wait_until = (Instant::now() + SILENCE_CHECK).min(self.until);
+            let wait_until = (Instant::now() + SILENCE_CHECK_INTERVAL).min(self.deadline);
             tokio::select! {
                 biased;
                 read = stream.connection.fill() => match read {
@@ -121,15 +121,15 @@
                         Ok(()) => return self.finish(client, &mut splitter).await,
                         Err(error) => return StreamEnd::Broken(error.label()),
                     },
-                    Ok(_) => heard = Instant::now(),
+                    Ok(_) => last_received = Instant::now(),
                     Err(_) => return StreamEnd::Broken("reset"),
                 },
-                () = client.closed() => return StreamEnd::ClientGone,
+                () = client.closed() => return StreamEnd::ClientDisconnected,
                 () = tokio::time::sleep_until(wait_until) => {
-                    if Instant::now() >= self.until {
+                    if Instant::now() >= self.deadline {
                         return StreamEnd::TimedOut;
                     }
-                    if watch.is_lost(heard.elapsed()) {
+                    if observer.is_replica_lost(last_received.elapsed()) {
                         return StreamEnd::Broken("silent");
                     }
                 }
@@ -138,18 +138,18 @@
     }
 
     /// Writes the whole events that have arrived.
-    async fn pass_on(
+    async fn forward_events(
         &mut self,
         client: &Connection,
         splitter: &mut EventSplitter,
     ) -> Option<StreamEnd> {
         let mut data = Vec::new();
-        let mut gap = false;
+        let mut has_gap = false;
         while let Some(event) = splitter.next_event() {
             match (event.id, self.last_id) {
                 (Some(id), Some(last)) if id <= last => continue,
                 (Some(id), Some(last)) if id > last + 1 => {
-                    gap = true;
+                    has_gap = true;
                     break;
                 }
                 (Some(id), _) => self.last_id = Some(id),
@@ -160,31 +160,31 @@
         }
         if !data.is_empty() {
             self.first_event_at.get_or_insert_with(Instant::now);
-            let sent = self.write(client, &data, false).await;
+            let sent = self.write_chunk(client, &data, false).await;
             if sent.is_some() {
                 return sent;
             }
         }
-        gap.then_some(StreamEnd::Broken("event_gap"))
+        has_gap.then_some(StreamEnd::Broken("event_gap"))
     }
 
     async fn finish(&mut self, client: &Connection, splitter: &mut EventSplitter) -> StreamEnd {
         let rest = splitter.take_rest();
-        self.write(client, &rest, true)
+        self.write_chunk(client, &rest, true)
             .await
             .unwrap_or(StreamEnd::Complete)
     }
 
-    async fn write(
+    async fn write_chunk(
         &mut self,
         client: &Connection,
         data: &[u8],
         is_last: bool,
     ) -> Option<StreamEnd> {
         let mut bytes = Vec::with_capacity(data.len() + 64);
-        if !self.is_head_out {
+        if !self.is_head_sent {
             bytes.extend_from_slice(self.head.as_deref().unwrap_or_default());
-            self.is_head_out = true;
+            self.is_head_sent = true;
         }
         if !data.is_empty() {
             bytes.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -194,30 +194,30 @@
         if is_last {
             bytes.extend_from_slice(b"0\r\n\r\n");
         }
-        match client.write_until(&bytes, self.until).await {
+        match client.write_until(&bytes, self.deadline).await {
             Ok(()) => None,
             Err(crate::http1::Http1Error::TimedOut) => Some(StreamEnd::TimedOut),
-            Err(_) => Some(StreamEnd::ClientGone),
+            Err(_) => Some(StreamEnd::ClientDisconnected),
         }
     }
 }
 
 /// Head of an answer as it goes to the client, without framing lines.
-pub fn answer_head(head: &ResponseHead, close: bool) -> Vec<u8> {
+pub fn response_head(head: &ResponseHead, close: bool) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
     for (name, value) in head.headers.iter() {
-        if !is_connection_line(name, &head.headers) {
-            write_line(name, value, &mut bytes);
+        if !is_hop_by_hop_header(name, &head.headers) {
+            write_header(name, value, &mut bytes);
         }
     }
     if close {
-        write_line("Connection", b"close", &mut bytes);
+        write_header("Connection", b"close", &mut bytes);
     }
     bytes
 }
 
-fn head_bytes(head: &ResponseHead, close: bool) -> Vec<u8> {
-    let mut bytes = answer_head(head, close);
+fn chunked_head(head: &ResponseHead, close: bool) -> Vec<u8> {
+    let mut bytes = response_head(head, close);
     bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
     bytes
 }
--- /dev/null
+++ b/src/gateway/request_outcome.rs
@@ -0,0 +1,184 @@
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use crate::gateway::Dialect;
+use crate::gateway::admitted_request::AdmittedRequest;
+use crate::gateway::exchange::ReplicaResponse;
+use crate::gateway::forward::ConnectionReuse;
+use crate::gateway::forward::Gateway;
+use crate::gateway::forward::SendHistory;
+use crate::gateway::local_response::local_response;
+use crate::gateway::local_response::outcome_label;
+use crate::gateway::relay::StreamRelay;
+use crate::gateway::relay::response_head;
+use crate::http1::Connection;
+use crate::observe::Event;
+use crate::observe::LogLine;
+
+/// The final answer to a request, for its log line.
+#[derive(Debug)]
+pub(super) struct RequestOutcome<'a> {
+    pub(super) status: u16,
+    pub(super) cause: &'a str,
+    pub(super) retry_after_ms: Option<u64>,
+}
+
+impl<D: Dialect> Gateway<D> {
+    /// Gives the final answer to a request that no further replica gets.
+    pub(super) async fn end_attempts(
+        &self,
+        client: &mut Connection,
+        request: &AdmittedRequest,
+        relay: &StreamRelay,
+        mut history: SendHistory,
+        cause: &'static str,
+        retry_after_ms: u64,
+    ) -> ConnectionReuse {
+        if relay.has_begun() {
+            return self.abort_stream(request, &history, cause);
+        }
+        if let Some(answer) = history.fallback_response.take() {
+            return self
+                .send_replica_response(client, request, &history, answer)
+                .await;
+        }
+        let outcome = if !history.may_have_run {
+            RequestOutcome {
+                status: 503,
+                cause,
+                retry_after_ms: Some(retry_after_ms.min(request.left_ms() / 3)),
+            }
+        } else if request.left_ms() == 0 {
+            RequestOutcome {
+                status: 504,
+                cause: "timeout",
+                retry_after_ms: None,
+            }
+        } else {
+            RequestOutcome {
+                status: 502,
+                cause: history.last_cause,
+                retry_after_ms: None,
+            }
+        };
+        self.send_local_response(client, request, &history, outcome)
+            .await
+    }
+
+    /// Ends a stream that has begun in a way that can't look complete.
+    pub(super) fn abort_stream(
+        &self,
+        request: &AdmittedRequest,
+        history: &SendHistory,
+        cause: &str,
+    ) -> ConnectionReuse {
+        let outcome = RequestOutcome {
+            status: 0,
+            cause,
+            retry_after_ms: None,
+        };
+        self.log_request_end(request, history, &outcome, None);
+        ConnectionReuse::Close
+    }
+
+    pub(super) fn client_disconnected(
+        &self,
+        request: &AdmittedRequest,
+        history: &SendHistory,
+    ) -> ConnectionReuse {
+        let outcome = RequestOutcome {
+            status: 0,
+            cause: "client_left",
+            retry_after_ms: None,
+        };
+        self.log_request_end(request, history, &outcome, None);
+        ConnectionReuse::Close
+    }
+
+    /// Passes a replica's whole answer on.
+    pub(super) async fn send_replica_response(
+        &self,
+        client: &mut Connection,
+        request: &AdmittedRequest,
+        history: &SendHistory,
+        answer: ReplicaResponse,
+    ) -> ConnectionReuse {
+        let close = self.closes_connection(request);
+        let mut bytes = response_head(&answer.head, close);
+        bytes
+            .extend_from_slice(format!("Content-Length: {}\r\n\r\n", answer.body.len()).as_bytes());
+        bytes.extend_from_slice(&answer.body);
+        let written = client.write_until(&bytes, request.deadline).await;
+        let outcome = RequestOutcome {
+            status: answer.head.status,
+            cause: "answered",
+            retry_after_ms: None,
+        };
+        self.log_request_end(request, history, &outcome, None);
+        match written {
+            Ok(()) if !close => ConnectionReuse::Keep,
+            _ => ConnectionReuse::Close,
+        }
+    }
+
+    /// Gives an answer of the system's own.
+    pub(super) async fn send_local_response(
+        &self,
+        client: &mut Connection,
+        request: &AdmittedRequest,
+        history: &SendHistory,
+        outcome: RequestOutcome<'_>,
+    ) -> ConnectionReuse {
+        let close = self.closes_connection(request);
+        let bytes = local_response(outcome.status, outcome.retry_after_ms, close);
+        let deadline = Instant::now() + Duration::from_secs(1);
+        let written = client.write_until(&bytes, deadline).await;
+        if outcome.status == 503 {
+            self.metrics.refused("request");
+        }
+        self.log_request_end(request, history, &outcome, None);
+        match written {
+            Ok(()) if !close => ConnectionReuse::Keep,
+            _ => ConnectionReuse::Close,
+        }
+    }
+
+    /// Whether the client's connection ends after this answer.
+    pub(super) fn closes_connection(&self, request: &AdmittedRequest) -> bool {
+        request.head.wants_close() || self.state.borrow().stopping_since.is_some()
+    }
+
+    pub(super) fn log_request_end(
+        &self,
+        request: &AdmittedRequest,
+        history: &SendHistory,
+        outcome: &RequestOutcome<'_>,
+        stream: Option<(f64, u64)>,
+    ) {
+        let took_ms = request.received_at.elapsed().as_secs_f64() * 1_000.0;
+        let answer_ms = stream.map_or(took_ms, |stream| stream.0);
+        self.metrics
+            .answered(outcome_label(outcome.status), answer_ms);
+        let mut line = LogLine::new(Event::RequestEnded)
+            .text("id", &request.facts.attempt_id)
+            .text("route", &request.route.name)
+            .text("service", &request.service)
+            .number("status", outcome.status)
+            .text("cause", outcome.cause)
+            .text("replica", &history.replica)
+            .number("sends", request.sends)
+            .number("config", request.catalog.version)
+            .number("took_ms", took_ms as i64)
+            .number("waited_before_ms", request.waited_before_ms);
+        if let Some(retry_after_ms) = outcome.retry_after_ms {
+            line = line.number("retry_after_ms", retry_after_ms);
+        }
+        if let Some((first_event_ms, events)) = stream {
+            line = line
+                .number("first_event_ms", first_event_ms as i64)
+                .number("events", events);
+        }
+        line.write();
+    }
+}
