--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -38,7 +38,7 @@
 
 /// Time that an idle connection stays open after a stop signal, so that a
 /// request under way to us is still answered.
-const STOPPING_IDLE: Duration = Duration::from_millis(1_500);
+const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A request that is answered without a replica.
 #[derive(Debug)]
@@ -60,28 +60,28 @@
 
 /// Accepts clients until the process leaves.
 pub async fn serve_clients<D: Dialect + 'static>(listener: TcpListener, gateway: Gateway<D>) {
-    let open = Rc::new(());
-    let left = left(&gateway);
-    let mut left = std::pin::pin!(left);
+    let open_connections = Rc::new(());
+    let closed = wait_until_closed(&gateway);
+    let mut closed = std::pin::pin!(closed);
     loop {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = &mut left => return,
+            () = &mut closed => return,
         };
         match accepted {
             // One holder of `open` is this loop itself.
             Ok(_)
-                if Rc::strong_count(&open)
+                if Rc::strong_count(&open_connections)
                     > gateway.state.borrow().settings.max_client_connections =>
             {
                 gateway.metrics.refused("connection");
             }
             Ok((stream, _)) => {
-                let (gateway, open) = (gateway.clone(), open.clone());
+                let (gateway, open_connections) = (gateway.clone(), open_connections.clone());
                 actix_rt::spawn(async move {
                     serve_client(Connection::new(stream), &gateway).await;
-                    drop(open);
+                    drop(open_connections);
                 });
             }
             Err(error) => {
@@ -93,7 +93,7 @@
 }
 
 /// Resolves when a stopping process takes no further requests.
-async fn left<D: Dialect>(gateway: &Gateway<D>) {
+async fn wait_until_closed<D: Dialect>(gateway: &Gateway<D>) {
     let notice = gateway.state.borrow().stop_notice.clone();
     notice.notified().await;
     tokio::time::sleep(STOP_ACCEPT_TIME).await;
@@ -101,7 +101,7 @@
 
 async fn serve_client<D: Dialect>(mut client: Connection, gateway: &Gateway<D>) {
     loop {
-        let head = match next_head(&mut client, gateway).await {
+        let head = match read_next_head(&mut client, gateway).await {
             Ok(head) => head,
             Err(error) => {
                 refuse_unreadable(&client, gateway, &error).await;
@@ -117,7 +117,7 @@
             }
         };
         gateway.state.borrow_mut().active_requests += 1;
-        let next = match admit(gateway, head, body, received_at) {
+        let next = match admit_request(gateway, head, body, received_at) {
             Ok(request) => gateway.forward(&mut client, *request).await,
             Err((head, refusal)) => refuse(&client, gateway, &head, &refusal).await,
         };
@@ -129,7 +129,7 @@
 }
 
 /// Waits for the next request; on a stop signal, only a little longer.
-async fn next_head<D: Dialect>(
+async fn read_next_head<D: Dialect>(
     client: &mut Connection,
     gateway: &Gateway<D>,
 ) -> Result<RequestHead, Http1Error> {
@@ -151,7 +151,13 @@
             () = stopped => {}
         }
     }
-    read_request(client, limits.max_head_bytes, STOPPING_IDLE, head_time).await
+    read_request(
+        client,
+        limits.max_head_bytes,
+        STOPPING_IDLE_TIMEOUT,
+        head_time,
+    )
+    .await
 }
 
 async fn read_body<D: Dialect>(
@@ -180,7 +186,7 @@
 }
 
 /// Finds the route and the caller of a request.
-fn admit<D: Dialect>(
+fn admit_request<D: Dialect>(
     gateway: &Gateway<D>,
     head: RequestHead,
     body: Vec<u8>,
@@ -220,7 +226,7 @@
         return Err((head, Refusal::new(404, "no_route")));
     };
     let facts = gateway.dialect.request_facts(&head);
-    let (workspace, priority) = match caller(&catalog, &route, &facts.credential) {
+    let (workspace, priority) = match identify_caller(&catalog, &route, &facts.credential) {
         Ok(caller) => caller,
         Err(refusal) => return Err((head, refusal)),
     };
@@ -246,7 +252,7 @@
         route,
         service,
         workspace,
-        urgency: urgency(priority, is_late),
+        urgency: engine_urgency(priority, is_late),
         received_at,
         deadline,
         waited_before_ms,
@@ -256,7 +262,7 @@
 }
 
 /// Workspace and rank of the caller.
-fn caller(
+fn identify_caller(
     catalog: &Rc<Catalog>,
     route: &Route,
     credential: &Credential,
@@ -277,7 +283,7 @@
 }
 
 /// Urgency at an engine: on-time work by rank, then what is late already.
-fn urgency(priority: u32, is_late: bool) -> u8 {
+fn engine_urgency(priority: u32, is_late: bool) -> u8 {
     let rank = u8::try_from(priority.min(3)).unwrap_or(3);
     if is_late { 5 + rank } else { 1 + rank }
 }
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -16,43 +16,43 @@
 /// middle of one can go on at another replica.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
     scanned: usize,
 }
 
 impl EventSplitter {
     /// Buffer to which the stream's bytes are appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
-        &mut self.rest
+        &mut self.buffer
     }
 
     /// Takes the next whole event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let end = self.event_end()?;
-        let bytes: Vec<u8> = self.rest.drain(..end).collect();
+        let end = self.find_event_end()?;
+        let bytes: Vec<u8> = self.buffer.drain(..end).collect();
         self.scanned = 0;
         Some(StreamEvent {
-            id: event_id(&bytes),
+            id: parse_event_id(&bytes),
             bytes,
         })
     }
 
     /// Whether the event under way is larger than any may be.
-    pub fn is_overfull(&self) -> bool {
-        self.rest.len() > MAX_EVENT_BYTES
+    pub fn is_too_large(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
     /// Bytes of an event that is not whole yet.
-    pub fn take_rest(&mut self) -> Vec<u8> {
+    pub fn take_remainder(&mut self) -> Vec<u8> {
         self.scanned = 0;
-        std::mem::take(&mut self.rest)
+        std::mem::take(&mut self.buffer)
     }
 
-    fn event_end(&mut self) -> Option<usize> {
+    fn find_event_end(&mut self) -> Option<usize> {
         let mut at = self.scanned;
-        while let Some(offset) = self.rest[at..].iter().position(|byte| *byte == b'\n') {
+        while let Some(offset) = self.buffer[at..].iter().position(|byte| *byte == b'\n') {
             let line_end = at + offset;
-            let rest = &self.rest[line_end + 1..];
+            let rest = &self.buffer[line_end + 1..];
             if rest.starts_with(b"\n") {
                 return Some(line_end + 2);
             }
@@ -70,7 +70,7 @@
     }
 }
 
-fn event_id(event: &[u8]) -> Option<u64> {
+fn parse_event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|byte| *byte == b'\n')
         .find_map(|line| line.strip_prefix(b"id:"))
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -105,12 +105,12 @@
             };
             history.replica.clone_from(&chosen.id);
             let in_flight = self.register_send(&mut request, &chosen);
-            let sent = self.send(client, &request, &relay, &chosen).await;
-            let Some(sent) = sent else {
+            let send_outcome = self.send(client, &request, &relay, &chosen).await;
+            let Some(send_outcome) = send_outcome else {
                 drop(in_flight);
                 return self.client_disconnected(&request, &history);
             };
-            let answered = self.record_outcome(&mut request, &chosen, sent, &mut history);
+            let answered = self.record_outcome(&mut request, &chosen, send_outcome, &mut history);
             match answered {
                 None => drop(in_flight),
                 Some(SendOutcome::Response(answer)) => {
@@ -207,12 +207,12 @@
         &self,
         request: &mut AdmittedRequest,
         chosen: &ChosenReplica,
-        sent: SendOutcome,
+        send_outcome: SendOutcome,
         history: &mut SendHistory,
     ) -> Option<SendOutcome> {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        let cause = match &sent {
+        let cause = match &send_outcome {
             SendOutcome::Unreachable(error) => {
                 log::debug!("{} was not reached: {error}", chosen.id);
                 history.failed_connections += 1;
@@ -257,20 +257,20 @@
                     && request.left_ms() > request.route.target_ms / 2;
                 if !is_retryable {
                     drop(state);
-                    return Some(sent);
+                    return Some(send_outcome);
                 }
                 "replica_error"
             }
             SendOutcome::Stream(_) => {
                 request.sends += 1;
                 drop(state);
-                return Some(sent);
+                return Some(send_outcome);
             }
         };
         drop(state);
         history.last_cause = cause;
         log_failed_attempt(request, chosen, cause);
-        if let SendOutcome::Response(answer) = sent {
+        if let SendOutcome::Response(answer) = send_outcome {
             history.fallback_response = Some(answer);
         }
         None
--- a/src/gateway/handlers.rs
+++ b/src/gateway/handlers.rs
@@ -138,7 +138,7 @@
         if path == METRICS_PATH {
             return InternalReply::metrics(self.metrics.render());
         }
-        if let Some(reply) = self.pieces.answer(path).await {
+        if let Some(reply) = self.pieces.reply_to(path).await {
             return reply;
         }
         path.strip_prefix(RECORDS_PATH)
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -25,7 +25,7 @@
 pub const PIECE_PATH: &str = "/piece/";
 
 /// Path of a piece that is read from the origin unless it is at hand.
-pub const HOME_PIECE_PATH: &str = "/home-piece/";
+pub const PRIMARY_PIECE_PATH: &str = "/home-piece/";
 
 /// Path of a piece that is given only if it is at hand.
 const HELD_PIECE_PATH: &str = "/held-piece/";
@@ -34,17 +34,17 @@
 pub const MANIFEST_PATH: &str = "/manifest/";
 
 /// Time for a piece from another entry, which may wait for the origin.
-const ENTRY_PIECE_TIMEOUT: Duration = Duration::from_millis(2_000);
+const PRIMARY_PIECE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time for a piece that another entry has at hand.
 const HELD_PIECE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Entries that are asked whether they have a piece at hand, when its home and
 /// the origin fail: the homes that it had before others came or left.
-const MAX_HELD_ASKS: usize = 3;
+const MAX_FORMER_HOLDER_REQUESTS: usize = 3;
 
 /// Reads of one piece from the origin before it is given up.
-const ORIGIN_TRIES: u32 = 3;
+const MAX_ORIGIN_READS: u32 = 3;
 
 /// Part of an entry's link that pieces may take: requests go before them.
 const LINK_SHARE: f64 = 0.6;
@@ -53,7 +53,7 @@
 const LINK_BURST_BYTES: u64 = 128 * 1024;
 
 /// Time without a reader after which a version is dropped.
-const KEEP_TIME: Duration = Duration::from_secs(15);
+const UNUSED_VERSION_TTL: Duration = Duration::from_secs(15);
 
 /// Interval at which unused versions are looked for.
 const EVICT_INTERVAL: Duration = Duration::from_secs(5);
@@ -68,7 +68,7 @@
     pub(super) version: u64,
     manifest: OnceCell<Rc<PieceManifest>>,
     pub(super) pieces: RefCell<Vec<PieceCell>>,
-    used: RefCell<Instant>,
+    last_used: RefCell<Instant>,
 }
 
 /// Pieces of weights that pass through an entry.
@@ -103,32 +103,32 @@
     }
 
     /// Answers a call for a piece or a manifest; None when it is neither.
-    pub async fn answer(&self, path: &str) -> Option<InternalReply> {
-        if let Some(question) = path.strip_prefix(MANIFEST_PATH) {
-            let (model, version) = question.split_once('/')?;
-            let cached = self.version(model, version.parse().ok()?);
+    pub async fn reply_to(&self, path: &str) -> Option<InternalReply> {
+        if let Some(path_rest) = path.strip_prefix(MANIFEST_PATH) {
+            let (model, version) = path_rest.split_once('/')?;
+            let cached = self.find_or_add_version(model, version.parse().ok()?);
             return Some(match self.manifest(&cached).await {
                 Ok(manifest) => InternalReply {
                     status: 200,
                     content_type: "application/msgpack",
                     body: rmp_serde::to_vec(&*manifest).ok()?,
                 },
-                Err(error) => unavailable(&error),
+                Err(error) => unavailable_reply(&error),
             });
         }
-        let home = path.strip_prefix(HOME_PIECE_PATH);
+        let primary = path.strip_prefix(PRIMARY_PIECE_PATH);
         let held = path.strip_prefix(HELD_PIECE_PATH);
-        let question = home.or(held).or_else(|| path.strip_prefix(PIECE_PATH))?;
-        let mut parts = question.split('/');
+        let path_rest = primary.or(held).or_else(|| path.strip_prefix(PIECE_PATH))?;
+        let mut parts = path_rest.split('/');
         let model = parts.next()?;
         let version = parts.next()?.parse().ok()?;
         let index = parts.next()?.parse().ok()?;
         let piece = if held.is_some() {
-            self.held(model, version, index)
+            self.cached_piece(model, version, index)
                 .ok_or(ReadFault::Refused(404))
         } else {
-            let cached = self.version(model, version);
-            self.piece(&cached, index, home.is_some()).await
+            let cached = self.find_or_add_version(model, version);
+            self.piece(&cached, index, primary.is_some()).await
         };
         if let Ok(bytes) = &piece {
             self.wait_for_link(bytes.len()).await;
@@ -139,7 +139,7 @@
                 content_type: "application/octet-stream",
                 body: bytes.to_vec(),
             },
-            Err(error) => unavailable(&error),
+            Err(error) => unavailable_reply(&error),
         })
     }
 
@@ -151,16 +151,16 @@
     }
 
     /// A version that is in memory, in whole or in part.
-    pub(super) fn known(&self, model: &str, version: u64) -> Option<Rc<CachedVersion>> {
+    pub(super) fn find_version(&self, model: &str, version: u64) -> Option<Rc<CachedVersion>> {
         let versions = self.versions.borrow();
         let is_same = |known: &&Rc<CachedVersion>| known.model == model && known.version == version;
         versions.iter().find(is_same).cloned()
     }
 
     /// The version in memory, which counts as used; an empty one if it is new.
-    pub(super) fn version(&self, model: &str, version: u64) -> Rc<CachedVersion> {
-        if let Some(known) = self.known(model, version) {
-            *known.used.borrow_mut() = Instant::now();
+    pub(super) fn find_or_add_version(&self, model: &str, version: u64) -> Rc<CachedVersion> {
+        if let Some(known) = self.find_version(model, version) {
+            *known.last_used.borrow_mut() = Instant::now();
             return known;
         }
         let cached = Rc::new(CachedVersion {
@@ -168,7 +168,7 @@
             version,
             manifest: OnceCell::new(),
             pieces: RefCell::default(),
-            used: RefCell::new(Instant::now()),
+            last_used: RefCell::new(Instant::now()),
         });
         self.versions.borrow_mut().push(cached.clone());
         cached
@@ -202,7 +202,7 @@
         &self,
         cached: &CachedVersion,
         index: u32,
-        as_home: bool,
+        as_primary: bool,
     ) -> Result<Rc<Vec<u8>>, ReadFault> {
         let manifest = self.manifest(cached).await?;
         let cell = {
@@ -214,7 +214,7 @@
             }
         };
         let read = async || {
-            self.read(cached, &manifest, index, as_home)
+            self.read_piece(cached, &manifest, index, as_primary)
                 .await
                 .map(Rc::new)
         };
@@ -222,51 +222,54 @@
     }
 
     /// Reads a piece that is not at hand.
-    async fn read(
+    async fn read_piece(
         &self,
         cached: &CachedVersion,
         manifest: &PieceManifest,
         index: u32,
-        as_home: bool,
+        as_primary: bool,
     ) -> Result<Vec<u8>, ReadFault> {
-        let homes = self.homes(index);
-        let home = homes.first().copied().flatten().filter(|_| !as_home);
-        let Some(home) = home else {
-            return match self.read_origin(cached, manifest, index).await {
+        let holders = self.ranked_holders(index);
+        let primary = holders.first().copied().flatten().filter(|_| !as_primary);
+        let Some(primary) = primary else {
+            return match self.read_from_origin(cached, manifest, index).await {
                 Ok(bytes) => Ok(bytes),
                 Err(fault) => self
-                    .read_held(cached, manifest, index, &homes)
+                    .read_from_former_holders(cached, manifest, index, &holders)
                     .await
                     .ok_or(fault),
             };
         };
-        let read = self.read_entry(HOME_PIECE_PATH, cached, manifest, index, home);
+        let read = self.read_from_entry(PRIMARY_PIECE_PATH, cached, manifest, index, primary);
         if let Some(bytes) = read.await {
             return Ok(bytes);
         }
-        match self.read_held(cached, manifest, index, &homes).await {
+        match self
+            .read_from_former_holders(cached, manifest, index, &holders)
+            .await
+        {
             Some(bytes) => Ok(bytes),
-            None => self.read_origin(cached, manifest, index).await,
+            None => self.read_from_origin(cached, manifest, index).await,
         }
     }
 
     /// A piece that is at hand.
-    fn held(&self, model: &str, version: u64, index: u32) -> Option<Rc<Vec<u8>>> {
-        let known = self.known(model, version)?;
+    fn cached_piece(&self, model: &str, version: u64, index: u32) -> Option<Rc<Vec<u8>>> {
+        let known = self.find_version(model, version)?;
         let pieces = known.pieces.borrow();
         pieces.get(index as usize)?.get().cloned()
     }
 
     /// A piece that one of its earlier homes has at hand.
-    async fn read_held(
+    async fn read_from_former_holders(
         &self,
         cached: &CachedVersion,
         manifest: &PieceManifest,
         index: u32,
-        homes: &[Option<SocketAddr>],
+        holders: &[Option<SocketAddr>],
     ) -> Option<Vec<u8>> {
-        for entry in homes.iter().flatten().take(MAX_HELD_ASKS) {
-            let read = self.read_entry(HELD_PIECE_PATH, cached, manifest, index, *entry);
+        for entry in holders.iter().flatten().take(MAX_FORMER_HOLDER_REQUESTS) {
+            let read = self.read_from_entry(HELD_PIECE_PATH, cached, manifest, index, *entry);
             if let Some(bytes) = read.await {
                 return Some(bytes);
             }
@@ -276,7 +279,7 @@
 
     /// Entries in the order in which they are home to a piece: the first of them
     /// reads it from the origin. None stands for this entry.
-    pub(super) fn homes(&self, index: u32) -> Vec<Option<SocketAddr>> {
+    pub(super) fn ranked_holders(&self, index: u32) -> Vec<Option<SocketAddr>> {
         let state = self.state.borrow();
         let own = (state.settings.name.as_str(), None);
         let others = state
@@ -287,7 +290,7 @@
     }
 
     /// Reads a piece from another entry, by one of the paths of pieces.
-    async fn read_entry(
+    async fn read_from_entry(
         &self,
         path: &str,
         cached: &CachedVersion,
@@ -299,7 +302,7 @@
         let timeout = if path == HELD_PIECE_PATH {
             HELD_PIECE_TIMEOUT
         } else {
-            ENTRY_PIECE_TIMEOUT
+            PRIMARY_PIECE_TIMEOUT
         };
         let mut client = Client::new(entry, Duration::ZERO);
         match client.ask(&Ask::get(&target, timeout)).await {
@@ -317,14 +320,14 @@
         }
     }
 
-    async fn read_origin(
+    async fn read_from_origin(
         &self,
         cached: &CachedVersion,
         manifest: &PieceManifest,
         index: u32,
     ) -> Result<Vec<u8>, ReadFault> {
         let mut fault = ReadFault::Spoilt;
-        for _ in 0..ORIGIN_TRIES {
+        for _ in 0..MAX_ORIGIN_READS {
             let origin = self.origin_address()?;
             let read = self
                 .origin
@@ -360,12 +363,12 @@
             tokio::time::sleep(EVICT_INTERVAL).await;
             self.versions
                 .borrow_mut()
-                .retain(|version| version.used.borrow().elapsed() < KEEP_TIME);
+                .retain(|version| version.last_used.borrow().elapsed() < UNUSED_VERSION_TTL);
         }
     }
 }
 
-fn unavailable(error: &ReadFault) -> InternalReply {
+fn unavailable_reply(error: &ReadFault) -> InternalReply {
     log::debug!("weights are not at hand: {error}");
     InternalReply::status(503)
 }
--- a/src/gateway/read_ahead.rs
+++ b/src/gateway/read_ahead.rs
@@ -11,22 +11,22 @@
 use crate::weights::ReadFault;
 
 /// Pause before reading ahead goes on after a failure.
-const AHEAD_PAUSE: Duration = Duration::from_millis(300);
+const READ_AHEAD_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 impl<O: OriginPort> PieceCache<O> {
     /// Reads the pieces of newly declared versions whose home is here, before
     /// anybody asks for them.
     pub async fn read_ahead(self: Rc<Self>) {
-        let news = self.state.borrow().weights_notice.clone();
+        let notice = self.state.borrow().weights_notice.clone();
         loop {
             let declared = self.state.borrow().weights.latest().cloned();
             if let Some(declared) = declared
-                && !self.is_at_hand(&declared.model, declared.version)
+                && !self.is_cached(&declared.model, declared.version)
             {
-                let cached = self.version(&declared.model, declared.version);
-                if let Err(error) = self.read_home_pieces(&cached).await {
+                let cached = self.find_or_add_version(&declared.model, declared.version);
+                if let Err(error) = self.read_primary_pieces(&cached).await {
                     log::debug!("cannot read version {} ahead: {error}", declared.version);
-                    tokio::time::sleep(AHEAD_PAUSE).await;
+                    tokio::time::sleep(READ_AHEAD_RETRY_PAUSE).await;
                     continue;
                 }
                 LogLine::new(Event::WeightsStaged)
@@ -34,12 +34,12 @@
                     .number("version", declared.version)
                     .write();
             }
-            news.notified().await;
+            notice.notified().await;
         }
     }
 
-    fn is_at_hand(&self, model: &str, version: u64) -> bool {
-        self.known(model, version).is_some_and(|known| {
+    fn is_cached(&self, model: &str, version: u64) -> bool {
+        self.find_version(model, version).is_some_and(|known| {
             let pieces = known.pieces.borrow();
             !pieces.is_empty() && pieces.iter().all(|piece| piece.initialized())
         })
@@ -47,13 +47,13 @@
 
     /// Reads the pieces whose home is here, each when its turn on the origin's
     /// link comes, so that they arrive in the order in which hosts ask.
-    async fn read_home_pieces(&self, cached: &CachedVersion) -> Result<(), ReadFault> {
+    async fn read_primary_pieces(&self, cached: &CachedVersion) -> Result<(), ReadFault> {
         let manifest = self.manifest(cached).await?;
         let began = Instant::now();
-        let turn = self.origin_turn();
+        let piece_time = self.origin_piece_time();
         for index in 0..manifest.chunks() {
-            if self.homes(index).first() == Some(&None) {
-                tokio::time::sleep_until(began + turn * index).await;
+            if self.ranked_holders(index).first() == Some(&None) {
+                tokio::time::sleep_until(began + piece_time * index).await;
                 self.piece(cached, index, true).await?;
             }
         }
@@ -61,7 +61,7 @@
     }
 
     /// Time that one piece takes on the origin's link.
-    fn origin_turn(&self) -> Duration {
+    fn origin_piece_time(&self) -> Duration {
         let state = self.state.borrow();
         let services = || state.catalog.iter().flat_map(|catalog| catalog.services());
         let chunk_bytes = services()
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -110,7 +110,7 @@
             if stream.decoder.is_done() {
                 return self.finish(client, &mut splitter).await;
             }
-            if splitter.is_overfull() {
+            if splitter.is_too_large() {
                 return StreamEnd::Broken("event_too_large");
             }
             let wait_until = (Instant::now() + SILENCE_CHECK_INTERVAL).min(self.deadline);
@@ -169,7 +169,7 @@
     }
 
     async fn finish(&mut self, client: &Connection, splitter: &mut EventSplitter) -> StreamEnd {
-        let rest = splitter.take_rest();
+        let rest = splitter.take_remainder();
         self.write_chunk(client, &rest, true)
             .await
             .unwrap_or(StreamEnd::Complete)
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -32,7 +32,7 @@
             events.push(event);
         }
     }
-    (events, splitter.take_rest())
+    (events, splitter.take_remainder())
 }
 
 #[test]
