--- a/src/gateway/admitted_request.rs
+++ b/src/gateway/admitted_request.rs
@@ -9,52 +9,53 @@
 use crate::http1::RequestHead;
 use crate::weights::Digest;
 
-/// A request that was read whole and may be forwarded.
+/// A completely received request that may be sent to a replica.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// Head, as sent.
+    /// Head as the client sent it.
     pub head: RequestHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// What its headers say.
+    /// Values decoded from its headers.
     pub facts: RequestFacts,
-    /// Configuration that it was admitted under.
+    /// Configuration under which it was admitted.
     pub catalog: Rc<Catalog>,
-    /// Its route.
+    /// Route that it matched.
     pub route: Route,
-    /// Service that the route's split chose.
+    /// Service chosen by the route's traffic split.
     pub service: String,
-    /// Workspace of the caller.
+    /// Workspace of the client.
     pub workspace: Option<String>,
-    /// Urgency at an engine.
+    /// Rank in an engine's queue, from 0 to 9; 0 is served first.
     pub urgency: u8,
-    /// When its head was complete.
+    /// Time at which its head was complete.
     pub received_at: Instant,
-    /// When its final answer is due.
+    /// Time at which the final response is due.
     pub deadline: Instant,
-    /// Least time the client had waited before, by its deadline.
+    /// Least time that the client had already waited, estimated from its deadline, in
+    /// ms.
     pub waited_before_ms: u64,
-    /// Names what is asked, whoever asks again.
+    /// Digest of target and body, equal for every retry of the request.
     pub fingerprint: Digest,
-    /// Replicas that it was sent to.
+    /// Replicas that were chosen for it so far.
     pub tried_replicas: Vec<ReplicaKey>,
-    /// Sends that reached a replica.
+    /// Number of sends that reached a replica.
     pub sends: u32,
 }
 
 impl AdmittedRequest {
-    /// Time until the final answer is due.
+    /// Time until the final response is due, in ms.
     pub fn left_ms(&self) -> u64 {
         let left = self.deadline.saturating_duration_since(Instant::now());
         u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Time since it arrived.
+    /// Time since it was received, in ms.
     pub fn waited_ms(&self) -> u64 {
         u64::try_from(self.received_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Whether the route allows one more replica.
+    /// Whether the route allows one more attempt.
     pub fn has_attempts_left(&self) -> bool {
         self.sends < self.route.max_attempts
     }
--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -23,24 +23,24 @@
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// Time that a client without a deadline waits at most, in ms.
+/// Deadline of a request that states none, in ms.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// Time for an answer of the system's own to go out.
+/// Timeout of writing a response that the gateway itself generates.
 const LOCAL_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause that a client is told while this entry knows no configuration, in ms.
+/// Retry-After of a refusal while this entry has no configuration, in ms.
 const RETRY_AFTER_START_MS: u64 = 500;
 
-/// Pause that a client is told by an entry that is leaving, in ms: other entries
-/// take its request at once.
+/// Retry-After of a refusal by an entry that is stopping, in ms: other entries accept
+/// the request at once.
 const RETRY_AFTER_STOP_MS: u64 = 10;
 
-/// Time that an idle connection stays open after a stop signal, so that a
-/// request under way to us is still answered.
+/// Idle timeout of a connection after a stop signal, so that a request that the
+/// client has already sent is still served.
 const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A request that is answered without a replica.
+/// Response to a request that is refused before a replica is chosen.
 #[derive(Debug)]
 struct Refusal {
     status: u16,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Accepts clients until the process leaves.
+/// Accepts connections of clients until the process closes its listener.
 pub async fn serve_clients<D: Dialect + 'static>(listener: TcpListener, gateway: Gateway<D>) {
     let open_connections = Rc::new(());
     let closed = wait_until_closed(&gateway);
@@ -70,7 +70,7 @@
             () = &mut closed => return,
         };
         match accepted {
-            // One holder of `open` is this loop itself.
+            // The loop itself holds one of the references.
             Ok(_)
                 if Rc::strong_count(&open_connections)
                     > gateway.state.borrow().settings.max_client_connections =>
@@ -85,20 +85,21 @@
                 });
             }
             Err(error) => {
-                log::warn!("cannot accept a client: {error}");
+                log::warn!("cannot accept a client's connection: {error}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-/// Resolves when a stopping process takes no further requests.
+/// Waits for the stop signal and for the time in which requests are still accepted.
 async fn wait_until_closed<D: Dialect>(gateway: &Gateway<D>) {
     let notice = gateway.state.borrow().stop_notice.clone();
     notice.notified().await;
     tokio::time::sleep(STOP_ACCEPT_TIME).await;
 }
 
+/// Serves the requests of one connection, one after the other.
 async fn serve_client<D: Dialect>(mut client: Connection, gateway: &Gateway<D>) {
     loop {
         let head = match read_next_head(&mut client, gateway).await {
@@ -128,7 +129,8 @@
     }
 }
 
-/// Waits for the next request; on a stop signal, only a little longer.
+/// Waits for the head of the next request; after a stop signal, with the shorter idle
+/// timeout.
 async fn read_next_head<D: Dialect>(
     client: &mut Connection,
     gateway: &Gateway<D>,
@@ -160,6 +162,7 @@
     .await
 }
 
+/// Reads the body of a request within the configured limits.
 async fn read_body<D: Dialect>(
     client: &mut Connection,
     gateway: &Gateway<D>,
@@ -185,7 +188,7 @@
         .await
 }
 
-/// Finds the route and the caller of a request.
+/// Matches a request to a route and identifies its client; the error is the refusal.
 fn admit_request<D: Dialect>(
     gateway: &Gateway<D>,
     head: RequestHead,
@@ -261,7 +264,7 @@
     }))
 }
 
-/// Workspace and rank of the caller.
+/// Workspace and priority of the client that sent a request.
 fn identify_caller(
     catalog: &Rc<Catalog>,
     route: &Route,
@@ -282,12 +285,13 @@
     }
 }
 
-/// Urgency at an engine: on-time work by rank, then what is late already.
+/// Rank in an engine's queue: 1 to 4 by priority, 5 to 8 for a request that is late.
 fn engine_urgency(priority: u32, is_late: bool) -> u8 {
     let rank = u8::try_from(priority.min(3)).unwrap_or(3);
     if is_late { 5 + rank } else { 1 + rank }
 }
 
+/// Chooses a service of the route at random, by the weights of its traffic split.
 fn choose_service(route: &Route, random: u64) -> String {
     let total: u64 = route.services.iter().map(|s| u64::from(s.1)).sum();
     let mut at = random % total.max(1);
@@ -303,6 +307,7 @@
         .map_or_else(String::new, |service| service.0.clone())
 }
 
+/// Sends a refusal, and logs and counts it.
 async fn refuse<D: Dialect>(
     client: &Connection,
     gateway: &Gateway<D>,
@@ -332,7 +337,7 @@
     }
 }
 
-/// Answers bytes that are no request that can be served, and closes.
+/// Responds to bytes that are no valid request; the connection is then closed.
 async fn refuse_unreadable<D: Dialect>(
     client: &Connection,
     gateway: &Gateway<D>,
@@ -354,6 +359,6 @@
     let bytes = local_response(status, None, true);
     let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
     if let Err(error) = client.write_until(&bytes, deadline).await {
-        log::debug!("a client left before its answer: {error}");
+        log::debug!("cannot send a refusal to a client: {error}");
     }
 }
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -1,19 +1,19 @@
 /// Largest event of a stream, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// One whole event of a stream.
+/// One complete server-sent event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id, where it has one.
+    /// Id of the event, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes, with the blank line that ends it.
+    /// Bytes of the event, including the blank line that ends it.
     pub bytes: Vec<u8>,
 }
 
-/// Cuts the bytes of a stream into whole events.
+/// Splits the bytes of a stream into complete events.
 ///
-/// Only whole events go to the client, so that a stream that breaks off in the
-/// middle of one can go on at another replica.
+/// Only complete events are sent to the client, so that a stream that breaks off
+/// within an event can be resumed at another replica.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: Vec<u8>,
@@ -21,12 +21,12 @@
 }
 
 impl EventSplitter {
-    /// Buffer to which the stream's bytes are appended.
+    /// Buffer to which the received bytes are appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.buffer
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_event_end()?;
         let bytes: Vec<u8> = self.buffer.drain(..end).collect();
@@ -37,17 +37,18 @@
         })
     }
 
-    /// Whether the event under way is larger than any may be.
+    /// Whether the incomplete event exceeds the largest size of an event.
     pub fn is_too_large(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Removes and returns the bytes of the incomplete event.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         self.scanned = 0;
         std::mem::take(&mut self.buffer)
     }
 
+    /// Length of the first complete event; lines end with LF or CRLF.
     fn find_event_end(&mut self) -> Option<usize> {
         let mut at = self.scanned;
         while let Some(offset) = self.buffer[at..].iter().position(|byte| *byte == b'\n') {
@@ -70,6 +71,7 @@
     }
 }
 
+/// Value of the first `id:` line, if it is a number.
 fn parse_event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|byte| *byte == b'\n')
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -13,17 +13,19 @@
 use crate::http1::Http1Error;
 use crate::http1::ResponseHead;
 
-/// Time to open a connection to a replica: many round trips between regions,
-/// and well under any target.
+/// Timeout of opening a connection to a replica: many round trips between regions,
+/// and well below any latency target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Largest head of a replica's answer, in bytes.
+/// Largest head of a replica's response, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// Largest answer that is kept in memory, in bytes.
+/// Largest body of a response that is not streamed, in bytes: it is buffered in
+/// memory.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Header lines that concern one connection only, or that framing sets anew.
+/// Headers that apply to one connection only, or that the gateway sets itself because
+/// they describe the framing of the body.
 const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -37,50 +39,52 @@
     "expect",
 ];
 
-/// A whole answer of a replica.
+/// A complete response of a replica.
 #[derive(Debug)]
 pub struct ReplicaResponse {
-    /// Head.
+    /// Status and headers.
     pub head: ResponseHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// An answer that comes as a stream of events.
+/// A response of a replica that is a stream of events, of which the head was read.
 #[derive(Debug)]
 pub struct EventStream {
-    /// Head.
+    /// Status and headers.
     pub head: ResponseHead,
     /// Connection to the replica.
     pub connection: Connection,
-    /// Where the body stands.
+    /// Decoder of the body's framing, with the state of its progress.
     pub decoder: BodyDecoder,
 }
 
-/// What became of one send.
+/// Result of sending a request to one replica.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// Nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     Unreachable(Http1Error),
-    /// The replica states that the request did not run.
+    /// The replica states that it did not run the request.
     NotRun,
-    /// Another replica has the address; the request did not run.
+    /// Another replica than the expected one uses the address; the request did not
+    /// run.
     Misplaced,
-    /// The replica holds other weights than expected; the request did not run.
+    /// The replica has another version of the weights than the expected one; the
+    /// request did not run.
     OtherWeights,
-    /// It may have run, and there is no valid answer.
+    /// The request may have run, but there is no valid response, for this cause.
     Broken(&'static str),
-    /// The answer.
+    /// A complete response.
     Response(ReplicaResponse),
-    /// The beginning of a stream.
+    /// A stream of which the head was received.
     Stream(Box<EventStream>),
 }
 
-/// Sends `request` to the replica at `address` and reads its answer.
+/// Sends `request` to the replica at `address` and reads its response.
 ///
-/// The head of the answer must come before `head_until`. A connection carries
-/// one request only: whatever a replica sends after its answer, or too late,
-/// can then belong to no other.
+/// The head of the response must arrive before `head_deadline`. Each connection
+/// carries only one request, so that bytes that a replica sends late or after its
+/// response can't be taken for the response to another request.
 pub async fn send_to_replica(
     dialect: &impl Dialect,
     request: &AdmittedRequest,
@@ -103,8 +107,8 @@
         Err(Http1Error::TimedOut) => return SendOutcome::Broken("silent"),
         Err(error) => return SendOutcome::Broken(error.label()),
     };
-    let answer = dialect.response_facts(&head);
-    if let Some(outcome) = reject_response(&answer, &head, request, facts) {
+    let response = dialect.response_facts(&head);
+    if let Some(outcome) = reject_response(&response, &head, request, facts) {
         return outcome;
     }
     let framing = match head.framing(&request.head.method) {
@@ -126,37 +130,41 @@
     }
 }
 
-/// Outcome of an answer that is not the replica's answer to this request.
+/// Outcome of a send whose response does not show that the expected replica ran this
+/// request; None if the response is valid.
 fn reject_response(
-    answer: &ResponseFacts,
+    response: &ResponseFacts,
     head: &ResponseHead,
     request: &AdmittedRequest,
     facts: &SendFacts<'_>,
 ) -> Option<SendOutcome> {
-    let is_other_attempt = answer
+    let is_other_attempt = response
         .attempt_id
         .as_ref()
         .is_some_and(|id| *id != request.facts.attempt_id);
     if is_other_attempt {
         return Some(SendOutcome::Broken("other_answer"));
     }
-    if answer.is_misdirected {
-        let is_expected_replica = answer.replica_id.as_deref() == Some(facts.replica_id);
+    if response.is_misdirected {
+        let is_expected_replica = response.replica_id.as_deref() == Some(facts.replica_id);
         return Some(if is_expected_replica {
             SendOutcome::OtherWeights
         } else {
             SendOutcome::Misplaced
         });
     }
-    if answer.is_not_run && head.status >= 400 {
+    if response.is_not_run && head.status >= 400 {
         return Some(SendOutcome::NotRun);
     }
-    if !answer.is_signed {
+    if !response.is_signed {
         return Some(SendOutcome::Broken("unsigned"));
     }
-    answer.is_encoded.then_some(SendOutcome::Broken("encoded"))
+    response
+        .is_encoded
+        .then_some(SendOutcome::Broken("encoded"))
 }
 
+/// Reads the head of the response; interim responses (1xx) are skipped.
 async fn read_head(
     connection: &mut Connection,
     deadline: Instant,
@@ -173,6 +181,7 @@
     }
 }
 
+/// Encodes the request with the headers for the replica.
 fn request_bytes(
     dialect: &impl Dialect,
     request: &AdmittedRequest,
@@ -203,7 +212,7 @@
     bytes
 }
 
-/// Whether a header line concerns only the connection it came on.
+/// Whether a header applies only to the connection on which it was received.
 pub fn is_hop_by_hop_header(name: &str, headers: &Headers) -> bool {
     HOP_BY_HOP_HEADERS
         .iter()
@@ -211,7 +220,7 @@
         || headers.has_token("connection", name)
 }
 
-/// Appends one header line.
+/// Appends a header to `out`.
 pub fn write_header(name: &str, value: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
--- a/src/gateway/local_response.rs
+++ b/src/gateway/local_response.rs
@@ -1,6 +1,8 @@
 use std::time::Duration;
 
-/// An answer of the system's own, without a body.
+/// Response without a body that the gateway itself generates, encoded for the wire.
+///
+/// `close` states whether the connection is closed after it.
 pub fn local_response(status: u16, retry_after_ms: Option<u64>, close: bool) -> Vec<u8> {
     let reason = match status {
         400 => "Bad Request",
@@ -26,7 +28,7 @@
     text.into_bytes()
 }
 
-/// Name of an outcome in the metrics; status 0 is an answer that was not finished.
+/// Label of an outcome in the metrics; status 0 is a response that was not completed.
 pub fn outcome_label(status: u16) -> &'static str {
     match status {
         200..300 => "served",
--- a/src/gateway/request_outcome.rs
+++ b/src/gateway/request_outcome.rs
@@ -16,7 +16,8 @@
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// The final answer to a request, for its log line.
+/// How a request ended, for its log line and the metrics; status 0 is a response that
+/// was not completed.
 #[derive(Debug)]
 pub(super) struct RequestOutcome<'a> {
     pub(super) status: u16,
@@ -25,7 +26,8 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Gives the final answer to a request that no further replica gets.
+    /// Ends a request that is not sent to a further replica: aborts a stream that has
+    /// begun, or sends the response kept as a fallback, or else one of the gateway.
     pub(super) async fn end_attempts(
         &self,
         client: &mut Connection,
@@ -38,9 +40,9 @@
         if relay.has_begun() {
             return self.abort_stream(request, &history, cause);
         }
-        if let Some(answer) = history.fallback_response.take() {
+        if let Some(response) = history.fallback_response.take() {
             return self
-                .send_replica_response(client, request, &history, answer)
+                .send_replica_response(client, request, &history, response)
                 .await;
         }
         let outcome = if !history.may_have_run {
@@ -66,7 +68,8 @@
             .await
     }
 
-    /// Ends a stream that has begun in a way that can't look complete.
+    /// Ends a stream that has begun; closing the connection without the last chunk
+    /// shows the client that it is incomplete.
     pub(super) fn abort_stream(
         &self,
         request: &AdmittedRequest,
@@ -82,6 +85,7 @@
         ConnectionReuse::Close
     }
 
+    /// Ends a request whose client closed its connection.
     pub(super) fn client_disconnected(
         &self,
         request: &AdmittedRequest,
@@ -96,22 +100,23 @@
         ConnectionReuse::Close
     }
 
-    /// Passes a replica's whole answer on.
+    /// Sends the complete response of a replica to the client.
     pub(super) async fn send_replica_response(
         &self,
         client: &mut Connection,
         request: &AdmittedRequest,
         history: &SendHistory,
-        answer: ReplicaResponse,
+        response: ReplicaResponse,
     ) -> ConnectionReuse {
         let close = self.closes_connection(request);
-        let mut bytes = response_head(&answer.head, close);
-        bytes
-            .extend_from_slice(format!("Content-Length: {}\r\n\r\n", answer.body.len()).as_bytes());
-        bytes.extend_from_slice(&answer.body);
+        let mut bytes = response_head(&response.head, close);
+        bytes.extend_from_slice(
+            format!("Content-Length: {}\r\n\r\n", response.body.len()).as_bytes(),
+        );
+        bytes.extend_from_slice(&response.body);
         let written = client.write_until(&bytes, request.deadline).await;
         let outcome = RequestOutcome {
-            status: answer.head.status,
+            status: response.head.status,
             cause: "answered",
             retry_after_ms: None,
         };
@@ -122,7 +127,7 @@
         }
     }
 
-    /// Gives an answer of the system's own.
+    /// Sends a response that the gateway itself generates.
     pub(super) async fn send_local_response(
         &self,
         client: &mut Connection,
@@ -144,11 +149,13 @@
         }
     }
 
-    /// Whether the client's connection ends after this answer.
+    /// Whether the client's connection is closed after the response to `request`.
     pub(super) fn closes_connection(&self, request: &AdmittedRequest) -> bool {
         request.head.wants_close() || self.state.borrow().stopping_since.is_some()
     }
 
+    /// Logs and counts a request that has ended; `stream` holds the time to the first
+    /// event, in ms, and the number of events.
     pub(super) fn log_request_end(
         &self,
         request: &AdmittedRequest,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -24,41 +24,46 @@
 use crate::observe::LogLine;
 use crate::weights::Digest;
 
-/// Time that a crash keeps its suspects, in ms.
+/// Time for which a request remains suspected after a crash, in ms.
 const SUSPECT_WINDOW_MS: u64 = 120_000;
 
-/// Crashes remembered.
+/// Most pairs of a suspected request and a crash that are kept.
 const MAX_SUSPECTS: usize = 64;
 
-/// Time between a broken connection and the sign that its replica crashed, in ms.
+/// Longest time between a broken connection and a failed connection attempt that
+/// together indicate a crash of the replica, in ms.
 const BROKEN_CONNECTION_WINDOW_MS: u64 = 2_500;
 
-/// Part by which the deadlines of clients that ask for the first time differ.
+/// Share by which the deadlines of first requests may differ; a request with less
+/// time left counts as a retry.
 const DEADLINE_SPREAD: f64 = 0.17;
 
-/// Time before the bound on new weights from which a request must get them, in
-/// ms: it may wait at a replica, and this process learned of them late.
+/// Time before the bound on new weights from which requests are sent only to
+/// replicas that have them, in ms. A request may wait at a replica, and this process
+/// learns of a declaration late.
 const WEIGHTS_REQUIRED_MARGIN_MS: u64 = 1_300;
 
-/// Time before the bound at which a request that waits at an engine with old
-/// weights is taken back, in ms: this process learned of them late.
+/// Time before the bound at which a request that still waits at an engine with old
+/// weights is cancelled, in ms. This process learns of a declaration late.
 const WEIGHTS_CANCEL_MARGIN_MS: u64 = 400;
 
-/// Time before the bound from which engines without new weights get only what
-/// can begin at once, in ms: the longest wait at an engine more than the margin.
+/// Time before the bound from which engines without the new weights get only
+/// requests that can begin at once, in ms: `WEIGHTS_REQUIRED_MARGIN_MS` and the
+/// longest wait at an engine.
 const WEIGHTS_EXPECTED_MARGIN_MS: u64 = 3_000;
 
-/// Age of the replicas' records at which a far entry is asked for them, in ms.
+/// Age of the replicas' records from which they are fetched also from entries of
+/// other failure domains, in ms.
 const REPLICAS_OUTDATED_MS: u64 = 1_000;
 
-/// Time after its start in which an entry waits for the ages of declarations, in
-/// ms: two beats of the others.
+/// Longest time after its start for which an entry waits for the ages of the
+/// declarations before it is ready, in ms: two heartbeats of the other entries.
 const DECLARATION_AGE_WAIT_MS: u64 = 600;
 
-/// Broken connections remembered.
+/// Most broken connections that are kept.
 const MAX_BROKEN_CONNECTIONS: usize = 256;
 
-/// A request whose connection to a replica broke.
+/// A request whose connection to a replica broke, kept in case the replica crashed.
 #[derive(Debug)]
 struct BrokenConnection {
     fingerprint: Digest,
@@ -67,42 +72,52 @@
     at_ms: u64,
 }
 
-/// What an entry process knows, shared by its tasks.
+/// State of an entry process, shared by its tasks.
 #[derive(Debug)]
 pub struct GatewayState {
     /// Settings of the process.
     pub settings: GatewaySettings,
-    /// Configuration in force.
+    /// Configuration in force; None until one was read.
     pub catalog: Option<Rc<Catalog>>,
-    /// Versions of weights that were declared.
+    /// Declared versions of weights.
     pub weights: Declarations,
     /// Replicas of all services.
     pub replicas: ReplicaTable,
     /// The other entries.
     pub peers: PeerTable,
-    /// Crash suspects.
+    /// Requests that are suspected of crashing replicas.
     pub suspects: SuspectTable,
-    /// Incarnation of this process.
+    /// Random number that identifies this run of the process.
     pub incarnation: u64,
-    /// When a stop signal came.
+    /// Time of the stop signal.
     pub stopping_since: Option<Instant>,
-    /// Requests under way.
+    /// Number of requests that are being served.
     pub active_requests: usize,
-    /// Wakes tasks that wait for a stop signal.
+    /// Wakes the tasks that wait for a stop signal.
     pub stop_notice: Rc<Notify>,
     /// Wakes the task that reads new weights ahead.
     pub weights_notice: Rc<Notify>,
-    /// Wakes the task that tells others what is new.
+    /// Wakes the task that sends heartbeats.
     pub update_notice: Rc<Notify>,
+    /// Newest records of each topic, in the order of `Topic::ALL`.
     pub(super) ledgers: [Ledger; 3],
+    // Ascending by name of the service.
     pub(super) retry_budgets: Vec<(String, RetryWindow)>,
+    // Ascending by name of the service.
     request_rates: Vec<(String, RateMeter)>,
+    // Longest deadline that a client stated, ascending by name of the route.
     longest_deadlines_ms: Vec<(String, u64)>,
+    /// For each topic, whether the last read from the store failed.
     pub(super) unavailable_topics: [bool; 3],
+    /// Last time at which the store was found unavailable to this entry and to any
+    /// that reads on its behalf.
     pub(super) store_unreachable_ms: Option<u64>,
+    /// Ids of replicas that stay in use although their records expired.
     pub(super) expired_replicas: Vec<String>,
     broken_connections: Vec<BrokenConnection>,
+    /// For each topic, whether it is being fetched from another process.
     fetching: [bool; 3],
+    /// Time at which the store last confirmed the replicas' records.
     replicas_confirmed_ms: u64,
     rng: Pcg64Mcg,
     started: Instant,
@@ -140,24 +155,24 @@
         }))
     }
 
-    /// Steady time since the start of the process.
+    /// Monotonic time since the start of the process, in ms.
     pub fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Random bits.
+    /// A random number of 64 bits.
     pub fn random_bits(&mut self) -> u64 {
         self.rng.random()
     }
 
-    /// What clients may send; the usual limits before a configuration is known.
+    /// Limits of clients' requests; the defaults until a configuration is known.
     pub fn limits(&self) -> Limits {
         self.catalog
             .as_ref()
             .map_or_else(Limits::default, |catalog| catalog.limits)
     }
 
-    /// Whether new clients are welcome.
+    /// Whether the entry accepts new clients.
     pub fn is_ready(&self) -> bool {
         self.stopping_since.is_none()
             && self.catalog.is_some()
@@ -165,39 +180,40 @@
             && (self.weights.are_exact() || self.now_ms() >= DECLARATION_AGE_WAIT_MS)
     }
 
-    /// Ends of the topics, in the order of `Topic::ALL`.
+    /// Offsets after the last record of each topic, in the order of `Topic::ALL`.
     pub fn end_offsets(&self) -> [u64; 3] {
         Topic::ALL.map(|topic| self.ledger(topic).end_offset())
     }
 
-    /// Whether a read of `topic` from another entry may start; it counts as started.
+    /// Marks `topic` as being fetched from another process; false if it already is.
     pub fn try_begin_fetch(&mut self, topic: Topic) -> bool {
         !std::mem::replace(&mut self.fetching[topic as usize], true)
     }
 
-    /// Notes that a read of `topic` from another entry has ended.
+    /// Marks the fetch of `topic` as ended.
     pub fn end_fetch(&mut self, topic: Topic) {
         self.fetching[topic as usize] = false;
     }
 
-    /// Whether the store answers this process.
+    /// Whether the store answered the last read of each topic by this process.
     pub fn has_store(&self) -> bool {
         !self.unavailable_topics.contains(&true)
     }
 
-    /// Age of the replicas' records, since the store confirmed them to this entry
-    /// or to one that told it.
+    /// Time since the store confirmed the replicas' records, to this entry or to one
+    /// that reported it in a heartbeat, in ms.
     pub fn replicas_age_ms(&self) -> u64 {
         self.now_ms().saturating_sub(self.replicas_confirmed_ms)
     }
 
-    /// Notes that the replicas' records are as of `age_ms` ago.
+    /// Records that the store confirmed the replicas' records `age_ms` ago.
     pub fn confirm_replicas(&mut self, age_ms: u64) {
         let confirmed_ms = self.now_ms().saturating_sub(age_ms);
         self.replicas_confirmed_ms = self.replicas_confirmed_ms.max(confirmed_ms);
     }
 
-    /// Whether another entry reads the store for this one, and tells it.
+    /// Whether another entry of the failure domain reads the store on behalf of this
+    /// one, and the heartbeats keep the replicas' records recent.
     pub fn has_reader(&self) -> bool {
         let settings = &self.settings;
         let now_ms = self.now_ms();
@@ -209,12 +225,13 @@
         )
     }
 
-    /// Whether what is known of `topic` is so old that a far entry is asked.
+    /// Whether `topic` is also fetched from entries of other failure domains: the
+    /// replicas' records once they are old, the other topics always.
     pub fn is_outdated(&self, topic: Topic) -> bool {
         topic != Topic::Replicas || self.replicas_age_ms() >= REPLICAS_OUTDATED_MS
     }
 
-    /// Notes whether the store answers for `topic`.
+    /// Records whether the store answered a read of `topic`, and logs a change.
     pub fn record_store_result(&mut self, topic: Topic, error: Option<&dyn std::error::Error>) {
         let is_unavailable = &mut self.unavailable_topics[topic as usize];
         match error {
@@ -237,12 +254,12 @@
         }
     }
 
-    /// Whether the store did not answer the last read of `topic`.
+    /// Whether the last read of `topic` from the store failed.
     pub fn is_topic_unavailable(&self, topic: Topic) -> bool {
         self.unavailable_topics[topic as usize]
     }
 
-    /// Budget of resends to `service`.
+    /// Retry budget of `service`.
     pub fn retry_budget(&mut self, service: &str) -> &mut RetryWindow {
         let at = match self
             .retry_budgets
@@ -263,7 +280,7 @@
         &mut self.retry_budgets[at].1
     }
 
-    /// Counts a request for `service`, sent or refused.
+    /// Counts a request for `service`, whether it is then sent or refused.
     pub fn count_request(&mut self, service: &str) {
         let now_ms = self.now_ms();
         let request_rates = &mut self.request_rates;
@@ -277,8 +294,8 @@
         request_rates[at].1.add(now_ms);
     }
 
-    /// Requests for `service` that the other entries get in a ms, if each gets
-    /// as many as this one.
+    /// Estimated rate of requests for `service` at all other entries, per ms: each is
+    /// assumed to get as many as this one.
     pub fn others_rate_per_ms(&self, service: &str) -> f64 {
         let others = f64::from(self.entry_count() - 1);
         match self
@@ -290,16 +307,16 @@
         }
     }
 
-    /// Entries alive, this one among them.
+    /// Number of entries that are up, this one included.
     pub fn entry_count(&self) -> u32 {
         let peers = self.peers.alive(self.now_ms()).count();
         u32::try_from(peers).unwrap_or(u32::MAX - 1) + 1
     }
 
-    /// Least time that a client with `deadline_ms` left has waited before.
+    /// Least time that a client with `deadline_ms` left has already waited, in ms.
     ///
-    /// A client that comes back after a refusal has less time left than any that
-    /// asks for the first time.
+    /// A client that retries after a refusal has less time left than any client of the
+    /// route that sends its first request.
     pub fn waited_before_ms(&mut self, route: &str, deadline_ms: u64) -> u64 {
         let longest = &mut self.longest_deadlines_ms;
         let longest_ms = match longest.binary_search_by(|entry| entry.0.as_str().cmp(route)) {
@@ -316,8 +333,8 @@
         first_request_ms.saturating_sub(deadline_ms)
     }
 
-    /// Remembers what was at a replica when its connection broke, for the case
-    /// that the replica crashed.
+    /// Records a request whose connection to `replica` broke, in case the replica
+    /// crashed.
     pub fn record_broken_connection(&mut self, fingerprint: Digest, replica: &str) {
         let now_ms = self.now_ms();
         self.broken_connections
@@ -338,8 +355,8 @@
         });
     }
 
-    /// Blames the requests whose connections to `replica` broke just before it
-    /// could not be reached.
+    /// Adds the requests whose connections to `replica` broke shortly before it became
+    /// unreachable to the crash suspects.
     pub fn suspect_broken_connections(&mut self, replica: &str) {
         let now_ms = self.now_ms();
         let broken_connections = std::mem::take(&mut self.broken_connections);
@@ -364,13 +381,13 @@
         }
     }
 
-    /// Version of `model` that every answer must at least come from now.
+    /// Oldest version of `model` that may serve a request now; None for any.
     pub fn required_version(&self, model: &str) -> Option<u64> {
         self.version_due_in(model, WEIGHTS_REQUIRED_MARGIN_MS)
     }
 
-    /// Time until a request at an engine with `version` of `model` must have
-    /// begun; None while no later version is declared.
+    /// Time within which an engine with `version` of `model` must begin a request, in
+    /// ms; None while no later version is declared.
     pub fn begin_within_ms(&self, model: &str, version: u64) -> Option<u64> {
         let now_ms = self.now_ms() as i64;
         let apply_ms = (self.settings.weights_apply_ms - WEIGHTS_CANCEL_MARGIN_MS) as i64;
@@ -382,12 +399,13 @@
             .map(|left_ms| u64::try_from(left_ms).unwrap_or(0))
     }
 
-    /// Version of `model` that is due soon: engines without it get only what
-    /// can begin at once.
+    /// Version of `model` that will soon be required: engines without it get only
+    /// requests that can begin at once.
     pub fn expected_version(&self, model: &str) -> Option<u64> {
         self.version_due_in(model, WEIGHTS_EXPECTED_MARGIN_MS)
     }
 
+    /// Newest version of `model` whose bound ends within `ahead_ms`, or has ended.
     fn version_due_in(&self, model: &str, ahead_ms: u64) -> Option<u64> {
         let now_ms = self.now_ms() as i64;
         let due_ms = self.settings.weights_apply_ms.saturating_sub(ahead_ms) as i64;
