--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -22,29 +22,30 @@
 use crate::observe::LogLine;
 use crate::observe::Metrics;
 
-/// Connections that may fail to open before a request is given up.
+/// Failed connection attempts after which no further replica is tried.
 const MAX_FAILED_CONNECTIONS: u32 = 4;
 
-/// Silence before the first event after which a repeatable stream is sent to
-/// another replica: several targets, and less than a client's patience.
+/// Longest wait for the head of a stream that may be sent to another replica
+/// instead: several latency targets, and less than the deadline of a client.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Longest wait for a plain repeatable answer before another replica is asked.
+/// Longest wait for the head of a plain response to a request that may be sent to
+/// another replica instead.
 const PLAIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause that a refused client is told when no replica can be used, in ms.
+/// Retry-After of a refusal after the attempts at replicas have failed, in ms.
 const RETRY_AFTER_FAILURE_MS: u64 = 500;
 
-/// Whether a client's connection can be used again.
+/// Whether a client's connection stays open after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// For a further request.
+    /// It stays open for another request.
     Keep,
-    /// No.
+    /// It is closed.
     Close,
 }
 
-/// Forwards requests on behalf of one entry process.
+/// Sends the requests of clients to replicas, and the responses to the clients.
 #[derive(Debug)]
 pub struct Gateway<D> {
     /// State of the process.
@@ -65,18 +66,22 @@
     }
 }
 
-/// What was learned from the sends of one request so far.
+/// Results of the sends of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct SendHistory {
     failed_connections: u32,
+    /// Whether a replica may have run the request.
     pub(super) may_have_run: bool,
+    /// Error response of a replica, used if no retry succeeds.
     pub(super) fallback_response: Option<ReplicaResponse>,
+    /// Label of the cause of the last failed send.
     pub(super) last_cause: &'static str,
+    /// Id of the replica that was chosen last.
     pub(super) replica: String,
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Forwards one request and answers its client.
+    /// Sends one request to replicas until it ends, and responds to its client.
     pub async fn forward(
         &self,
         client: &mut Connection,
@@ -110,13 +115,13 @@
                 drop(in_flight);
                 return self.client_disconnected(&request, &history);
             };
-            let answered = self.record_outcome(&mut request, &chosen, send_outcome, &mut history);
-            match answered {
+            let accepted = self.record_outcome(&mut request, &chosen, send_outcome, &mut history);
+            match accepted {
                 None => drop(in_flight),
-                Some(SendOutcome::Response(answer)) => {
+                Some(SendOutcome::Response(response)) => {
                     drop(in_flight);
                     return self
-                        .send_replica_response(client, &request, &history, answer)
+                        .send_replica_response(client, &request, &history, response)
                         .await;
                 }
                 Some(SendOutcome::Stream(stream)) => {
@@ -129,7 +134,7 @@
                         return next;
                     }
                 }
-                Some(_) => unreachable!("only answers are handed on"),
+                Some(_) => unreachable!("record_outcome returns only responses and streams"),
             }
             if !self.try_take_retry(&request, &history) {
                 let cause = history.last_cause;
@@ -147,12 +152,14 @@
         }
     }
 
+    /// Whether the request is refused because it is suspected of several crashes.
     fn is_refused_as_suspect(&self, request: &AdmittedRequest) -> bool {
         let state = self.state.borrow();
         state.suspects.standing(request.fingerprint, state.now_ms()) == Standing::Refused
     }
 
-    /// Sends the request; None when the client left meanwhile.
+    /// Sends the request to the chosen replica; None if the client disconnected before
+    /// the response.
     async fn send(
         &self,
         client: &mut Connection,
@@ -196,13 +203,15 @@
         client.unless_closed(work).await
     }
 
+    /// Whether the retry budget of the request's service allows one more send.
     fn has_retry_budget(&self, request: &AdmittedRequest) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         state.retry_budget(&request.service).has_room(now_ms)
     }
 
-    /// Learns from what became of a send; returns an answer to pass on.
+    /// Records the outcome of a send; returns a response or stream that is to be sent
+    /// to the client, or None after a failed attempt.
     fn record_outcome(
         &self,
         request: &mut AdmittedRequest,
@@ -214,7 +223,7 @@
         let now_ms = state.now_ms();
         let cause = match &send_outcome {
             SendOutcome::Unreachable(error) => {
-                log::debug!("{} was not reached: {error}", chosen.id);
+                log::debug!("cannot connect to replica {}: {error}", chosen.id);
                 history.failed_connections += 1;
                 state.replicas.unreachable(chosen.key, now_ms);
                 state.suspect_broken_connections(&chosen.id);
@@ -244,9 +253,9 @@
                 }
                 cause
             }
-            SendOutcome::Response(answer) => {
+            SendOutcome::Response(response) => {
                 request.sends += 1;
-                let failed = answer.head.status >= 500;
+                let failed = response.head.status >= 500;
                 let latency_ms = request.received_at.elapsed().as_secs_f64() * 1_000.0;
                 state
                     .replicas
@@ -270,13 +279,14 @@
         drop(state);
         history.last_cause = cause;
         log_failed_attempt(request, chosen, cause);
-        if let SendOutcome::Response(answer) = send_outcome {
-            history.fallback_response = Some(answer);
+        if let SendOutcome::Response(response) = send_outcome {
+            history.fallback_response = Some(response);
         }
         None
     }
 
-    /// Whether one more send is allowed, and takes it out of the budget.
+    /// Whether one more send is allowed; a send that may repeat work is taken out of
+    /// the retry budget.
     fn try_take_retry(&self, request: &AdmittedRequest, history: &SendHistory) -> bool {
         if request.left_ms() == 0 {
             return false;
@@ -300,7 +310,8 @@
         allowed
     }
 
-    /// Ends a stream, or returns None when another replica may go on with it.
+    /// Ends a request whose stream has ended, or returns None if another replica may
+    /// resume the stream.
     fn finish_stream(
         &self,
         request: &AdmittedRequest,
@@ -361,6 +372,7 @@
     }
 }
 
+/// Logs a send that failed or that the replica refused.
 fn log_failed_attempt(request: &AdmittedRequest, chosen: &ChosenReplica, cause: &str) {
     LogLine::new(Event::AttemptFailed)
         .text("id", &request.facts.attempt_id)
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -15,14 +15,14 @@
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// Silence within a stream after which its replica is given up, if no report of
-/// it comes either.
-const UNREPORTED_SILENCE: Duration = Duration::from_millis(800);
+/// Silence within a stream after which its replica counts as failed if it was also
+/// removed from the list or its engine is reported down.
+const DOWN_REPLICA_SILENCE: Duration = Duration::from_millis(800);
 
-/// Silence within a stream after which its connection is given up in any case.
+/// Silence within a stream after which its replica counts as failed in any case.
 const MAX_STREAM_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// Where a request goes.
+/// The replica that a request is sent to, with what the choice was based on.
 #[derive(Debug)]
 pub(super) struct ChosenReplica {
     pub(super) key: ReplicaKey,
@@ -34,7 +34,7 @@
     pub(super) begin_within_ms: Option<u64>,
 }
 
-/// Counts a request at a replica for as long as it lives.
+/// Counts a request as in flight at a replica until it is dropped.
 pub(super) struct InFlightGuard<'a> {
     state: &'a RefCell<GatewayState>,
     key: ReplicaKey,
@@ -58,7 +58,7 @@
             || replica
                 .fresh_load(state.now_ms())
                 .is_some_and(|load| !load.is_up);
-        silence >= UNREPORTED_SILENCE && is_down
+        silence >= DOWN_REPLICA_SILENCE && is_down
     }
 }
 
@@ -71,7 +71,8 @@
 }
 
 impl<D: Dialect> Gateway<D> {
-    /// Chooses a replica, or tells why there is none and when to come back.
+    /// Chooses a replica; the error is the cause of a refusal and the time after which
+    /// the client should retry, in ms.
     pub(super) fn choose_replica(
         &self,
         request: &AdmittedRequest,
@@ -103,7 +104,8 @@
                     || replica.has_free_slots(0.0, now_ms)
             });
         }
-        // What the others send goes to the replicas that have room.
+        // The requests of the other entries are assumed to go to the replicas with free
+        // slots, or to all usable ones if none has any.
         let free_replicas = usable.iter().filter(|(_, r)| r.has_free_slots(0.0, now_ms));
         let candidates = match free_replicas.count() {
             0 => usable.len().max(1),
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Counts a send.
+    /// Counts and logs a send to the chosen replica.
     pub(super) fn register_send<'a>(
         &'a self,
         request: &mut AdmittedRequest,
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -9,31 +9,32 @@
 use crate::http1::Connection;
 use crate::http1::ResponseHead;
 
-/// Silence after which the health of a stream's replica is looked at.
+/// Interval at which the observer of a silent stream is asked whether its replica has
+/// failed.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How a stream, or the part of it from one replica, ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The whole stream has been passed on.
+    /// The complete stream has been sent to the client.
     Complete,
-    /// The client left.
+    /// The client closed its connection.
     ClientDisconnected,
-    /// The replica's part broke off.
+    /// The replica's part broke off, for this cause.
     Broken(&'static str),
-    /// The time for the request is over.
+    /// The deadline of the request has passed.
     TimedOut,
 }
 
-/// Follows the part of a stream that one replica sends.
+/// Observer of the part of a stream that one replica sends.
 pub trait StreamObserver {
-    /// Takes note of an event; only the first one tells something.
+    /// Called when events were sent to the client; only the first call has an effect.
     fn first_event(&self);
-    /// Whether a replica that was silent for that long is to be given up.
+    /// Whether a replica that has been silent for that long counts as failed.
     fn is_replica_lost(&self, silence: Duration) -> bool;
 }
 
-/// A stream on its way to one client, over one or more replicas.
+/// Relay of a stream of events to one client, from one replica after another.
 #[derive(Debug)]
 pub struct StreamRelay {
     head: Option<Vec<u8>>,
@@ -45,7 +46,7 @@
 }
 
 impl StreamRelay {
-    /// Relay of a stream that the client wants from after `last_id`.
+    /// Relay of a stream that starts after the event `last_id`, or at the beginning.
     pub fn new(last_id: Option<u64>, deadline: Instant) -> Self {
         Self {
             head: None,
@@ -57,30 +58,30 @@
         }
     }
 
-    /// Whether anything has gone to the client.
+    /// Whether the head of the response has been sent to the client.
     pub fn has_begun(&self) -> bool {
         self.is_head_sent
     }
 
-    /// Id of the last event that the client has.
+    /// Id of the last event that was sent to the client.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Events passed on.
+    /// Number of events sent to the client.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// When the first event was passed on.
+    /// Time at which the first event was sent to the client.
     pub fn first_event_at(&self) -> Option<Instant> {
         self.first_event_at
     }
 
-    /// Passes one replica's part on until it ends.
+    /// Sends one replica's part of the stream to the client until it ends.
     ///
-    /// `watch` is told of the first event, and asked whether to give a silent
-    /// replica up.
+    /// `observer` is notified of events, and decides whether a silent replica has
+    /// failed. `close` states whether the client's connection is closed afterwards.
     pub async fn relay_part(
         &mut self,
         client: &mut Connection,
@@ -137,7 +138,10 @@
         }
     }
 
-    /// Writes the whole events that have arrived.
+    /// Sends the complete events that have arrived to the client.
+    ///
+    /// Events that an earlier replica has sent are skipped; a gap in the ids ends this
+    /// part, so that the stream is resumed without a gap at another replica.
     async fn forward_events(
         &mut self,
         client: &Connection,
@@ -168,6 +172,7 @@
         has_gap.then_some(StreamEnd::Broken("event_gap"))
     }
 
+    /// Sends the rest of the stream and the last chunk.
     async fn finish(&mut self, client: &Connection, splitter: &mut EventSplitter) -> StreamEnd {
         let rest = splitter.take_remainder();
         self.write_chunk(client, &rest, true)
@@ -175,6 +180,7 @@
             .unwrap_or(StreamEnd::Complete)
     }
 
+    /// Sends `data` as one chunk, with the head before the first chunk.
     async fn write_chunk(
         &mut self,
         client: &Connection,
@@ -202,7 +208,8 @@
     }
 }
 
-/// Head of an answer as it goes to the client, without framing lines.
+/// Head of a response to the client, without the headers of the body's framing and
+/// the empty line.
 pub fn response_head(head: &ResponseHead, close: bool) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
     for (name, value) in head.headers.iter() {
@@ -216,6 +223,7 @@
     bytes
 }
 
+/// Complete head of a response in chunked encoding.
 fn chunked_head(head: &ResponseHead, close: bool) -> Vec<u8> {
     let mut bytes = response_head(head, close);
     bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
