--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -21,47 +21,48 @@
 use crate::weights::ReadFault;
 use crate::weights::agreed_manifest;
 
-/// Path of a piece, before `MODEL/VERSION/INDEX`.
+/// Path on which hosts read a piece, before `MODEL/VERSION/INDEX`.
 pub const PIECE_PATH: &str = "/piece/";
 
-/// Path of a piece that is read from the origin unless it is at hand.
+/// Path on which other entries read a piece from its primary holder, which reads it
+/// from the origin if it is not cached.
 pub const PRIMARY_PIECE_PATH: &str = "/home-piece/";
 
-/// Path of a piece that is given only if it is at hand.
+/// Path on which other entries read a piece only if it is cached.
 const HELD_PIECE_PATH: &str = "/held-piece/";
 
-/// Path of a manifest, before `MODEL/VERSION`.
+/// Path on which a manifest is read, before `MODEL/VERSION`.
 pub const MANIFEST_PATH: &str = "/manifest/";
 
-/// Time for a piece from another entry, which may wait for the origin.
+/// Timeout of reading a piece from its primary holder, which may wait for the origin.
 const PRIMARY_PIECE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time for a piece that another entry has at hand.
+/// Timeout of reading a piece that another entry has cached.
 const HELD_PIECE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Entries that are asked whether they have a piece at hand, when its home and
-/// the origin fail: the homes that it had before others came or left.
+/// Most entries that are asked for a cached piece after its primary holder or the
+/// origin failed: those that held it before entries joined or left.
 const MAX_FORMER_HOLDER_REQUESTS: usize = 3;
 
-/// Reads of one piece from the origin before it is given up.
+/// Attempts at reading one piece from the origin.
 const MAX_ORIGIN_READS: u32 = 3;
 
-/// Part of an entry's link that pieces may take: requests go before them.
+/// Share of an entry's link that pieces may use; the rest is reserved for requests.
 const LINK_SHARE: f64 = 0.6;
 
-/// Bytes of pieces that may go out at once.
+/// Bytes of pieces that may be sent in one burst.
 const LINK_BURST_BYTES: u64 = 128 * 1024;
 
-/// Time without a reader after which a version is dropped.
+/// Time after the last read at which a version is evicted.
 const UNUSED_VERSION_TTL: Duration = Duration::from_secs(15);
 
-/// Interval at which unused versions are looked for.
+/// Interval at which unused versions are evicted.
 const EVICT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A piece that is read once, however many ask for it.
+/// A piece that is read only once, also for concurrent requests.
 type PieceCell = Rc<OnceCell<Rc<Vec<u8>>>>;
 
-/// One version of weights in memory.
+/// The cached pieces of one version of weights.
 #[derive(Debug)]
 pub(super) struct CachedVersion {
     pub(super) model: String,
@@ -71,12 +72,12 @@
     last_used: RefCell<Instant>,
 }
 
-/// Pieces of weights that pass through an entry.
+/// Cache of the pieces of weights that hosts read through an entry.
 ///
-/// Entries have the fastest links. Each piece has one home among them, which
-/// reads it from the origin; the other entries read it from there once, and the
-/// hosts of their region from them. So one copy leaves the origin, and each
-/// link between regions carries one.
+/// Entries have the fastest links. One entry is the primary holder of a piece and
+/// reads it from the origin. The other entries read it from the primary holder once,
+/// and the hosts of their region read it from them. So the origin sends one copy, and
+/// each link between regions carries one.
 #[derive(Debug)]
 pub struct PieceCache<O> {
     pub(super) state: Rc<RefCell<GatewayState>>,
@@ -102,7 +103,7 @@
         })
     }
 
-    /// Answers a call for a piece or a manifest; None when it is neither.
+    /// Reply to a call for a piece or a manifest; None if `path` is neither.
     pub async fn reply_to(&self, path: &str) -> Option<InternalReply> {
         if let Some(path_rest) = path.strip_prefix(MANIFEST_PATH) {
             let (model, version) = path_rest.split_once('/')?;
@@ -143,21 +144,21 @@
         })
     }
 
-    /// Waits until the link has room for a piece.
+    /// Waits until the token bucket of the link admits `len` bytes.
     async fn wait_for_link(&self, len: usize) {
         let now_us = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
         let wait_us = self.link.borrow_mut().reserve(now_us, len as u64);
         tokio::time::sleep(Duration::from_micros(wait_us)).await;
     }
 
-    /// A version that is in memory, in whole or in part.
+    /// The version, if any of it is cached.
     pub(super) fn find_version(&self, model: &str, version: u64) -> Option<Rc<CachedVersion>> {
         let versions = self.versions.borrow();
         let is_same = |known: &&Rc<CachedVersion>| known.model == model && known.version == version;
         versions.iter().find(is_same).cloned()
     }
 
-    /// The version in memory, which counts as used; an empty one if it is new.
+    /// The version, with its time of last use updated; it is added if it is not cached.
     pub(super) fn find_or_add_version(&self, model: &str, version: u64) -> Rc<CachedVersion> {
         if let Some(known) = self.find_version(model, version) {
             *known.last_used.borrow_mut() = Instant::now();
@@ -174,6 +175,7 @@
         cached
     }
 
+    /// Address of the origin, from the first service that has one.
     fn origin_address(&self) -> Result<SocketAddr, ReadFault> {
         let state = self.state.borrow();
         let services = state.catalog.iter().flat_map(|catalog| catalog.services());
@@ -184,6 +186,7 @@
             .ok_or_else(|| ReadFault::Unreachable("no origin is configured".to_owned()))
     }
 
+    /// Manifest of the version, read from the origin on first use.
     pub(super) async fn manifest(
         &self,
         cached: &CachedVersion,
@@ -197,7 +200,8 @@
         cached.manifest.get_or_try_init(read).await.cloned()
     }
 
-    /// A piece from memory, from its home, or from the origin.
+    /// A piece from the cache, or read from another entry or the origin; with
+    /// `as_primary`, this entry reads it from the origin whatever its rank.
     pub(super) async fn piece(
         &self,
         cached: &CachedVersion,
@@ -221,7 +225,7 @@
         cell.get_or_try_init(read).await.cloned()
     }
 
-    /// Reads a piece that is not at hand.
+    /// Reads a piece that is not cached.
     async fn read_piece(
         &self,
         cached: &CachedVersion,
@@ -253,14 +257,14 @@
         }
     }
 
-    /// A piece that is at hand.
+    /// A piece, only if it is cached.
     fn cached_piece(&self, model: &str, version: u64, index: u32) -> Option<Rc<Vec<u8>>> {
         let known = self.find_version(model, version)?;
         let pieces = known.pieces.borrow();
         pieces.get(index as usize)?.get().cloned()
     }
 
-    /// A piece that one of its earlier homes has at hand.
+    /// Reads a piece from the first of its possible former holders that has it cached.
     async fn read_from_former_holders(
         &self,
         cached: &CachedVersion,
@@ -277,8 +281,8 @@
         None
     }
 
-    /// Entries in the order in which they are home to a piece: the first of them
-    /// reads it from the origin. None stands for this entry.
+    /// Entries by their rank as holders of a piece: the first is the primary holder,
+    /// which reads it from the origin. None stands for this entry.
     pub(super) fn ranked_holders(&self, index: u32) -> Vec<Option<SocketAddr>> {
         let state = self.state.borrow();
         let own = (state.settings.name.as_str(), None);
@@ -289,7 +293,8 @@
         rotation_order(std::iter::once(own).chain(others), u64::from(index))
     }
 
-    /// Reads a piece from another entry, by one of the paths of pieces.
+    /// Reads a piece from another entry, on one of the paths of pieces; None if that
+    /// fails or its digest does not match.
     async fn read_from_entry(
         &self,
         path: &str,
@@ -310,16 +315,17 @@
                 Some(reply.body)
             }
             Ok(reply) => {
-                log::debug!("{entry} gave no piece: {}", reply.status);
+                log::debug!("{entry} sent no valid piece: status {}", reply.status);
                 None
             }
             Err(error) => {
-                log::debug!("{entry} gave no piece: {error}");
+                log::debug!("cannot read a piece from {entry}: {error}");
                 None
             }
         }
     }
 
+    /// Reads a piece from the origin, again if it fails or its digest does not match.
     async fn read_from_origin(
         &self,
         cached: &CachedVersion,
@@ -357,7 +363,7 @@
         Err(fault)
     }
 
-    /// Drops versions that nobody reads any more.
+    /// Evicts versions that are no longer read.
     pub async fn evict_unused(self: Rc<Self>) {
         loop {
             tokio::time::sleep(EVICT_INTERVAL).await;
@@ -368,7 +374,8 @@
     }
 }
 
+/// Reply to a call for weights that could not be read.
 fn unavailable_reply(error: &ReadFault) -> InternalReply {
-    log::debug!("weights are not at hand: {error}");
+    log::debug!("cannot provide weights: {error}");
     InternalReply::status(503)
 }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -33,23 +33,27 @@
 use crate::observe::flush_log_every;
 use crate::weights::OriginPort;
 
-/// Interval at which log lines are handed to their writer.
+/// Interval at which buffered log lines are written.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after a stop signal in which requests are still taken: clients learn of
-/// it and connect elsewhere.
+/// Time after a stop signal during which requests are still accepted, while clients
+/// learn of it from the directory and connect to other entries.
 pub const STOP_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time before the kill at which the process ends by itself.
+/// Time before the kill at which the process exits, also if requests are still active.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Pause between looks at what is still under way while stopping.
+/// Interval at which a stopping process checks whether requests are still active.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an entry process until a stop signal.
 ///
-/// `source` opens one connection to the platform's store for each use; `changed`
-/// gives the settings when they are others than before.
+/// Each call of `source` returns a new connection to the platform's store; `changed`
+/// returns the settings if they changed since its last call.
+///
+/// # Errors
+///
+/// When an address can't be bound or a signal handler can't be installed.
 pub async fn run<S: RecordSource + 'static>(
     settings: GatewaySettings,
     dialect: Rc<impl Dialect + 'static>,
@@ -95,6 +99,7 @@
     Ok(())
 }
 
+/// Binds the addresses of the settings, and spawns their handlers.
 async fn start_listeners(
     settings: &GatewaySettings,
     state: &Rc<RefCell<GatewayState>>,
@@ -135,7 +140,7 @@
     Ok(())
 }
 
-/// Registers this entry so that the others find it.
+/// Registers this entry in the store, so that the others can discover it.
 async fn register_entry(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
     let member = {
         let settings = &state.borrow().settings;
@@ -148,13 +153,13 @@
     loop {
         match source.publish(Topic::Members, &member.name, &value).await {
             Ok(()) => return,
-            Err(error) => log::debug!("the entry is not registered yet: {error}"),
+            Err(error) => log::debug!("cannot register this entry: {error}"),
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
 }
 
-/// Takes no new clients, finishes what is under way, and ends before the kill.
+/// Drains the active requests, and returns when there are none or before the kill.
 async fn drain_and_stop(state: &RefCell<GatewayState>, grace: Duration) {
     let began = Instant::now();
     LogLine::new(Event::ProcessStopping)
--- a/src/gateway/read_ahead.rs
+++ b/src/gateway/read_ahead.rs
@@ -10,12 +10,12 @@
 use crate::weights::OriginPort;
 use crate::weights::ReadFault;
 
-/// Pause before reading ahead goes on after a failure.
+/// Pause after a failure before reading ahead is retried.
 const READ_AHEAD_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 impl<O: OriginPort> PieceCache<O> {
-    /// Reads the pieces of newly declared versions whose home is here, before
-    /// anybody asks for them.
+    /// Reads the pieces of newly declared versions of which this entry is the primary
+    /// holder, before hosts request them.
     pub async fn read_ahead(self: Rc<Self>) {
         let notice = self.state.borrow().weights_notice.clone();
         loop {
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Whether every piece of the version that was allocated is cached.
     fn is_cached(&self, model: &str, version: u64) -> bool {
         self.find_version(model, version).is_some_and(|known| {
             let pieces = known.pieces.borrow();
@@ -45,8 +46,11 @@
         })
     }
 
-    /// Reads the pieces whose home is here, each when its turn on the origin's
-    /// link comes, so that they arrive in the order in which hosts ask.
+    /// Reads the pieces of which this entry is the primary holder.
+    ///
+    /// Each read starts at the time at which the origin's link, shared by all entries,
+    /// is expected to reach that index, so that pieces arrive in the order in which
+    /// hosts request them.
     async fn read_primary_pieces(&self, cached: &CachedVersion) -> Result<(), ReadFault> {
         let manifest = self.manifest(cached).await?;
         let began = Instant::now();
@@ -60,7 +64,8 @@
         Ok(())
     }
 
-    /// Time that one piece takes on the origin's link.
+    /// Time for which one piece occupies the origin's link; zero if its bandwidth is
+    /// not configured.
     fn origin_piece_time(&self) -> Duration {
         let state = self.state.borrow();
         let services = || state.catalog.iter().flat_map(|catalog| catalog.services());
