--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -37,7 +37,7 @@
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time after a stop signal during which requests are still accepted, while clients
-/// learn of it from the directory and connect to other entries.
+/// learn of it and connect to other entries.
 pub const STOP_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
 /// Time before the kill at which the process exits, also if requests are still active.
--- a/src/gateway/read_ahead.rs
+++ b/src/gateway/read_ahead.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether every piece of the version that was allocated is cached.
+    /// Whether all pieces of the version are cached.
     fn is_cached(&self, model: &str, version: u64) -> bool {
         self.find_version(model, version).is_some_and(|known| {
             let pieces = known.pieces.borrow();
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,5 @@
-//! Streams are cut into whole events; records change what an entry believes.
+//! The parts of the gateway that need no network: splitting a stream into events,
+//! applying records of the store, and encoding replies with records.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -36,37 +37,37 @@
 }
 
 #[test]
-fn next_event_whole_events_with_ids() {
-    let (events, rest) = split(&["id: 1\ndata: a\n\nid:2\ndata: b\n\n"]);
+fn next_event_complete_events_with_ids() {
+    let (events, remainder) = split(&["id: 1\ndata: a\n\nid:2\ndata: b\n\n"]);
     let ids: Vec<Option<u64>> = events.iter().map(|event| event.id).collect();
     assert_eq!(ids, [Some(1), Some(2)]);
     assert_eq!(events[0].bytes, b"id: 1\ndata: a\n\n");
-    assert!(rest.is_empty());
+    assert!(remainder.is_empty());
 }
 
 #[test]
-fn next_event_any_split_gives_the_same() {
+fn next_event_split_at_any_byte() {
     let text = "bergamot: 2\nid: 7\r\ndata: x\r\n\r\nid: 8\ndata: y\n\nid: 9\ndata";
-    let whole = split(&[text]);
+    let unsplit = split(&[text]);
     for at in 1..text.len() {
         let (front, back) = text.split_at(at);
-        assert_eq!(split(&[front, back]), whole, "split at {at}");
+        assert_eq!(split(&[front, back]), unsplit, "split at {at}");
     }
     let bytes: Vec<&str> = (0..text.len()).map(|at| &text[at..=at]).collect();
-    assert_eq!(split(&bytes), whole);
+    assert_eq!(split(&bytes), unsplit);
 }
 
 #[test]
-fn take_rest_holds_the_broken_event() {
-    let (events, rest) = split(&["id: 1\ndata: a\n\nid: 2\nda"]);
+fn take_remainder_incomplete_event() {
+    let (events, remainder) = split(&["id: 1\ndata: a\n\nid: 2\nda"]);
     assert_eq!(events.len(), 1);
-    assert_eq!(rest, b"id: 2\nda");
+    assert_eq!(remainder, b"id: 2\nda");
 }
 
-/// Reads records whose value is the address of a replica.
-struct Addresses;
+/// Decodes records whose value is the address of a replica.
+struct AddressDecoder;
 
-impl RecordDecoder for Addresses {
+impl RecordDecoder for AddressDecoder {
     fn operator_record(&self, _key: &str, _value: &[u8]) -> Result<OperatorRecord, InvalidRecord> {
         Ok(OperatorRecord::Other)
     }
@@ -135,25 +136,25 @@
     }
 }
 
-/// An entry that has listed one replica.
-fn with_one_replica() -> Rc<RefCell<GatewayState>> {
+/// State of an entry that knows one replica from a listing.
+fn state_with_one_replica() -> Rc<RefCell<GatewayState>> {
     let state = GatewayState::new(settings());
     let records = vec![record(0, Some("127.0.0.1:9"))];
     state
         .borrow_mut()
-        .handle_listing(Topic::Replicas, records, 1, &Addresses);
+        .handle_listing(Topic::Replicas, records, 1, &AddressDecoder);
     state
 }
 
-fn listed(state: &GatewayState) -> usize {
+fn replica_count(state: &GatewayState) -> usize {
     state.replicas.listed().count()
 }
 
-/// An entry that the store turns away learns from the entry that reads for it:
-/// a replica that has left is gone at once.
+/// Guards against keeping a replica that has left: the store refuses this entry's
+/// reads, but another entry reads on its behalf, so the removal applies at once.
 #[actix_rt::test]
-async fn take_records_replica_gone_while_another_entry_reads() {
-    let state = with_one_replica();
+async fn handle_records_removal_while_another_entry_reads() {
+    let state = state_with_one_replica();
     let mut state = state.borrow_mut();
     for index in 0..8 {
         let now_ms = state.now_ms();
@@ -167,29 +168,30 @@
         Topic::Replicas,
         vec![record(1, Some("127.0.0.1:9"))],
         2,
-        &Addresses,
+        &AddressDecoder,
     );
     assert!(state.has_reader());
-    assert_eq!(listed(&state), 1);
-    state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &Addresses);
-    assert_eq!(listed(&state), 0);
+    assert_eq!(replica_count(&state), 1);
+    state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &AddressDecoder);
+    assert_eq!(replica_count(&state), 0);
 }
 
-/// While the store is away for all, a record that lapsed is waited for.
+/// Guards against removing replicas during an outage: no entry can read the store, so
+/// a record that expired does not remove its replica.
 #[actix_rt::test]
-async fn take_records_lapsed_record_while_the_store_is_away() {
-    let state = with_one_replica();
+async fn handle_records_expired_record_while_store_is_unavailable() {
+    let state = state_with_one_replica();
     let mut state = state.borrow_mut();
     let lost = SourceError::Refused(503);
     state.record_store_result(Topic::Replicas, Some(&lost));
-    state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &Addresses);
-    assert_eq!(listed(&state), 1);
+    state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &AddressDecoder);
+    assert_eq!(replica_count(&state), 1);
 }
 
-/// When news stops, because a link is full, entries do not all turn to the store
-/// at once: that would keep the link full.
+/// Guards against all entries reading the store at once when heartbeats stop because
+/// a link is saturated: their reads would keep it saturated.
 #[test]
-fn has_reader_entries_take_over_one_by_one() {
+fn has_reader_staggered_takeover() {
     let names: Vec<String> = (0..12).map(|index| format!("entry-{index}")).collect();
     let readers = |age_ms: u64| {
         let reads = |own: &&String| {
@@ -208,7 +210,7 @@
 }
 
 #[test]
-fn records_reply_unpacks_what_was_packed() {
+fn records_reply_round_trip() {
     let mut ledger = Ledger::default();
     ledger.apply(record(7, None));
     ledger.advance(9);
@@ -218,10 +220,11 @@
     assert_eq!(reply.into_records(), [record(7, None)]);
 }
 
-/// An entry that has just started listed the replicas after one was dropped. It
-/// never heard of that one, and still tells others that it is gone.
+/// Guards against a stale replica: an entry that started after the replica's record
+/// was dropped has no trace of it, so its reply must be a listing, which makes the
+/// receiver drop the record.
 #[test]
-fn records_reply_tells_of_drops_before_a_listing() {
+fn records_reply_drop_before_listing() {
     let mut fresh = Ledger::default();
     fresh.apply_listing(Vec::new(), 6);
     let mut reader = Ledger::default();
@@ -233,12 +236,12 @@
     let changed = reader.apply_listing(reply.into_records(), end_offset);
     assert_eq!(changed, ["i-1"]);
     assert!(reader.get("i-1").unwrap().value.is_none());
-    // From then on, changes are enough.
+    // From the end of the listing on, the reply holds only changes.
     assert!(!RecordsReply::since(&fresh, 6).is_listing);
 }
 
 #[test]
-fn records_reply_bad_bytes_are_refused() {
+fn records_reply_invalid_bytes() {
     let mut ledger = Ledger::default();
     ledger.apply(record(3, Some("x")));
     let packed = RecordsReply::since(&ledger, 0).pack();
