--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -118,12 +118,12 @@
             }
         };
         gateway.state.borrow_mut().active_requests += 1;
-        let next = match admit_request(gateway, head, body, received_at) {
+        let reuse = match admit_request(gateway, head, body, received_at) {
             Ok(request) => gateway.forward(&mut client, *request).await,
             Err((head, refusal)) => refuse(&client, gateway, &head, &refusal).await,
         };
         gateway.state.borrow_mut().active_requests -= 1;
-        if next == ConnectionReuse::Close {
+        if reuse == ConnectionReuse::Close {
             return;
         }
     }
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -17,6 +17,7 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: Vec<u8>,
+    // Bytes of the buffer that hold no end of an event.
     scanned: usize,
 }
 
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -128,10 +128,10 @@
                     let close = self.closes_connection(&request);
                     let end = relay.relay_part(client, stream, close, &in_flight).await;
                     drop(in_flight);
-                    if let Some(next) =
+                    if let Some(reuse) =
                         self.finish_stream(&request, &chosen, &relay, end, &mut history)
                     {
-                        return next;
+                        return reuse;
                     }
                 }
                 Some(_) => unreachable!("record_outcome returns only responses and streams"),
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -64,8 +64,9 @@
     }
 }
 
-/// Sends heartbeats to the other entries and, less often, to the endpoint processes;
-/// an update is sent to all at once.
+/// Sends heartbeats to the other entries and, less often, to the endpoint processes.
+///
+/// After an update notice, the next heartbeat goes to all of them without delay.
 pub async fn send_heartbeats(state: Rc<RefCell<GatewayState>>, socket: Rc<UdpSocket>) {
     let mut heartbeat_count = 0u64;
     let mut has_update = false;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -107,11 +107,11 @@
         // The requests of the other entries are assumed to go to the replicas with free
         // slots, or to all usable ones if none has any.
         let free_replicas = usable.iter().filter(|(_, r)| r.has_free_slots(0.0, now_ms));
-        let candidates = match free_replicas.count() {
+        let candidate_count = match free_replicas.count() {
             0 => usable.len().max(1),
             free_replicas => free_replicas,
         };
-        let others_per_ms = state.others_rate_per_ms(&request.service) / candidates as f64;
+        let others_per_ms = state.others_rate_per_ms(&request.service) / candidate_count as f64;
         if let (Some(model), Some(expected)) = (model, expected) {
             usable.retain(|(_, replica)| {
                 replica.weights_version(model, now_ms) >= expected
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -48,7 +48,7 @@
 
 /// Runs an entry process until a stop signal.
 ///
-/// Each call of `source` returns a new connection to the platform's store; `changed`
+/// Each call of `new_source` returns a new connection to the platform's store; `changed`
 /// returns the settings if they changed since its last call.
 ///
 /// # Errors
@@ -59,7 +59,7 @@
     dialect: Rc<impl Dialect + 'static>,
     decoder: Rc<impl RecordDecoder + 'static>,
     origin: impl OriginPort,
-    source: impl Fn() -> S,
+    new_source: impl Fn() -> S,
     mut changed: impl FnMut() -> Option<GatewaySettings>,
 ) -> io::Result<()> {
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
@@ -75,11 +75,11 @@
         actix_rt::spawn(follow_topic(
             state.clone(),
             topic,
-            source(),
+            new_source(),
             decoder.clone(),
         ));
     }
-    actix_rt::spawn(register_entry(state.clone(), source()));
+    actix_rt::spawn(register_entry(state.clone(), new_source()));
     actix_rt::spawn(send_heartbeats(state.clone(), socket.clone()));
     actix_rt::spawn(receive_datagrams(state.clone(), socket, decoder));
     actix_rt::spawn(flush_log_every(LOG_FLUSH_INTERVAL));
--- a/src/gateway/records_reply.rs
+++ b/src/gateway/records_reply.rs
@@ -27,7 +27,7 @@
 pub enum RecordsReplyError {
     /// The decompressed size, in bytes, exceeds the limit; or the reply, of that many
     /// bytes, is too short to state its size.
-    Length(usize),
+    InvalidLength(usize),
     /// Decompression failed.
     Compression(lz4_flex::block::DecompressError),
     /// The decompressed bytes are no records.
@@ -37,7 +37,7 @@
 impl std::fmt::Display for RecordsReplyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Length(len) => write!(f, "invalid length of records: {len} bytes"),
+            Self::InvalidLength(len) => write!(f, "invalid length of records: {len} bytes"),
             Self::Compression(error) => write!(f, "cannot decompress records: {error}"),
             Self::Encoding(error) => write!(f, "cannot decode records: {error}"),
         }
@@ -77,9 +77,9 @@
     /// records.
     pub fn unpack(bytes: &[u8]) -> Result<Self, RecordsReplyError> {
         let (len, packed) = lz4_flex::block::uncompressed_size(bytes)
-            .map_err(|_| RecordsReplyError::Length(bytes.len()))?;
+            .map_err(|_| RecordsReplyError::InvalidLength(bytes.len()))?;
         if len > MAX_UNPACKED_BYTES {
-            return Err(RecordsReplyError::Length(len));
+            return Err(RecordsReplyError::InvalidLength(len));
         }
         let plain =
             lz4_flex::block::decompress(packed, len).map_err(RecordsReplyError::Compression)?;
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -88,7 +88,7 @@
     }
 
     /// Whether an expired record may be due to an outage of the store, so that its
-    /// replica stays in use.
+    /// replica stays in use. Also records the time while the store is unavailable.
     ///
     /// The store counts as unavailable when it answers neither this process nor
     /// another entry that reads on its behalf.
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -247,7 +247,7 @@
     let packed = RecordsReply::since(&ledger, 0).pack();
     assert!(matches!(
         RecordsReply::unpack(&packed[..2]),
-        Err(RecordsReplyError::Length(2))
+        Err(RecordsReplyError::InvalidLength(2))
     ));
     assert!(matches!(
         RecordsReply::unpack(&packed[..packed.len() - 1]),
@@ -255,7 +255,7 @@
     ));
     assert!(matches!(
         RecordsReply::unpack(&[0xff, 0xff, 0xff, 0x7f, 0]),
-        Err(RecordsReplyError::Length(0x7fff_ffff))
+        Err(RecordsReplyError::InvalidLength(0x7fff_ffff))
     ));
     let other = lz4_flex::block::compress_prepend_size(b"not records");
     assert!(matches!(
