--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -42,13 +42,13 @@
 
 /// Response to a request that is refused before a replica is chosen.
 #[derive(Debug)]
-struct Refusal {
+struct LocalRefusal {
     status: u16,
     cause: &'static str,
     retry_after_ms: Option<u64>,
 }
 
-impl Refusal {
+impl LocalRefusal {
     fn new(status: u16, cause: &'static str) -> Self {
         Self {
             status,
@@ -194,13 +194,13 @@
     head: RequestHead,
     body: Vec<u8>,
     received_at: Instant,
-) -> Result<Box<AdmittedRequest>, (RequestHead, Refusal)> {
+) -> Result<Box<AdmittedRequest>, (RequestHead, LocalRefusal)> {
     let mut state = gateway.state.borrow_mut();
     if state
         .stopping_since
         .is_some_and(|since| since.elapsed() >= STOP_ACCEPT_TIME)
     {
-        let refusal = Refusal {
+        let refusal = LocalRefusal {
             status: 503,
             cause: "stopping",
             retry_after_ms: Some(RETRY_AFTER_STOP_MS),
@@ -208,7 +208,7 @@
         return Err((head, refusal));
     }
     let Some(catalog) = state.catalog.clone() else {
-        let refusal = Refusal {
+        let refusal = LocalRefusal {
             status: 503,
             cause: "no_configuration",
             retry_after_ms: Some(RETRY_AFTER_START_MS),
@@ -220,13 +220,13 @@
         (Some(host), None) => String::from_utf8_lossy(host).trim().to_ascii_lowercase(),
         _ => {
             drop(hosts);
-            return Err((head, Refusal::new(400, "host_line")));
+            return Err((head, LocalRefusal::new(400, "host_line")));
         }
     };
     drop(hosts);
     let host = host.split(':').next().unwrap_or_default().to_owned();
     let Some(route) = catalog.route(&host, head.path()).cloned() else {
-        return Err((head, Refusal::new(404, "no_route")));
+        return Err((head, LocalRefusal::new(404, "no_route")));
     };
     let facts = gateway.dialect.request_facts(&head);
     let (workspace, priority) = match identify_caller(&catalog, &route, &facts.credential) {
@@ -269,19 +269,19 @@
     catalog: &Rc<Catalog>,
     route: &Route,
     credential: &Credential,
-) -> Result<(Option<String>, u32), Refusal> {
+) -> Result<(Option<String>, u32), LocalRefusal> {
     if !catalog.has_workspaces() || route.is_anonymous {
         return Ok((None, route.priority));
     }
     let Credential::Key(key) = credential else {
-        return Err(Refusal::new(401, "no_key"));
+        return Err(LocalRefusal::new(401, "no_key"));
     };
     match catalog.workspace(key) {
         Some(workspace) => Ok((
             Some(workspace.name.clone()),
             workspace.priority.unwrap_or(route.priority),
         )),
-        None => Err(Refusal::new(401, "unknown_key")),
+        None => Err(LocalRefusal::new(401, "unknown_key")),
     }
 }
 
@@ -312,7 +312,7 @@
     client: &Connection,
     gateway: &Gateway<D>,
     head: &RequestHead,
-    refusal: &Refusal,
+    refusal: &LocalRefusal,
 ) -> ConnectionReuse {
     let close = head.wants_close() || gateway.state.borrow().stopping_since.is_some();
     let facts = gateway.dialect.request_facts(head);
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -48,7 +48,7 @@
         state.replicas.began(self.key, self.ticket, now_ms);
     }
 
-    fn is_replica_lost(&self, silence: Duration) -> bool {
+    fn has_replica_failed(&self, silence: Duration) -> bool {
         if silence >= MAX_STREAM_SILENCE {
             return true;
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -31,7 +31,7 @@
     /// Called when events were sent to the client; only the first call has an effect.
     fn first_event(&self);
     /// Whether a replica that has been silent for that long counts as failed.
-    fn is_replica_lost(&self, silence: Duration) -> bool;
+    fn has_replica_failed(&self, silence: Duration) -> bool;
 }
 
 /// Relay of a stream of events to one client, from one replica after another.
@@ -130,7 +130,7 @@
                     if Instant::now() >= self.deadline {
                         return StreamEnd::TimedOut;
                     }
-                    if observer.is_replica_lost(last_received.elapsed()) {
+                    if observer.has_replica_failed(last_received.elapsed()) {
                         return StreamEnd::Broken("silent");
                     }
                 }
