--- /dev/null
+++ b/src/gateway/admitted_request.rs
@@ -0,0 +1,62 @@
+use std::rc::Rc;
+
+use tokio::time::Instant;
+
+use crate::fleet::Catalog;
+use crate::fleet::ReplicaKey;
+use crate::fleet::Route;
+use crate::gateway::RequestFacts;
+use crate::http1::RequestHead;
+use crate::weights::Digest;
+
+/// A completely received request that may be sent to a replica.
+#[derive(Debug)]
+pub struct AdmittedRequest {
+    /// Head as the client sent it.
+    pub head: RequestHead,
+    /// Complete body.
+    pub body: Vec<u8>,
+    /// Values decoded from its headers.
+    pub facts: RequestFacts,
+    /// Configuration under which it was admitted.
+    pub catalog: Rc<Catalog>,
+    /// Route that it matched.
+    pub route: Route,
+    /// Service chosen by the route's traffic split.
+    pub service: String,
+    /// Workspace of the client.
+    pub workspace: Option<String>,
+    /// Rank in an engine's queue, from 0 to 9; 0 is served first.
+    pub urgency: u8,
+    /// Time at which its head was complete.
+    pub received_at: Instant,
+    /// Time at which the final response is due.
+    pub deadline: Instant,
+    /// Least time that the client had already waited, estimated from its deadline, in
+    /// ms.
+    pub waited_before_ms: u64,
+    /// Digest of target and body, equal for every retry of the request.
+    pub fingerprint: Digest,
+    /// Replicas that were chosen for it so far.
+    pub tried_replicas: Vec<ReplicaKey>,
+    /// Number of sends that reached a replica.
+    pub sends: u32,
+}
+
+impl AdmittedRequest {
+    /// Time until the final response is due, in ms.
+    pub fn left_ms(&self) -> u64 {
+        let left = self.deadline.saturating_duration_since(Instant::now());
+        u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
+    }
+
+    /// Time since it was received, in ms.
+    pub fn waited_ms(&self) -> u64 {
+        u64::try_from(self.received_at.elapsed().as_millis()).unwrap_or(u64::MAX)
+    }
+
+    /// Whether the route allows one more attempt.
+    pub fn has_attempts_left(&self) -> bool {
+        self.sends < self.route.max_attempts
+    }
+}
--- a/src/gateway/front.rs
+++ b/src/gateway/client_listener.rs
@@ -9,11 +9,11 @@
 use crate::fleet::Route;
 use crate::gateway::Credential;
 use crate::gateway::Dialect;
+use crate::gateway::admitted_request::AdmittedRequest;
+use crate::gateway::forward::ConnectionReuse;
 use crate::gateway::forward::Gateway;
-use crate::gateway::forward::Next;
-use crate::gateway::own_answer::own_answer;
-use crate::gateway::process::LEAVE_TIME;
-use crate::gateway::request::Request;
+use crate::gateway::local_response::local_response;
+use crate::gateway::process::STOP_ACCEPT_TIME;
 use crate::http1::BodyDecoder;
 use crate::http1::Connection;
 use crate::http1::Framing;
@@ -23,32 +23,32 @@
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// Time that a client without a deadline waits at most, in ms.
+/// Deadline of a request that states none, in ms.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// Time for an answer of the system's own to go out.
-const OWN_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of writing a response that the gateway itself generates.
+const LOCAL_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause that a client is told while this entry knows no configuration, in ms.
+/// Retry-After of a refusal while this entry has no configuration, in ms.
 const RETRY_AFTER_START_MS: u64 = 500;
 
-/// Pause that a client is told by an entry that is leaving, in ms: other entries
-/// take its request at once.
+/// Retry-After of a refusal by an entry that is stopping, in ms: other entries accept
+/// the request at once.
 const RETRY_AFTER_STOP_MS: u64 = 10;
 
-/// Time that an idle connection stays open after a stop signal, so that a
-/// request under way to us is still answered.
-const STOPPING_IDLE: Duration = Duration::from_millis(1_500);
+/// Idle timeout of a connection after a stop signal, so that a request that the
+/// client has already sent is still served.
+const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A request that is answered without a replica.
+/// Response to a request that is refused before a replica is chosen.
 #[derive(Debug)]
-struct Refusal {
+struct LocalRefusal {
     status: u16,
     cause: &'static str,
     retry_after_ms: Option<u64>,
 }
 
-impl Refusal {
+impl LocalRefusal {
     fn new(status: u16, cause: &'static str) -> Self {
         Self {
             status,
@@ -58,54 +58,59 @@
     }
 }
 
-/// Accepts clients until the process leaves.
+/// Accepts connections of clients until the process closes its listener.
 pub async fn serve_clients<D: Dialect + 'static>(listener: TcpListener, gateway: Gateway<D>) {
-    let open = Rc::new(());
-    let left = left(&gateway);
-    let mut left = std::pin::pin!(left);
+    let open_connections = Rc::new(());
+    let closed = wait_until_closed(&gateway);
+    let mut closed = std::pin::pin!(closed);
     loop {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = &mut left => return,
+            () = &mut closed => return,
         };
         match accepted {
-            // One holder of `open` is this loop itself.
-            Ok(_) if Rc::strong_count(&open) > gateway.state.borrow().settings.max_clients => {
+            // The loop itself holds one of the references.
+            Ok(_)
+                if Rc::strong_count(&open_connections)
+                    > gateway.state.borrow().settings.max_client_connections =>
+            {
                 gateway.metrics.refused("connection");
             }
             Ok((stream, _)) => {
-                let (gateway, open) = (gateway.clone(), open.clone());
+                let (gateway, open_connections) = (gateway.clone(), open_connections.clone());
                 actix_rt::spawn(async move {
                     serve_client(Connection::new(stream), &gateway).await;
-                    drop(open);
+                    drop(open_connections);
                 });
             }
             Err(error) => {
-                log::warn!("cannot accept a client: {error}");
+                log::warn!("cannot accept a client's connection: {error}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-/// Resolves when a stopping process takes no further requests.
-async fn left<D: Dialect>(gateway: &Gateway<D>) {
+/// Waits for the stop signal and for the time in which requests are still accepted.
+async fn wait_until_closed<D: Dialect>(gateway: &Gateway<D>) {
     let notice = gateway.state.borrow().stop_notice.clone();
     notice.notified().await;
-    tokio::time::sleep(LEAVE_TIME).await;
+    tokio::time::sleep(STOP_ACCEPT_TIME).await;
 }
 
+/// Serves the requests of one connection, one after the other.
+
 async fn serve_client<D: Dialect>(mut client: Connection, gateway: &Gateway<D>) {
     loop {
-        let head = match next_head(&mut client, gateway).await {
+        let head = match read_next_head(&mut client, gateway).await {
             Ok(head) => head,
             Err(error) => {
                 refuse_unreadable(&client, gateway, &error).await;
                 return;
             }
         };
-        let arrived = Instant::now();
+        let received_at = Instant::now();
         let body = match read_body(&mut client, gateway, &head).await {
             Ok(body) => body,
             Err(error) => {
@@ -113,20 +118,21 @@
                 return;
             }
         };
-        gateway.state.borrow_mut().requests += 1;
-        let next = match admit(gateway, head, body, arrived) {
+        gateway.state.borrow_mut().active_requests += 1;
+        let reuse = match admit_request(gateway, head, body, received_at) {
             Ok(request) => gateway.forward(&mut client, *request).await,
             Err((head, refusal)) => refuse(&client, gateway, &head, &refusal).await,
         };
-        gateway.state.borrow_mut().requests -= 1;
-        if next == Next::Close {
+        gateway.state.borrow_mut().active_requests -= 1;
+        if reuse == ConnectionReuse::Close {
             return;
         }
     }
 }
 
-/// Waits for the next request; on a stop signal, only a little longer.
-async fn next_head<D: Dialect>(
+/// Waits for the head of the next request; after a stop signal, with the shorter idle
+/// timeout.
+async fn read_next_head<D: Dialect>(
     client: &mut Connection,
     gateway: &Gateway<D>,
 ) -> Result<RequestHead, Http1Error> {
@@ -135,7 +141,7 @@
         (
             state.limits(),
             state.stop_notice.clone(),
-            state.stopping.is_some(),
+            state.stopping_since.is_some(),
         )
     };
     let head_time = Duration::from_millis(limits.head_timeout_ms);
@@ -148,9 +154,17 @@
             () = stopped => {}
         }
     }
-    read_request(client, limits.max_head_bytes, STOPPING_IDLE, head_time).await
+    read_request(
+        client,
+        limits.max_head_bytes,
+        STOPPING_IDLE_TIMEOUT,
+        head_time,
+    )
+    .await
 }
 
+/// Reads the body of a request within the configured limits.
+
 async fn read_body<D: Dialect>(
     client: &mut Connection,
     gateway: &Gateway<D>,
@@ -166,7 +180,7 @@
         client
             .write_until(
                 b"HTTP/1.1 100 Continue\r\n\r\n",
-                Instant::now() + OWN_ANSWER_TIMEOUT,
+                Instant::now() + LOCAL_RESPONSE_TIMEOUT,
             )
             .await?;
     }
@@ -176,19 +190,19 @@
         .await
 }
 
-/// Finds the route and the caller of a request.
-fn admit<D: Dialect>(
+/// Matches a request to a route and identifies its client; the error is the refusal.
+fn admit_request<D: Dialect>(
     gateway: &Gateway<D>,
     head: RequestHead,
     body: Vec<u8>,
-    arrived: Instant,
-) -> Result<Box<Request>, (RequestHead, Refusal)> {
+    received_at: Instant,
+) -> Result<Box<AdmittedRequest>, (RequestHead, LocalRefusal)> {
     let mut state = gateway.state.borrow_mut();
     if state
-        .stopping
-        .is_some_and(|since| since.elapsed() >= LEAVE_TIME)
+        .stopping_since
+        .is_some_and(|since| since.elapsed() >= STOP_ACCEPT_TIME)
     {
-        let refusal = Refusal {
+        let refusal = LocalRefusal {
             status: 503,
             cause: "stopping",
             retry_after_ms: Some(RETRY_AFTER_STOP_MS),
@@ -196,7 +210,7 @@
         return Err((head, refusal));
     }
     let Some(catalog) = state.catalog.clone() else {
-        let refusal = Refusal {
+        let refusal = LocalRefusal {
             status: 503,
             cause: "no_configuration",
             retry_after_ms: Some(RETRY_AFTER_START_MS),
@@ -208,24 +222,24 @@
         (Some(host), None) => String::from_utf8_lossy(host).trim().to_ascii_lowercase(),
         _ => {
             drop(hosts);
-            return Err((head, Refusal::new(400, "host_line")));
+            return Err((head, LocalRefusal::new(400, "host_line")));
         }
     };
     drop(hosts);
     let host = host.split(':').next().unwrap_or_default().to_owned();
     let Some(route) = catalog.route(&host, head.path()).cloned() else {
-        return Err((head, Refusal::new(404, "no_route")));
+        return Err((head, LocalRefusal::new(404, "no_route")));
     };
     let facts = gateway.dialect.request_facts(&head);
-    let (workspace, priority) = match caller(&catalog, &route, &facts.credential) {
+    let (workspace, priority) = match identify_caller(&catalog, &route, &facts.credential) {
         Ok(caller) => caller,
         Err(refusal) => return Err((head, refusal)),
     };
     let deadline_ms = facts.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     let waited_before_ms = state.waited_before_ms(&route.name, deadline_ms);
-    let until = arrived + Duration::from_millis(deadline_ms.min(route.timeout_ms));
-    let service = choose_service(&route, state.random());
-    state.count_demand(&service);
+    let deadline = received_at + Duration::from_millis(deadline_ms.min(route.timeout_ms));
+    let service = choose_service(&route, state.random_bits());
+    state.count_request(&service);
     let target = format!(
         "{}{}{}",
         host,
@@ -234,7 +248,7 @@
     );
     let fingerprint = fingerprint(&target, &body);
     let is_late = waited_before_ms > 0;
-    Ok(Box::new(Request {
+    Ok(Box::new(AdmittedRequest {
         fingerprint,
         head,
         body,
@@ -243,42 +257,44 @@
         route,
         service,
         workspace,
-        urgency: urgency(priority, is_late),
-        arrived,
-        until,
+        urgency: engine_urgency(priority, is_late),
+        received_at,
+        deadline,
         waited_before_ms,
-        tried: Vec::new(),
+        tried_replicas: Vec::new(),
         sends: 0,
     }))
 }
 
-/// Workspace and rank of the caller.
-fn caller(
+/// Workspace and priority of the client that sent a request.
+fn identify_caller(
     catalog: &Rc<Catalog>,
     route: &Route,
     credential: &Credential,
-) -> Result<(Option<String>, u32), Refusal> {
+) -> Result<(Option<String>, u32), LocalRefusal> {
     if !catalog.has_workspaces() || route.allows_anonymous {
         return Ok((None, route.priority));
     }
     let Credential::Key(key) = credential else {
-        return Err(Refusal::new(401, "no_key"));
+        return Err(LocalRefusal::new(401, "no_key"));
     };
     match catalog.workspace(key) {
         Some(workspace) => Ok((
             Some(workspace.name.clone()),
             workspace.priority.unwrap_or(route.priority),
         )),
-        None => Err(Refusal::new(401, "unknown_key")),
+        None => Err(LocalRefusal::new(401, "unknown_key")),
     }
 }
 
-/// Urgency at an engine: on-time work by rank, then what is late already.
-fn urgency(priority: u32, is_late: bool) -> u8 {
+/// Rank in an engine's queue: 1 to 4 by priority, 5 to 8 for a request that is late.
+fn engine_urgency(priority: u32, is_late: bool) -> u8 {
     let rank = u8::try_from(priority.min(3)).unwrap_or(3);
     if is_late { 5 + rank } else { 1 + rank }
 }
 
+/// Chooses a service of the route at random, by the weights of its traffic split.
+
 fn choose_service(route: &Route, random: u64) -> String {
     let total: u64 = route.services.iter().map(|s| u64::from(s.1)).sum();
     let mut at = random % total.max(1);
@@ -294,13 +310,15 @@
         .map_or_else(String::new, |service| service.0.clone())
 }
 
+/// Sends a refusal, and logs and counts it.
+
 async fn refuse<D: Dialect>(
     client: &Connection,
     gateway: &Gateway<D>,
     head: &RequestHead,
-    refusal: &Refusal,
-) -> Next {
-    let close = head.wants_close() || gateway.state.borrow().stopping.is_some();
+    refusal: &LocalRefusal,
+) -> ConnectionReuse {
+    let close = head.wants_close() || gateway.state.borrow().stopping_since.is_some();
     let facts = gateway.dialect.request_facts(head);
     let config = gateway
         .state
@@ -315,15 +333,15 @@
         .number("config", config)
         .write();
     gateway.metrics.refused(refusal.cause);
-    let bytes = own_answer(refusal.status, refusal.retry_after_ms, close);
-    let until = Instant::now() + OWN_ANSWER_TIMEOUT;
-    match client.write_until(&bytes, until).await {
-        Ok(()) if !close => Next::Keep,
-        _ => Next::Close,
+    let bytes = local_response(refusal.status, refusal.retry_after_ms, close);
+    let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
+    match client.write_until(&bytes, deadline).await {
+        Ok(()) if !close => ConnectionReuse::Keep,
+        _ => ConnectionReuse::Close,
     }
 }
 
-/// Answers bytes that are no request that can be served, and closes.
+/// Responds to bytes that are no valid request; the connection is then closed.
 async fn refuse_unreadable<D: Dialect>(
     client: &Connection,
     gateway: &Gateway<D>,
@@ -342,9 +360,9 @@
         .text("cause", error.label())
         .write();
     gateway.metrics.refused(error.label());
-    let bytes = own_answer(status, None, true);
-    let until = Instant::now() + OWN_ANSWER_TIMEOUT;
-    if let Err(error) = client.write_until(&bytes, until).await {
-        log::debug!("a client left before its answer: {error}");
+    let bytes = local_response(status, None, true);
+    let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
+    if let Err(error) = client.write_until(&bytes, deadline).await {
+        log::debug!("cannot send a refusal to a client: {error}");
     }
 }
--- a/src/gateway/pull.rs
+++ b/src/gateway/fetch.rs
@@ -5,18 +5,20 @@
 use crate::fleet::Topic;
 use crate::gateway::RecordDecoder;
 use crate::gateway::TopicSink;
-use crate::gateway::directory::RECORDS_PATH;
+use crate::gateway::handlers::RECORDS_PATH;
 use crate::gateway::records_reply::RecordsReply;
 use crate::http1::Ask;
 use crate::http1::Client;
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// Time for reading records from another process.
-const PULL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of fetching records from another process.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Reads the records that this process lacks from an entry.
-pub async fn pull_records(
+/// Fetches the records of `topic` that this process lacks from the entry at `peer`.
+///
+/// A failure is only logged: the next heartbeat of an entry starts another fetch.
+pub async fn fetch_records(
     state: &RefCell<impl TopicSink>,
     topic: Topic,
     peer: SocketAddr,
@@ -30,21 +32,21 @@
     let from = if is_known { from } else { 0 };
     let target = format!("{RECORDS_PATH}/{}/{from}", topic.label());
     let mut client = Client::new(peer, Duration::ZERO);
-    let reply = match client.ask(&Ask::get(&target, PULL_TIMEOUT)).await {
+    let reply = match client.ask(&Ask::get(&target, FETCH_TIMEOUT)).await {
         Ok(reply) if reply.status == 200 => reply,
         Ok(reply) => {
-            log::debug!("{peer} refused to give records: {}", reply.status);
+            log::debug!("{peer} refused to send records: status {}", reply.status);
             return;
         }
         Err(error) => {
-            log::debug!("{peer} gave no records: {error}");
+            log::debug!("cannot fetch records from {peer}: {error}");
             return;
         }
     };
     let reply = match RecordsReply::unpack(&reply.body) {
         Ok(reply) => reply,
         Err(error) => {
-            log::warn!("{peer} gave unreadable records: {error}");
+            log::warn!("cannot decode the records from {peer}: {error}");
             return;
         }
     };
@@ -59,8 +61,8 @@
         .write();
     let mut state = state.borrow_mut();
     if is_listing {
-        state.take_listing(topic, records, end_offset, decoder);
+        state.handle_listing(topic, records, end_offset, decoder);
     } else {
-        state.take_records(topic, records, end_offset, decoder);
+        state.handle_records(topic, records, end_offset, decoder);
     }
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -10,19 +10,19 @@
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
-use crate::gateway::Records;
 use crate::gateway::SourceError;
+use crate::gateway::TopicRead;
 
-/// Takes the records of the topics.
+/// State of a process that is kept up to date from the records of the topics.
 pub trait TopicSink {
     /// Newest records of a topic.
     fn ledger(&self, topic: Topic) -> &TopicTable;
-    /// The same, to change.
+    /// Newest records of a topic, for changes.
     fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable;
-    /// Learns from the newest record of a key that changed.
-    fn take_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder);
-    /// Takes the newest record of each key of a topic.
-    fn take_listing(
+    /// Updates the state after the newest record of `key` changed in the ledger.
+    fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder);
+    /// Applies a listing: the newest record of each key of a topic.
+    fn handle_listing(
         &mut self,
         topic: Topic,
         records: Vec<TopicRecord>,
@@ -30,12 +30,13 @@
         decoder: &impl RecordDecoder,
     ) {
         for key in self.ledger_mut(topic).apply_listing(records, end_offset) {
-            self.take_change(topic, &key, decoder);
+            self.handle_change(topic, &key, decoder);
         }
         self.ledger_mut(topic).mark_listed();
     }
-    /// Takes records that followed; `next_offset` is where to go on.
-    fn take_records(
+    /// Applies records that follow those already applied; `next_offset` is the offset
+    /// after the last.
+    fn handle_records(
         &mut self,
         topic: Topic,
         records: Vec<TopicRecord>,
@@ -44,30 +45,33 @@
     );
 }
 
-/// Longest wait of one read for new records: a silent connection is noticed soon
-/// after it.
-const READ_WAIT: Duration = Duration::from_secs(2);
+/// Longest time for which one read waits for new records. A connection that has
+/// become silent is noticed soon after it.
+const MAX_READ_WAIT: Duration = Duration::from_secs(2);
 
-/// Longest wait of one read for records of replicas: the other entries of the
-/// failure domain count on it that the store is heard from all the time.
-const REPLICAS_WAIT: Duration = Duration::from_millis(200);
+/// Longest time for which one read waits for records of replicas. It is short
+/// because the other entries of the failure domain rely on this one to confirm the
+/// records continually.
+const MAX_REPLICAS_READ_WAIT: Duration = Duration::from_millis(200);
 
-/// Pause between reads of the replicas' records, which change all the time.
-const REPLICAS_PAUSE: Duration = Duration::from_millis(400);
+/// Pause between reads of the replicas' records, which change continually.
+const REPLICAS_READ_PAUSE: Duration = Duration::from_millis(400);
 
-/// Pause between looks at whether another entry still reads for this one.
-const READER_CHECK: Duration = Duration::from_millis(200);
+/// Interval at which an entry checks whether another one still reads on its behalf.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause between tries to reach a lost store while another entry reads it.
-const LOST_PAUSE: Duration = Duration::from_secs(2);
+/// Pause between attempts to reach an unavailable store while another entry reads it.
+const UNAVAILABLE_STORE_PAUSE: Duration = Duration::from_secs(2);
 
-/// Pause between reads of other topics.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause between reads of the other topics.
+const READ_PAUSE: Duration = Duration::from_millis(20);
 
 /// Shortest and longest pause after a failed read.
-const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(600));
+const RETRY_PAUSE_RANGE: (Duration, Duration) =
+    (Duration::from_millis(150), Duration::from_millis(600));
 
-/// Keeps a topic up to date from the platform's store.
+/// Keeps a topic up to date from the platform's store, unless another entry of the
+/// failure domain reads it on behalf of this one.
 pub async fn follow_topic(
     state: Rc<RefCell<GatewayState>>,
     topic: Topic,
@@ -78,37 +82,37 @@
     let mut failures = 0u32;
     loop {
         if !must_list && state.borrow().has_reader() {
-            if !state.borrow().is_lost(topic) {
-                tokio::time::sleep(READER_CHECK).await;
+            if !state.borrow().is_topic_unavailable(topic) {
+                tokio::time::sleep(READER_CHECK_INTERVAL).await;
                 continue;
             }
-            tokio::time::sleep(LOST_PAUSE).await;
+            tokio::time::sleep(UNAVAILABLE_STORE_PAUSE).await;
         }
-        let step = if must_list {
+        let result = if must_list {
             read_listing(&state, topic, &mut source, &*decoder)
                 .await
                 .map(|()| false)
         } else {
-            read(&state, topic, &mut source, &*decoder).await
+            read_changes(&state, topic, &mut source, &*decoder).await
         };
-        match step {
+        match result {
             Ok(is_trimmed) => {
                 must_list = is_trimmed;
                 failures = 0;
                 let pause = {
                     let mut state = state.borrow_mut();
-                    state.note_source(topic, None);
+                    state.record_store_result(topic, None);
                     if topic == Topic::Replicas {
                         state.confirm_replicas(0);
-                        REPLICAS_PAUSE
+                        REPLICAS_READ_PAUSE
                     } else {
-                        SHORT_PAUSE
+                        READ_PAUSE
                     }
                 };
                 tokio::time::sleep(pause).await;
             }
             Err(error) => {
-                state.borrow_mut().note_source(topic, Some(&error));
+                state.borrow_mut().record_store_result(topic, Some(&error));
                 failures += 1;
                 tokio::time::sleep(retry_pause(failures)).await;
             }
@@ -116,7 +120,7 @@
     }
 }
 
-/// Reads the newest record of each key of a topic.
+/// Reads the newest record of each key of a topic, and applies them.
 pub async fn read_listing(
     state: &RefCell<impl TopicSink>,
     topic: Topic,
@@ -125,12 +129,13 @@
 ) -> Result<(), SourceError> {
     let listing = source.listing(topic).await?;
     let mut state = state.borrow_mut();
-    state.take_listing(topic, listing.records, listing.end_offset, decoder);
+    state.handle_listing(topic, listing.records, listing.end_offset, decoder);
     Ok(())
 }
 
-/// Reads what followed; returns whether records are missing.
-async fn read(
+/// Reads the records after those already applied, and applies them; returns whether
+/// the store has trimmed some of them.
+async fn read_changes(
     state: &RefCell<GatewayState>,
     topic: Topic,
     source: &mut impl RecordSource,
@@ -138,26 +143,27 @@
 ) -> Result<bool, SourceError> {
     let from = state.borrow().ledger(topic).end_offset();
     let wait = if topic == Topic::Replicas {
-        REPLICAS_WAIT
+        MAX_REPLICAS_READ_WAIT
     } else {
-        READ_WAIT
+        MAX_READ_WAIT
     };
     match source.read(topic, from, wait).await? {
-        Records::Trimmed => Ok(true),
-        Records::Next {
+        TopicRead::Trimmed => Ok(true),
+        TopicRead::Next {
             records,
             next_offset,
         } => {
             let mut state = state.borrow_mut();
-            state.take_records(topic, records, next_offset, decoder);
+            state.handle_records(topic, records, next_offset, decoder);
             Ok(false)
         }
     }
 }
 
-/// Pause that grows with the failures, spread so that entries do not meet.
+/// Pause that grows with the number of failures, with jitter so that the entries do
+/// not all retry at the same time.
 fn retry_pause(failures: u32) -> Duration {
-    let (shortest, longest) = RETRY_PAUSE;
+    let (shortest, longest) = RETRY_PAUSE_RANGE;
     let pause = (shortest * failures.min(8)).min(longest);
     pause.mul_f64(rand::rng().random_range(0.75..1.25))
 }
--- a/src/gateway/directory.rs
+++ b/src/gateway/handlers.rs
@@ -13,21 +13,22 @@
 use crate::observe::Metrics;
 use crate::weights::OriginPort;
 
-/// Addresses in one answer of the directory.
+/// Most addresses in one response of the directory.
 const MAX_ADDRESSES: usize = 64;
 
-/// Answers clients that ask where to connect.
+/// Serves the directory, where clients look up the addresses of the entries that
+/// accept them.
 #[derive(Debug)]
-pub struct Directory<D> {
-    /// What the process knows.
+pub struct DirectoryHandler<D> {
+    /// State of the process.
     pub state: Rc<RefCell<GatewayState>>,
-    /// The wire.
+    /// Wire protocol of the platform.
     pub dialect: Rc<D>,
 }
 
-impl<D: Dialect + 'static> InternalHandler for Directory<D> {
+impl<D: Dialect + 'static> InternalHandler for DirectoryHandler<D> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
-        if self.dialect.directory_question(&request.head).is_none() {
+        if self.dialect.directory_query(&request.head).is_none() {
             return InternalReply::status(404);
         }
         let state = self.state.borrow();
@@ -45,27 +46,27 @@
         }
         addresses.sort_unstable();
         addresses.truncate(MAX_ADDRESSES);
-        let keep_s = state.settings.directory_keep_s;
+        let ttl_s = state.settings.directory_ttl_s;
         InternalReply {
             status: 200,
             content_type: "application/json",
-            body: self.dialect.directory_answer(&addresses, keep_s),
+            body: self.dialect.directory_body(&addresses, ttl_s),
         }
     }
 }
 
-/// Answers the platform's readiness checks.
+/// Serves the platform's readiness check.
 #[derive(Debug)]
-pub struct Readiness<D> {
-    /// What the process knows.
+pub struct ReadinessHandler<D> {
+    /// State of the process.
     pub state: Rc<RefCell<GatewayState>>,
-    /// The wire.
+    /// Wire protocol of the platform.
     pub dialect: Rc<D>,
 }
 
-impl<D: Dialect + 'static> InternalHandler for Readiness<D> {
+impl<D: Dialect + 'static> InternalHandler for ReadinessHandler<D> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
-        if !self.dialect.is_readiness(&request.head) {
+        if !self.dialect.is_readiness_check(&request.head) {
             return InternalReply::status(404);
         }
         let is_ready = self.state.borrow().is_ready();
@@ -73,26 +74,27 @@
     }
 }
 
-/// Path of the call that reads records from another entry.
+/// Path of the internal call that fetches records from an entry, before
+/// `/TOPIC/OFFSET`.
 pub const RECORDS_PATH: &str = "/records";
 
-/// Path of the metrics.
+/// Path on which metrics are exported.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Answers the other processes of the system, and readers of metrics.
+/// Serves internal calls of other processes and the metrics.
 #[derive(Debug)]
-pub struct Internal<O> {
-    /// What the process knows.
+pub struct InternalCallHandler<O> {
+    /// State of the process.
     pub state: Rc<RefCell<GatewayState>>,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
-    /// Weights that pass through.
+    /// Pieces of weights that hosts read through this entry.
     pub pieces: Rc<PieceCache<O>>,
-    /// Last answer with records: many processes ask for the same.
+    /// Last reply with records, kept because many processes fetch the same ones.
     pub last_records: RefCell<Option<PackedRecords>>,
 }
 
-/// An answer with records, packed once.
+/// An encoded and compressed [`RecordsReply`] with the request that it is for.
 #[derive(Debug)]
 pub struct PackedRecords {
     topic: Topic,
@@ -101,10 +103,12 @@
     bytes: Vec<u8>,
 }
 
-impl<O: OriginPort> Internal<O> {
-    /// Records at or after an offset: `TOPIC/OFFSET`.
-    fn records(&self, question: &str) -> Option<InternalReply> {
-        let (label, offset) = question.split_once('/')?;
+impl<O: OriginPort> InternalCallHandler<O> {
+    /// Reply with the records at or after an offset; `path_rest` is `TOPIC/OFFSET`.
+    ///
+    /// None when that is not a topic and an offset.
+    fn records_reply(&self, path_rest: &str) -> Option<InternalReply> {
+        let (label, offset) = path_rest.split_once('/')?;
         let topic = Topic::from_label(label)?;
         let offset = offset.parse().ok()?;
         let state = self.state.borrow();
@@ -132,17 +136,17 @@
     }
 }
 
-impl<O: OriginPort> InternalHandler for Internal<O> {
+impl<O: OriginPort> InternalHandler for InternalCallHandler<O> {
     async fn handle(&self, request: InternalRequest) -> InternalReply {
         let path = request.head.path();
         if path == METRICS_PATH {
             return InternalReply::metrics(self.metrics.render());
         }
-        if let Some(reply) = self.pieces.answer(path).await {
+        if let Some(reply) = self.pieces.reply_to(path).await {
             return reply;
         }
         path.strip_prefix(RECORDS_PATH)
-            .and_then(|rest| self.records(rest.strip_prefix('/')?))
+            .and_then(|rest| self.records_reply(rest.strip_prefix('/')?))
             .unwrap_or_else(|| InternalReply::status(404))
     }
 }
--- /dev/null
+++ b/src/gateway/heartbeats.rs
@@ -0,0 +1,256 @@
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use serde::Deserialize;
+use serde::Serialize;
+use tokio::net::UdpSocket;
+
+use crate::fleet::EngineLoad;
+use crate::fleet::EntryHeartbeat;
+use crate::fleet::EntryRegistration;
+use crate::fleet::LoadReport;
+use crate::fleet::Topic;
+use crate::gateway::GatewayState;
+use crate::gateway::RecordDecoder;
+use crate::gateway::TopicSink;
+use crate::gateway::fetch_records;
+use crate::observe::Event;
+use crate::observe::LogLine;
+use crate::weights::HaveMap;
+
+/// Interval of the heartbeats between entries.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Heartbeats to entries for each heartbeat to an endpoint process.
+const HEARTBEATS_PER_ENDPOINT_HEARTBEAT: u64 = 2;
+
+/// Largest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
+
+/// Most crash suspects sent in one heartbeat, so that it fits a datagram.
+const MAX_SENT_SUSPECTS: usize = 16;
+
+/// The pieces of a version of weights that a host holds, as it reports them to
+/// other hosts.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub struct HeldPieces {
+    /// Address of the host's endpoint process.
+    pub address: SocketAddr,
+    /// Name of the model.
+    pub model: String,
+    /// Version of the weights.
+    pub version: u64,
+    /// Pieces that are staged and whose digests were verified.
+    pub have: HaveMap,
+}
+
+/// A UDP message between entry and endpoint processes.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub enum Datagram {
+    /// Heartbeat of an entry.
+    Beat(EntryHeartbeat),
+    /// Load of an engine, sent by its endpoint process.
+    Load(LoadReport),
+    /// Pieces of weights that a host holds, sent between endpoint processes.
+    Have(HeldPieces),
+}
+
+impl Datagram {
+    /// Encodes the message as MessagePack.
+    pub fn encode(&self) -> Vec<u8> {
+        rmp_serde::to_vec(self).expect("a datagram holds only plain data")
+    }
+}
+
+/// Sends heartbeats to the other entries and, less often, to the endpoint processes.
+///
+/// After an update notice, the next heartbeat goes to all of them without delay.
+pub async fn send_heartbeats(state: Rc<RefCell<GatewayState>>, socket: Rc<UdpSocket>) {
+    let mut heartbeat_count = 0u64;
+    let mut has_update = false;
+    let notice = state.borrow().update_notice.clone();
+    loop {
+        let (bytes, targets) = {
+            let mut state = state.borrow_mut();
+            state.remove_expired_replicas();
+            let heartbeat = Datagram::Beat(own_heartbeat(&state));
+            let mut targets = entry_targets(&state);
+            if has_update || heartbeat_count.is_multiple_of(HEARTBEATS_PER_ENDPOINT_HEARTBEAT) {
+                targets.extend(endpoint_targets(&state));
+            }
+            targets.sort_unstable();
+            targets.dedup();
+            (heartbeat.encode(), targets)
+        };
+        for target in targets {
+            // A lost heartbeat is not sent again: the next one replaces it.
+            if let Err(error) = socket.try_send_to(&bytes, target) {
+                log::debug!("cannot send a heartbeat to {target}: {error}");
+            }
+        }
+        heartbeat_count += 1;
+        has_update = tokio::time::timeout(HEARTBEAT_INTERVAL, notice.notified())
+            .await
+            .is_ok();
+    }
+}
+
+/// Heartbeat with the present state of this entry.
+fn own_heartbeat(state: &GatewayState) -> EntryHeartbeat {
+    let mut suspects = state.suspects.export(state.now_ms());
+    suspects.truncate(MAX_SENT_SUSPECTS);
+    EntryHeartbeat {
+        name: state.settings.name.clone(),
+        incarnation: state.incarnation,
+        internal: state.settings.internal,
+        front: state.settings.front,
+        failure_domain: state.settings.failure_domain.clone(),
+        link_mbps: state.settings.link_mbps,
+        is_ready: state.is_ready(),
+        has_store: state.has_store(),
+        ends: state.end_offsets(),
+        replicas_age_ms: state.replicas_age_ms(),
+        declared: state.weights.recent_ages(state.now_ms() as i64),
+        suspects,
+    }
+}
+
+/// Addresses of the entries that are registered in the store or sent a heartbeat.
+fn entry_targets(state: &GatewayState) -> Vec<SocketAddr> {
+    let own = state.settings.internal;
+    let registered = state
+        .ledger(Topic::Members)
+        .records_since(0)
+        .filter_map(|record| {
+            rmp_serde::from_slice::<EntryRegistration>(record.value.as_deref()?).ok()
+        })
+        .map(|member| member.internal);
+    let received = state.peers.all_entries().map(|peer| peer.internal);
+    registered
+        .chain(received)
+        .filter(|address| *address != own)
+        .collect()
+}
+
+/// Addresses of the endpoint processes: each runs on the host of its replica and
+/// listens on the same internal port as entries.
+fn endpoint_targets(state: &GatewayState) -> Vec<SocketAddr> {
+    let port = state.settings.internal.port();
+    let Some(catalog) = &state.catalog else {
+        return Vec::new();
+    };
+    state
+        .replicas
+        .listed()
+        .filter(|(_, replica)| {
+            catalog
+                .service(&replica.record.service)
+                .is_some_and(|service| service.engine.is_some())
+        })
+        .map(|(_, replica)| SocketAddr::new(replica.record.address.ip(), port))
+        .collect()
+}
+
+/// Calls `handle` for each datagram that can be decoded, with the sender's address.
+pub async fn for_each_datagram(socket: &UdpSocket, mut handle: impl FnMut(Datagram, SocketAddr)) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    loop {
+        let (len, from) = match socket.recv_from(&mut buffer).await {
+            Ok(received) => received,
+            Err(error) => {
+                log::debug!("cannot receive a datagram: {error}");
+                tokio::time::sleep(Duration::from_millis(10)).await;
+                continue;
+            }
+        };
+        match rmp_serde::from_slice(&buffer[..len]) {
+            Ok(datagram) => handle(datagram, from),
+            Err(error) => log::debug!("cannot decode a datagram from {from}: {error}"),
+        }
+    }
+}
+
+/// Receives heartbeats of entries and load reports of endpoint processes.
+pub async fn receive_datagrams(
+    state: Rc<RefCell<GatewayState>>,
+    socket: Rc<UdpSocket>,
+    decoder: Rc<impl RecordDecoder + 'static>,
+) {
+    for_each_datagram(&socket, |datagram, from| match datagram {
+        Datagram::Beat(heartbeat) => apply_heartbeat(&state, heartbeat, &decoder),
+        Datagram::Load(report) => apply_load_report(&state, &report, from),
+        // Only endpoint processes use the reports of held pieces.
+        Datagram::Have(_) => {}
+    })
+    .await;
+}
+
+/// Applies the load and the declarations that an endpoint process reports.
+fn apply_load_report(state: &RefCell<GatewayState>, report: &LoadReport, from: SocketAddr) {
+    let mut state = state.borrow_mut();
+    let load = EngineLoad {
+        received_ms: state.now_ms(),
+        is_up: report.is_up,
+        is_loading: report.is_loading,
+        running: report.running,
+        queued: report.queued,
+        memory_used: f64::from(report.memory_used),
+        version: report.version,
+        pace: f64::from(report.pace),
+    };
+    state.replicas.record_load(from.ip(), report.port, load);
+    let now_ms = state.now_ms() as i64;
+    if state.weights.merge_ages(&report.declared, now_ms) {
+        state.weights_notice.notify_one();
+    }
+}
+
+/// Applies a heartbeat, and fetches the records that its sender has and this entry
+/// lacks.
+fn apply_heartbeat(
+    state: &Rc<RefCell<GatewayState>>,
+    heartbeat: EntryHeartbeat,
+    decoder: &Rc<impl RecordDecoder + 'static>,
+) {
+    let mut current = state.borrow_mut();
+    if heartbeat.name == current.settings.name {
+        return;
+    }
+    let now_ms = current.now_ms();
+    current
+        .suspects
+        .merge(heartbeat.suspects.iter().cloned(), now_ms);
+    if current
+        .weights
+        .merge_ages(&heartbeat.declared, now_ms as i64)
+    {
+        current.weights_notice.notify_one();
+    }
+    let own_end_offsets = current.end_offsets();
+    let line = LogLine::new(Event::EntrySeen)
+        .text("entry", &heartbeat.name)
+        .flag("ready", heartbeat.is_ready);
+    let internal = heartbeat.internal;
+    let is_same_domain = heartbeat.failure_domain == current.settings.failure_domain;
+    let ends = heartbeat.ends;
+    if ends[Topic::Replicas as usize] <= own_end_offsets[Topic::Replicas as usize] {
+        current.confirm_replicas(heartbeat.replicas_age_ms);
+    }
+    if current.peers.record_heartbeat(heartbeat, now_ms) {
+        line.write();
+    }
+    for topic in Topic::ALL {
+        let is_behind = ends[topic as usize] > own_end_offsets[topic as usize]
+            && (is_same_domain || current.is_outdated(topic));
+        if is_behind && current.try_begin_fetch(topic) {
+            let state = state.clone();
+            let decoder = decoder.clone();
+            actix_rt::spawn(async move {
+                fetch_records(&state, topic, internal, &*decoder).await;
+                state.borrow_mut().end_fetch(topic);
+            });
+        }
+    }
+}
--- a/src/gateway/own_answer.rs
+++ b/src/gateway/local_response.rs
@@ -1,7 +1,9 @@
 use std::time::Duration;
 
-/// An answer of the system's own, without a body.
-pub fn own_answer(status: u16, retry_after_ms: Option<u64>, close: bool) -> Vec<u8> {
+/// Response without a body that the gateway itself generates, encoded for the wire.
+///
+/// `close` states whether the connection is closed after it.
+pub fn local_response(status: u16, retry_after_ms: Option<u64>, close: bool) -> Vec<u8> {
     let reason = match status {
         400 => "Bad Request",
         401 => "Unauthorized",
@@ -26,8 +28,8 @@
     text.into_bytes()
 }
 
-/// Name of an outcome in the metrics; status 0 is an answer that was not finished.
-pub fn outcome_of(status: u16) -> &'static str {
+/// Label of an outcome in the metrics; status 0 is a response that was not completed.
+pub fn outcome_label(status: u16) -> &'static str {
     match status {
         200..300 => "served",
         502 | 504 => "failed",
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,61 +1,62 @@
-//! The entry on a platform with its own wire: takes clients' requests, decides
-//! where each runs, and returns the answers.
+//! The entry process on a platform that has its own wire protocol: accepts the
+//! requests of clients, sends each to a replica, and returns the responses.
 //!
-//! Beliefs and decisions are in [`crate::fleet`]; this folder moves bytes. What
-//! the wire calls things is behind the traits in `ports`, which an adapter
-//! implements.
+//! This module does the input and output. What the entry knows of replicas and
+//! other entries, and how it chooses a replica, is in [`crate::fleet`]. Header
+//! names and record formats of the platform are behind the traits in `ports`,
+//! which an adapter implements.
 
-mod adopt;
-mod beats;
-mod directory;
-mod ending;
+mod admitted_request;
+mod client_listener;
 mod event_splitter;
 mod exchange;
+mod fetch;
 mod follow;
 mod forward;
-mod front;
-mod own_answer;
+mod handlers;
+mod heartbeats;
+mod local_response;
 mod piece_cache;
 mod placement;
 mod ports;
 mod process;
-mod pull;
 mod read_ahead;
 mod records_reply;
 mod relay;
 mod reload;
-mod request;
+mod request_outcome;
 mod settings;
 mod state;
+mod topic_records;
 
-pub use adopt::reject_record;
-pub use beats::Datagram;
-pub use beats::HaveNote;
-pub use beats::for_each_datagram;
 pub use event_splitter::EventSplitter;
 pub use event_splitter::StreamEvent;
+pub use fetch::fetch_records;
 pub use follow::TopicSink;
 pub use follow::follow_topic;
 pub use follow::read_listing;
+pub use heartbeats::Datagram;
+pub use heartbeats::HeldPieces;
+pub use heartbeats::for_each_datagram;
 pub use piece_cache::MANIFEST_PATH;
 pub use piece_cache::PIECE_PATH;
-pub use ports::AnswerFacts;
-pub use ports::BadRecord;
 pub use ports::Credential;
 pub use ports::Dialect;
-pub use ports::DirectoryQuestion;
+pub use ports::DirectoryQuery;
+pub use ports::InvalidRecord;
 pub use ports::Listing;
 pub use ports::OperatorRecord;
 pub use ports::RecordDecoder;
 pub use ports::RecordSource;
-pub use ports::Records;
 pub use ports::RequestFacts;
+pub use ports::ResponseFacts;
 pub use ports::SendFacts;
 pub use ports::SourceError;
+pub use ports::TopicRead;
 pub use process::run;
-pub use pull::pull_records;
-pub use records_reply::BadRecordsReply;
 pub use records_reply::RecordsReply;
-pub use reload::changed_settings;
+pub use records_reply::RecordsReplyError;
+pub use reload::wait_for_changed_settings;
 pub use settings::GatewaySettings;
 pub use state::GatewayState;
+pub use topic_records::log_rejected_record;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -14,17 +14,17 @@
 use crate::gateway::GatewayState;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
-use crate::gateway::beats::receive_datagrams;
-use crate::gateway::beats::send_beats;
-use crate::gateway::directory::Directory;
-use crate::gateway::directory::Internal;
-use crate::gateway::directory::Readiness;
+use crate::gateway::client_listener::serve_clients;
 use crate::gateway::follow::follow_topic;
 use crate::gateway::forward::Gateway;
-use crate::gateway::front::serve_clients;
+use crate::gateway::handlers::DirectoryHandler;
+use crate::gateway::handlers::InternalCallHandler;
+use crate::gateway::handlers::ReadinessHandler;
+use crate::gateway::heartbeats::receive_datagrams;
+use crate::gateway::heartbeats::send_heartbeats;
 use crate::gateway::piece_cache::PieceCache;
-use crate::gateway::reload::adopt_settings;
-use crate::gateway::reload::changed_settings;
+use crate::gateway::reload::apply_settings;
+use crate::gateway::reload::wait_for_changed_settings;
 use crate::http1::serve_internal;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -33,29 +33,33 @@
 use crate::observe::flush_log_every;
 use crate::weights::OriginPort;
 
-/// Interval at which log lines are handed to their writer.
-const LOG_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which buffered log lines are written.
+const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after a stop signal in which requests are still taken: clients learn of
-/// it and connect elsewhere.
-pub const LEAVE_TIME: Duration = Duration::from_millis(2_500);
+/// Time after a stop signal during which requests are still accepted, while clients
+/// learn of it and connect to other entries.
+pub const STOP_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time before the kill at which the process ends by itself.
+/// Time before the kill at which the process exits, also if requests are still active.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// Pause between looks at what is still under way while stopping.
-const DRAIN_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which a stopping process checks whether requests are still active.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an entry process until a stop signal.
 ///
-/// `source` opens one connection to the platform's store for each use; `changed`
-/// gives the settings when they are others than before.
+/// Each call of `new_source` returns a new connection to the platform's store; `changed`
+/// returns the settings if they changed since its last call.
+///
+/// # Errors
+///
+/// When an address can't be bound or a signal handler can't be installed.
 pub async fn run<S: RecordSource + 'static>(
     settings: GatewaySettings,
     dialect: Rc<impl Dialect + 'static>,
     decoder: Rc<impl RecordDecoder + 'static>,
     origin: impl OriginPort,
-    source: impl Fn() -> S,
+    new_source: impl Fn() -> S,
     mut changed: impl FnMut() -> Option<GatewaySettings>,
 ) -> io::Result<()> {
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
@@ -63,7 +67,7 @@
     let metrics = Rc::new(Metrics::new());
     let state = GatewayState::new(settings.clone());
     let pieces = PieceCache::new(state.clone(), origin, metrics.clone());
-    listen(&settings, &state, &dialect, &metrics, &pieces).await?;
+    start_listeners(&settings, &state, &dialect, &metrics, &pieces).await?;
     actix_rt::spawn(pieces.clone().read_ahead());
     actix_rt::spawn(pieces.evict_unused());
     let socket = Rc::new(UdpSocket::bind(settings.internal).await?);
@@ -71,14 +75,14 @@
         actix_rt::spawn(follow_topic(
             state.clone(),
             topic,
-            source(),
+            new_source(),
             decoder.clone(),
         ));
     }
-    actix_rt::spawn(register(state.clone(), source()));
-    actix_rt::spawn(send_beats(state.clone(), socket.clone()));
+    actix_rt::spawn(register_entry(state.clone(), new_source()));
+    actix_rt::spawn(send_heartbeats(state.clone(), socket.clone()));
     actix_rt::spawn(receive_datagrams(state.clone(), socket, decoder));
-    actix_rt::spawn(flush_log_every(LOG_INTERVAL));
+    actix_rt::spawn(flush_log_every(LOG_FLUSH_INTERVAL));
     LogLine::new(Event::ProcessStarted)
         .text("role", "entry")
         .text("host", &settings.name)
@@ -87,15 +91,17 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            new = changed_settings(&mut hang_up, &mut changed) => adopt_settings(&state, &new),
+            new = wait_for_changed_settings(&mut hang_up, &mut changed) => apply_settings(&state, &new),
         }
     }
     let grace_ms = state.borrow().settings.grace_ms;
-    stop(&state, Duration::from_millis(grace_ms)).await;
+    drain_and_stop(&state, Duration::from_millis(grace_ms)).await;
     Ok(())
 }
 
-async fn listen(
+/// Binds the addresses of the settings, and spawns their handlers.
+
+async fn start_listeners(
     settings: &GatewaySettings,
     state: &Rc<RefCell<GatewayState>>,
     dialect: &Rc<impl Dialect + 'static>,
@@ -110,21 +116,21 @@
     };
     actix_rt::spawn(serve_clients(front, gateway));
     if let Some(address) = settings.ready {
-        let readiness = Readiness {
+        let readiness = ReadinessHandler {
             state: state.clone(),
             dialect: dialect.clone(),
         };
         actix_rt::spawn(serve_internal(TcpListener::bind(address).await?, readiness));
     }
     if let Some(address) = settings.directory {
-        let directory = Directory {
+        let directory = DirectoryHandler {
             state: state.clone(),
             dialect: dialect.clone(),
         };
         actix_rt::spawn(serve_internal(TcpListener::bind(address).await?, directory));
     }
     for address in [settings.internal, settings.metrics] {
-        let internal = Internal {
+        let internal = InternalCallHandler {
             state: state.clone(),
             metrics: metrics.clone(),
             pieces: pieces.clone(),
@@ -135,8 +141,8 @@
     Ok(())
 }
 
-/// Registers this entry so that the others find it.
-async fn register(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
+/// Registers this entry in the store, so that the others can discover it.
+async fn register_entry(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
     let member = {
         let settings = &state.borrow().settings;
         EntryRegistration {
@@ -148,32 +154,32 @@
     loop {
         match source.publish(Topic::Members, &member.name, &value).await {
             Ok(()) => return,
-            Err(error) => log::debug!("the entry is not registered yet: {error}"),
+            Err(error) => log::debug!("cannot register this entry: {error}"),
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
 }
 
-/// Takes no new clients, finishes what is under way, and ends before the kill.
-async fn stop(state: &RefCell<GatewayState>, grace: Duration) {
+/// Drains the active requests, and returns when there are none or before the kill.
+async fn drain_and_stop(state: &RefCell<GatewayState>, grace: Duration) {
     let began = Instant::now();
     LogLine::new(Event::ProcessStopping)
-        .number("requests", state.borrow().requests)
+        .number("requests", state.borrow().active_requests)
         .write();
     flush_log();
-    state.borrow_mut().stopping = Some(began);
+    state.borrow_mut().stopping_since = Some(began);
     state.borrow().stop_notice.notify_waiters();
     loop {
-        tokio::time::sleep(DRAIN_PAUSE).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         let waited = began.elapsed();
-        let is_idle = state.borrow().requests == 0 && waited >= LEAVE_TIME;
+        let is_idle = state.borrow().active_requests == 0 && waited >= STOP_ACCEPT_TIME;
         if is_idle || waited + KILL_MARGIN >= grace {
             break;
         }
     }
     LogLine::new(Event::ProcessStopped)
-        .number("requests", state.borrow().requests)
+        .number("requests", state.borrow().active_requests)
         .write();
     flush_log();
-    tokio::time::sleep(DRAIN_PAUSE).await;
+    tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -4,105 +4,106 @@
 
 use crate::gateway::event_splitter::EventSplitter;
 use crate::gateway::exchange::EventStream;
-use crate::gateway::exchange::is_connection_line;
-use crate::gateway::exchange::write_line;
+use crate::gateway::exchange::is_hop_by_hop_header;
+use crate::gateway::exchange::write_header;
 use crate::http1::Connection;
 use crate::http1::ResponseHead;
 
-/// Silence after which the health of a stream's replica is looked at.
-const SILENCE_CHECK: Duration = Duration::from_millis(300);
+/// Interval at which the observer of a silent stream is asked whether its replica has
+/// failed.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How a stream, or the part of it from one replica, ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The whole stream has been passed on.
+    /// The complete stream has been sent to the client.
     Complete,
-    /// The client left.
-    ClientGone,
-    /// The replica's part broke off.
+    /// The client closed its connection.
+    ClientDisconnected,
+    /// The replica's part broke off, for this cause.
     Broken(&'static str),
-    /// The time for the request is over.
+    /// The deadline of the request has passed.
     TimedOut,
 }
 
-/// Follows the part of a stream that one replica sends.
-pub trait StreamWatch {
-    /// Takes note of an event; only the first one tells something.
+/// Observer of the part of a stream that one replica sends.
+pub trait StreamObserver {
+    /// Called when events were sent to the client; only the first call has an effect.
     fn first_event(&self);
-    /// Whether a replica that was silent for that long is to be given up.
-    fn is_lost(&self, silence: Duration) -> bool;
+    /// Whether a replica that has been silent for that long counts as failed.
+    fn has_replica_failed(&self, silence: Duration) -> bool;
 }
 
-/// A stream on its way to one client, over one or more replicas.
+/// Relay of a stream of events to one client, from one replica after another.
 #[derive(Debug)]
 pub struct StreamRelay {
     head: Option<Vec<u8>>,
-    is_head_out: bool,
+    is_head_sent: bool,
     last_id: Option<u64>,
     events: u64,
     first_event_at: Option<Instant>,
-    until: Instant,
+    deadline: Instant,
 }
 
 impl StreamRelay {
-    /// Relay of a stream that the client wants from after `last_id`.
-    pub fn new(last_id: Option<u64>, until: Instant) -> Self {
+    /// Relay of a stream that starts after the event `last_id`, or at the beginning.
+    pub fn new(last_id: Option<u64>, deadline: Instant) -> Self {
         Self {
             head: None,
-            is_head_out: false,
+            is_head_sent: false,
             last_id,
             events: 0,
             first_event_at: None,
-            until,
+            deadline,
         }
     }
 
-    /// Whether anything has gone to the client.
+    /// Whether the head of the response has been sent to the client.
     pub fn has_begun(&self) -> bool {
-        self.is_head_out
+        self.is_head_sent
     }
 
-    /// Id of the last event that the client has.
+    /// Id of the last event that was sent to the client.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Events passed on.
+    /// Number of events sent to the client.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// When the first event was passed on.
+    /// Time at which the first event was sent to the client.
     pub fn first_event_at(&self) -> Option<Instant> {
         self.first_event_at
     }
 
-    /// Passes one replica's part on until it ends.
+    /// Sends one replica's part of the stream to the client until it ends.
     ///
-    /// `watch` is told of the first event, and asked whether to give a silent
-    /// replica up.
-    pub async fn pump(
+    /// `observer` is notified of events, and decides whether a silent replica has
+    /// failed. `close` states whether the client's connection is closed afterwards.
+    pub async fn relay_part(
         &mut self,
         client: &mut Connection,
         mut stream: Box<EventStream>,
         close: bool,
-        watch: &impl StreamWatch,
+        observer: &impl StreamObserver,
     ) -> StreamEnd {
         if self.head.is_none() {
-            self.head = Some(head_bytes(&stream.head, close));
+            self.head = Some(chunked_head(&stream.head, close));
         }
         let mut splitter = EventSplitter::default();
-        let mut heard = Instant::now();
+        let mut last_received = Instant::now();
         loop {
             let decoded = stream
                 .decoder
                 .decode(&mut stream.connection.inbox, splitter.buffer());
             let events = self.events;
-            if let Some(end) = self.pass_on(client, &mut splitter).await {
+            if let Some(end) = self.forward_events(client, &mut splitter).await {
                 return end;
             }
             if events < self.events {
-                watch.first_event();
+                observer.first_event();
             }
             if let Err(error) = decoded {
                 return StreamEnd::Broken(error.label());
@@ -110,10 +111,10 @@
             if stream.decoder.is_done() {
                 return self.finish(client, &mut splitter).await;
             }
-            if splitter.is_overfull() {
+            if splitter.is_too_large() {
                 return StreamEnd::Broken("event_too_large");
             }
-            let wait_until = (Instant::now() + SILENCE_CHECK).min(self.until);
+            let wait_until = (Instant::now() + SILENCE_CHECK_INTERVAL).min(self.deadline);
             tokio::select! {
                 biased;
                 read = stream.connection.fill() => match read {
@@ -121,15 +122,15 @@
                         Ok(()) => return self.finish(client, &mut splitter).await,
                         Err(error) => return StreamEnd::Broken(error.label()),
                     },
-                    Ok(_) => heard = Instant::now(),
+                    Ok(_) => last_received = Instant::now(),
                     Err(_) => return StreamEnd::Broken("reset"),
                 },
-                () = client.closed() => return StreamEnd::ClientGone,
+                () = client.closed() => return StreamEnd::ClientDisconnected,
                 () = tokio::time::sleep_until(wait_until) => {
-                    if Instant::now() >= self.until {
+                    if Instant::now() >= self.deadline {
                         return StreamEnd::TimedOut;
                     }
-                    if watch.is_lost(heard.elapsed()) {
+                    if observer.has_replica_failed(last_received.elapsed()) {
                         return StreamEnd::Broken("silent");
                     }
                 }
@@ -137,19 +138,22 @@
         }
     }
 
-    /// Writes the whole events that have arrived.
-    async fn pass_on(
+    /// Sends the complete events that have arrived to the client.
+    ///
+    /// Events that an earlier replica has sent are skipped; a gap in the ids ends this
+    /// part, so that the stream is resumed without a gap at another replica.
+    async fn forward_events(
         &mut self,
         client: &Connection,
         splitter: &mut EventSplitter,
     ) -> Option<StreamEnd> {
         let mut data = Vec::new();
-        let mut gap = false;
+        let mut has_gap = false;
         while let Some(event) = splitter.next_event() {
             match (event.id, self.last_id) {
                 (Some(id), Some(last)) if id <= last => continue,
                 (Some(id), Some(last)) if id > last + 1 => {
-                    gap = true;
+                    has_gap = true;
                     break;
                 }
                 (Some(id), _) => self.last_id = Some(id),
@@ -160,31 +164,33 @@
         }
         if !data.is_empty() {
             self.first_event_at.get_or_insert_with(Instant::now);
-            let sent = self.write(client, &data, false).await;
+            let sent = self.write_chunk(client, &data, false).await;
             if sent.is_some() {
                 return sent;
             }
         }
-        gap.then_some(StreamEnd::Broken("event_gap"))
+        has_gap.then_some(StreamEnd::Broken("event_gap"))
     }
 
+    /// Sends the rest of the stream and the last chunk.
     async fn finish(&mut self, client: &Connection, splitter: &mut EventSplitter) -> StreamEnd {
-        let rest = splitter.take_rest();
-        self.write(client, &rest, true)
+        let rest = splitter.take_remainder();
+        self.write_chunk(client, &rest, true)
             .await
             .unwrap_or(StreamEnd::Complete)
     }
 
-    async fn write(
+    /// Sends `data` as one chunk, with the head before the first chunk.
+    async fn write_chunk(
         &mut self,
         client: &Connection,
         data: &[u8],
         is_last: bool,
     ) -> Option<StreamEnd> {
         let mut bytes = Vec::with_capacity(data.len() + 64);
-        if !self.is_head_out {
+        if !self.is_head_sent {
             bytes.extend_from_slice(self.head.as_deref().unwrap_or_default());
-            self.is_head_out = true;
+            self.is_head_sent = true;
         }
         if !data.is_empty() {
             bytes.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -194,30 +200,32 @@
         if is_last {
             bytes.extend_from_slice(b"0\r\n\r\n");
         }
-        match client.write_until(&bytes, self.until).await {
+        match client.write_until(&bytes, self.deadline).await {
             Ok(()) => None,
             Err(crate::http1::Http1Error::TimedOut) => Some(StreamEnd::TimedOut),
-            Err(_) => Some(StreamEnd::ClientGone),
+            Err(_) => Some(StreamEnd::ClientDisconnected),
         }
     }
 }
 
-/// Head of an answer as it goes to the client, without framing lines.
-pub fn answer_head(head: &ResponseHead, close: bool) -> Vec<u8> {
+/// Head of a response to the client, without the headers of the body's framing and
+/// the empty line.
+pub fn response_head(head: &ResponseHead, close: bool) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
     for (name, value) in head.headers.iter() {
-        if !is_connection_line(name, &head.headers) {
-            write_line(name, value, &mut bytes);
+        if !is_hop_by_hop_header(name, &head.headers) {
+            write_header(name, value, &mut bytes);
         }
     }
     if close {
-        write_line("Connection", b"close", &mut bytes);
+        write_header("Connection", b"close", &mut bytes);
     }
     bytes
 }
 
-fn head_bytes(head: &ResponseHead, close: bool) -> Vec<u8> {
-    let mut bytes = answer_head(head, close);
+/// Complete head of a response in chunked encoding.
+fn chunked_head(head: &ResponseHead, close: bool) -> Vec<u8> {
+    let mut bytes = response_head(head, close);
     bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
     bytes
 }
--- a/src/gateway/adopt.rs
+++ b/src/gateway/topic_records.rs
@@ -12,10 +12,10 @@
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// Time after the store's return within which a lapsed record is waited for, in
-/// ms: it comes back within about two seconds, but a replica that has left must
-/// be out of use within the same time.
-const LAPSE_GRACE_MS: u64 = 1_600;
+/// Time after the store answers again during which a replica stays in use although
+/// its record expired, in ms. The replica registers again within about two seconds,
+/// but one that has left must be out of use within the same time.
+const EXPIRY_TOLERANCE_MS: u64 = 1_600;
 
 impl TopicSink for GatewayState {
     fn ledger(&self, topic: Topic) -> &TopicTable {
@@ -26,7 +26,7 @@
         &mut self.ledgers[topic as usize]
     }
 
-    fn take_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
+    fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
         let Some(record) = self.ledger(topic).get(key) else {
             return;
         };
@@ -34,19 +34,21 @@
         let offset = record.offset;
         match (topic, value) {
             (Topic::Operator, Some(value)) => {
-                self.take_operator(key, &value, offset, decoder);
-                self.news_notice.notify_one();
+                self.apply_operator_record(key, &value, offset, decoder);
+                self.update_notice.notify_one();
             }
-            (Topic::Replicas, Some(value)) => self.take_replica(key, &value, offset, decoder),
-            (Topic::Replicas, None) if self.is_lapse_excused() => {
-                self.lapsed.push(key.to_owned());
+            (Topic::Replicas, Some(value)) => {
+                self.apply_replica_record(key, &value, offset, decoder)
+            }
+            (Topic::Replicas, None) if self.is_expiry_tolerated() => {
+                self.expired_replicas.push(key.to_owned());
             }
             (Topic::Replicas, None) => self.remove_replica(key),
             (Topic::Operator, None) | (Topic::Members, _) => {}
         }
     }
 
-    fn take_records(
+    fn handle_records(
         &mut self,
         topic: Topic,
         records: Vec<TopicRecord>,
@@ -62,19 +64,19 @@
         }
         self.ledgers[topic as usize].advance_end_offset(next_offset);
         for key in changed {
-            self.take_change(topic, &key, decoder);
+            self.handle_change(topic, &key, decoder);
         }
     }
 }
 
 impl GatewayState {
-    /// Takes replicas out whose records lapsed while the store was away and did
-    /// not come back since.
-    pub fn settle_lapsed(&mut self) {
-        if self.lapsed.is_empty() || self.is_lapse_excused() {
+    /// Removes the replicas whose records expired while the store was unavailable
+    /// and that have not registered again since.
+    pub fn remove_expired_replicas(&mut self) {
+        if self.expired_replicas.is_empty() || self.is_expiry_tolerated() {
             return;
         }
-        for id in std::mem::take(&mut self.lapsed) {
+        for id in std::mem::take(&mut self.expired_replicas) {
             let is_listed = self
                 .ledger(Topic::Replicas)
                 .get(&id)
@@ -85,20 +87,23 @@
         }
     }
 
-    /// Whether a missing record may still be the store's fault.
+    /// Whether an expired record may be due to an outage of the store, so that its
+    /// replica stays in use. Also records the time while the store is unavailable.
     ///
-    /// The store is away when it answers neither this process nor the entry
-    /// that reads for it.
-    fn is_lapse_excused(&mut self) -> bool {
+    /// The store counts as unavailable when it answers neither this process nor
+    /// another entry that reads on its behalf.
+    fn is_expiry_tolerated(&mut self) -> bool {
         let now_ms = self.now_ms();
-        if self.lost_topics[Topic::Replicas as usize] && !self.has_reader() {
-            self.away_ms = Some(now_ms);
+        if self.unavailable_topics[Topic::Replicas as usize] && !self.has_reader() {
+            self.store_unreachable_ms = Some(now_ms);
         }
-        self.away_ms
-            .is_some_and(|away_ms| now_ms < away_ms + LAPSE_GRACE_MS)
+        self.store_unreachable_ms
+            .is_some_and(|store_unreachable_ms| now_ms < store_unreachable_ms + EXPIRY_TOLERANCE_MS)
     }
 
-    fn take_operator(
+    /// Applies a configuration or a declaration of weights.
+
+    fn apply_operator_record(
         &mut self,
         key: &str,
         value: &[u8],
@@ -113,13 +118,17 @@
                     .write();
                 self.catalog = Some(Rc::from(catalog));
             }
-            Ok(OperatorRecord::Weights { model, version }) => self.declare(model, version, offset),
+            Ok(OperatorRecord::Weights { model, version }) => {
+                self.apply_declaration(model, version, offset)
+            }
             Ok(OperatorRecord::Other) => {}
-            Err(error) => reject_record(Topic::Operator, key, offset, &error),
+            Err(error) => log_rejected_record(Topic::Operator, key, offset, &error),
         }
     }
 
-    fn declare(&mut self, model: String, version: u64, offset: u64) {
+    /// Adds a declared version of weights, and wakes the read-ahead if it is new.
+
+    fn apply_declaration(&mut self, model: String, version: u64, offset: u64) {
         let record = DeclarationRecord {
             model,
             version,
@@ -133,7 +142,15 @@
         }
     }
 
-    fn take_replica(&mut self, key: &str, value: &[u8], offset: u64, decoder: &impl RecordDecoder) {
+    /// Adds or updates a replica; a record that can't be decoded removes it.
+
+    fn apply_replica_record(
+        &mut self,
+        key: &str,
+        value: &[u8],
+        offset: u64,
+        decoder: &impl RecordDecoder,
+    ) {
         let now_ms = self.now_ms();
         match decoder.replica_record(key, value) {
             Ok(record) => {
@@ -141,8 +158,8 @@
                 let was_leaving = self.replicas.listed().any(|(_, known)| {
                     known.record.id == record.id && known.record.state == ReplicaState::Leaving
                 });
-                let (key, is_news) = self.replicas.register(record, now_ms);
-                if is_news || (is_leaving && !was_leaving) {
+                let (key, is_new_incarnation) = self.replicas.register(record, now_ms);
+                if is_new_incarnation || (is_leaving && !was_leaving) {
                     let record = &self.replicas.get(key).record;
                     let event = if is_leaving {
                         Event::ReplicaLeaving
@@ -158,7 +175,7 @@
                 }
             }
             Err(error) => {
-                reject_record(Topic::Replicas, key, offset, &error);
+                log_rejected_record(Topic::Replicas, key, offset, &error);
                 self.remove_replica(key);
             }
         }
@@ -171,8 +188,8 @@
     }
 }
 
-/// Logs a record that can't be read.
-pub fn reject_record(topic: Topic, key: &str, offset: u64, error: &dyn std::error::Error) {
+/// Logs a record that could not be decoded.
+pub fn log_rejected_record(topic: Topic, key: &str, offset: u64, error: &dyn std::error::Error) {
     LogLine::new(Event::RecordRejected)
         .text("topic", topic.label())
         .text("key", key)
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -10,14 +10,14 @@
 
 use crate::fleet::Topic;
 use crate::gateway::Datagram;
-use crate::gateway::HaveNote;
+use crate::gateway::HeldPieces;
 use crate::gateway::RecordDecoder;
 use crate::gateway::RecordSource;
 use crate::gateway::TopicSink;
-use crate::gateway::changed_settings;
+use crate::gateway::fetch_records;
 use crate::gateway::for_each_datagram;
-use crate::gateway::pull_records;
 use crate::gateway::read_listing;
+use crate::gateway::wait_for_changed_settings;
 use crate::http1::serve_internal;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -117,7 +117,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            reloaded = changed_settings(&mut hangup, &mut changed) => {
+            reloaded = wait_for_changed_settings(&mut hangup, &mut changed) => {
                 state.borrow_mut().settings.weights_apply_ms = reloaded.weights_apply_ms;
                 LogLine::new(Event::SettingsReloaded)
                     .number("weights_apply_ms", reloaded.weights_apply_ms)
@@ -196,7 +196,7 @@
                     let (state, decoder, schedules) =
                         (state.clone(), decoder.clone(), schedules.clone());
                     actix_rt::spawn(async move {
-                        pull_records(&state, topic, heartbeat.internal, &*decoder).await;
+                        fetch_records(&state, topic, heartbeat.internal, &*decoder).await;
                         schedules.borrow_mut()[topic as usize].finish();
                     });
                 }
@@ -272,7 +272,7 @@
     for staged in &state.staged_models {
         for download in staged.downloads() {
             let version = download.manifest.version;
-            let message = Datagram::Have(HaveNote {
+            let message = Datagram::Have(HeldPieces {
                 address: own_address,
                 model: staged.model.clone(),
                 version,
