--- a/src/calls/suspect_table.rs
+++ b/src/calls/suspect_table.rs
@@ -3,8 +3,8 @@
 
 use crate::weights::Digest;
 
-/// Deaths after which a request is refused.
-pub const REFUSED_AT_DEATHS: usize = 3;
+/// Crashes after which a request is refused.
+pub const REFUSED_AT_CRASHES: usize = 3;
 
 /// Digest that names a request: what it is for, and its body.
 pub fn fingerprint(target: &str, body: &[u8]) -> Digest {
@@ -17,18 +17,18 @@
 
 /// Names one crash, whoever reports it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DeathId {
+pub struct CrashId {
     /// Endpoint that crashed.
     pub endpoint: String,
     /// Incarnation of its process.
     pub incarnation: u64,
-    /// Crash of its engine or service within the incarnation, or `PROCESS_DEATH`.
+    /// Crash of its engine or service within the incarnation, or `PROCESS_CRASH`.
     pub crash_no: u32,
 }
 
-impl DeathId {
+impl CrashId {
     /// Crash number of the process itself, which happens once per incarnation.
-    pub const PROCESS_DEATH: u32 = u32::MAX;
+    pub const PROCESS_CRASH: u32 = u32::MAX;
 }
 
 /// One request that ran when an endpoint crashed, as spread between processes.
@@ -37,7 +37,7 @@
     /// The request.
     pub fingerprint: Digest,
     /// The crash it was near.
-    pub death: DeathId,
+    pub death: CrashId,
     /// Time since the crash was seen.
     pub age_ms: u64,
     /// Whether a later run cleared the request of it.
@@ -58,13 +58,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Trace {
     fingerprint: Digest,
-    death: DeathId,
+    death: CrashId,
     seen_ms: u64,
     cleared: bool,
 }
 
 impl Trace {
-    fn key(&self) -> (Digest, &DeathId) {
+    fn key(&self) -> (Digest, &CrashId) {
         (self.fingerprint, &self.death)
     }
 }
@@ -82,7 +82,7 @@
 }
 
 impl SuspectTable {
-    /// Empty table that remembers deaths for `window_ms`, at most `max_traces` of them.
+    /// Empty table that remembers crashes for `window_ms`, at most `max_traces` of them.
     pub fn new(window_ms: u64, max_traces: usize) -> Self {
         Self {
             traces: Vec::new(),
@@ -92,7 +92,7 @@
     }
 
     /// Records a request that ran when an endpoint crashed.
-    pub fn add_death(&mut self, fingerprint: Digest, death: DeathId, now_ms: u64) {
+    pub fn add_crash(&mut self, fingerprint: Digest, death: CrashId, now_ms: u64) {
         self.merge_one(Trace {
             fingerprint,
             death,
@@ -116,15 +116,15 @@
 
     /// How to treat a request.
     pub fn standing(&self, fingerprint: Digest, now_ms: u64) -> Standing {
-        match self.deaths(fingerprint, now_ms) {
+        match self.crash_count(fingerprint, now_ms) {
             0 => Standing::Clear,
-            deaths if deaths < REFUSED_AT_DEATHS => Standing::Suspect,
+            count if count < REFUSED_AT_CRASHES => Standing::Suspect,
             _ => Standing::Refused,
         }
     }
 
-    /// Deaths within the window that a request was not cleared of.
-    pub fn deaths(&self, fingerprint: Digest, now_ms: u64) -> usize {
+    /// Crashes within the window that a request was not cleared of.
+    pub fn crash_count(&self, fingerprint: Digest, now_ms: u64) -> usize {
         let first = self
             .traces
             .partition_point(|trace| trace.fingerprint < fingerprint);
@@ -135,7 +135,7 @@
             .count()
     }
 
-    /// Forgets deaths past the window.
+    /// Forgets crashes past the window.
     pub fn expire(&mut self, now_ms: u64) {
         let window_ms = self.window_ms;
         self.traces
@@ -156,7 +156,7 @@
             .collect()
     }
 
-    /// Digest of the deaths within the window; equal on processes that know the same.
+    /// Digest of the crashes within the window; equal on processes that know the same.
     pub fn digest(&self, now_ms: u64) -> Digest {
         let mut hasher = blake3::Hasher::new();
         for trace in &self.traces {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Deaths remembered.
+    /// Crashes remembered.
     pub fn len(&self) -> usize {
         self.traces.len()
     }
--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -6,7 +6,7 @@
 use actix_web::web;
 
 use crate::calls::CallOutcome;
-use crate::calls::DeathId;
+use crate::calls::CrashId;
 use crate::calls::Nonce;
 use crate::calls::RefusalReason;
 use crate::calls::ServiceCall;
@@ -92,13 +92,13 @@
             return;
         }
         let node = &self.state.node;
-        let death = DeathId {
+        let death = CrashId {
             endpoint: node.name().to_owned(),
             incarnation: node.incarnation(),
             crash_no: self.state.calls.service_crashed(),
         };
         let now_ms = node.now_ms();
-        node.suspects().add_death(self.request, death, now_ms);
+        node.suspects().add_crash(self.request, death, now_ms);
         Reporter::report_now(node).await;
     }
 }
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -1,7 +1,7 @@
 use std::time::Instant;
 
 use crate::calls::CallOutcome;
-use crate::calls::DeathId;
+use crate::calls::CrashId;
 use crate::calls::Dispatch;
 use crate::calls::Nonce;
 use crate::calls::NonceQuestion;
@@ -151,12 +151,12 @@
         let node = &self.state.node;
         let now_ms = node.now_ms();
         let request = fingerprint(&self.call.target(), self.call.body.as_bytes());
-        let death = DeathId {
+        let death = CrashId {
             endpoint: self.permit.endpoint.clone(),
             incarnation: self.permit.incarnation,
-            crash_no: DeathId::PROCESS_DEATH,
+            crash_no: CrashId::PROCESS_CRASH,
         };
-        node.suspects().add_death(request, death, now_ms);
+        node.suspects().add_crash(request, death, now_ms);
         Reporter::report_now(node).await;
     }
 }
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -5,7 +5,7 @@
 use super::generate_attempt::RetryReason;
 use super::generate_event::GenerateEvent;
 use super::generate_routing::Choice;
-use crate::calls::DeathId;
+use crate::calls::CrashId;
 use crate::calls::Ending;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
@@ -198,14 +198,14 @@
         else {
             return;
         };
-        let death = DeathId {
+        let death = CrashId {
             endpoint,
             incarnation,
             crash_no,
         };
         let now_ms = node.now_ms();
         let request = self.call.fingerprint();
-        node.suspects().add_death(request, death, now_ms);
+        node.suspects().add_crash(request, death, now_ms);
         let node = Arc::clone(node);
         actix_rt::spawn(async move { Reporter::report_now(&node).await });
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::calls::DeathId;
+use crate::calls::CrashId;
 use crate::calls::SuspectTable;
 use crate::fleet::Catalog;
 use crate::fleet::Declarations;
@@ -352,12 +352,12 @@
                 .text("replica", replica)
                 .text("fingerprint", entry.fingerprint.to_string())
                 .write();
-            let death = DeathId {
+            let death = CrashId {
                 endpoint: entry.replica,
                 incarnation: entry.incarnation,
-                crash_no: DeathId::PROCESS_DEATH,
+                crash_no: CrashId::PROCESS_CRASH,
             };
-            self.suspects.add_death(entry.fingerprint, death, now_ms);
+            self.suspects.add_crash(entry.fingerprint, death, now_ms);
         }
     }
 
--- a/tests/calls/suspects.rs
+++ b/tests/calls/suspects.rs
@@ -1,6 +1,6 @@
 use arbtest::arbtest;
 
-use bergamotfork::calls::DeathId;
+use bergamotfork::calls::CrashId;
 use bergamotfork::calls::Standing;
 use bergamotfork::calls::SuspectSlot;
 use bergamotfork::calls::SuspectTable;
@@ -9,8 +9,8 @@
 
 const WINDOW_MS: u64 = 1000;
 
-fn death(number: u32) -> DeathId {
-    DeathId {
+fn crash(number: u32) -> CrashId {
+    CrashId {
         endpoint: format!("desk-{number}"),
         incarnation: 1,
         crash_no: 0,
@@ -22,16 +22,16 @@
 }
 
 #[test]
-fn standing_third_death_is_refused() {
+fn standing_third_crash_is_refused() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
     let poison = request(0);
     assert_eq!(table.standing(poison, 0), Standing::Clear);
     for number in 0..2 {
-        table.add_death(poison, death(number), 0);
-        table.add_death(poison, death(number), 1);
+        table.add_crash(poison, crash(number), 0);
+        table.add_crash(poison, crash(number), 1);
         assert_eq!(table.standing(poison, 1), Standing::Suspect);
     }
-    table.add_death(poison, death(2), 2);
+    table.add_crash(poison, crash(2), 2);
     assert_eq!(table.standing(poison, 2), Standing::Refused);
     assert_eq!(table.standing(request(1), 2), Standing::Clear);
     assert_eq!(table.standing(poison, WINDOW_MS + 2), Standing::Clear);
@@ -40,7 +40,7 @@
 #[test]
 fn standing_bystander_is_cleared() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
-    table.add_death(request(1), death(0), 0);
+    table.add_crash(request(1), crash(0), 0);
     table.clear(request(1));
     assert_eq!(table.standing(request(1), 0), Standing::Clear);
 }
@@ -55,7 +55,7 @@
             if u.ratio(1, 4)? {
                 tables[at].clear(poison);
             } else {
-                tables[at].add_death(poison, death(u.int_in_range(0..=3)?), 0);
+                tables[at].add_crash(poison, crash(u.int_in_range(0..=3)?), 0);
             }
         }
         let exports: Vec<_> = tables.iter().map(|table| table.export(0)).collect();
