--- a/src/calls/suspect_table.rs
+++ b/src/calls/suspect_table.rs
@@ -46,7 +46,7 @@
 
 /// How a request is to be treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum SuspectStatus {
     /// Run it as any other.
     Clear,
     /// Run it with no other suspect on the endpoint.
@@ -115,11 +115,11 @@
     }
 
     /// How to treat a request.
-    pub fn standing(&self, fingerprint: Digest, now_ms: u64) -> Standing {
+    pub fn request_status(&self, fingerprint: Digest, now_ms: u64) -> SuspectStatus {
         match self.crash_count(fingerprint, now_ms) {
-            0 => Standing::Clear,
-            count if count < REFUSED_AT_CRASHES => Standing::Suspect,
-            _ => Standing::Refused,
+            0 => SuspectStatus::Clear,
+            count if count < REFUSED_AT_CRASHES => SuspectStatus::Suspect,
+            _ => SuspectStatus::Refused,
         }
     }
 
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -15,7 +15,7 @@
 use crate::calls::RefusalReason;
 use crate::calls::ServiceCall;
 use crate::calls::ServiceReply;
-use crate::calls::Standing;
+use crate::calls::SuspectStatus;
 use crate::calls::Told;
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
@@ -162,12 +162,12 @@
     if state.calls.running() as u64 >= limit {
         return Err(RefusalReason::Overloaded);
     }
-    let standing = state.node.suspects().standing(request, now_ms);
+    let standing = state.node.suspects().request_status(request, now_ms);
     let has_slot = match standing {
-        Standing::Clear => false,
-        Standing::Refused => return Err(RefusalReason::CrashSuspect),
-        Standing::Suspect if state.calls.with_slot(|slot| slot.enter(request)) => true,
-        Standing::Suspect => return Err(RefusalReason::SuspectBusy),
+        SuspectStatus::Clear => false,
+        SuspectStatus::Refused => return Err(RefusalReason::CrashSuspect),
+        SuspectStatus::Suspect if state.calls.with_slot(|slot| slot.enter(request)) => true,
+        SuspectStatus::Suspect => return Err(RefusalReason::SuspectBusy),
     };
     Ok(Admitted {
         state: state.clone(),
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -9,7 +9,7 @@
 use crate::calls::RefusalReason;
 use crate::calls::Reply;
 use crate::calls::ServiceCall;
-use crate::calls::Standing;
+use crate::calls::SuspectStatus;
 use crate::calls::Told;
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
@@ -74,8 +74,8 @@
         }
         let now_ms = node.now_ms();
         let request = fingerprint(&self.call.target(), self.call.body.as_bytes());
-        let standing = node.suspects().standing(request, now_ms);
-        (standing == Standing::Refused).then_some(RefusalReason::CrashSuspect)
+        let standing = node.suspects().request_status(request, now_ms);
+        (standing == SuspectStatus::Refused).then_some(RefusalReason::CrashSuspect)
     }
 
     /// Tells "not run" where this entry can vouch for it, else has the endpoint say so.
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -10,8 +10,8 @@
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
 use crate::calls::RefusalReason;
-use crate::calls::Standing;
 use crate::calls::StreamFault;
+use crate::calls::SuspectStatus;
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 use crate::entry::ErrorCode;
@@ -141,9 +141,9 @@
     /// Sends the call to an endpoint that has not been tried.
     async fn open(&mut self, left_ms: u64, wait: Duration) -> Step {
         match self.standing() {
-            Standing::Clear => {}
-            Standing::Suspect => self.call.is_suspect = true,
-            Standing::Refused => {
+            SuspectStatus::Clear => {}
+            SuspectStatus::Suspect => self.call.is_suspect = true,
+            SuspectStatus::Refused => {
                 return Step::Fail(refusal_error(RefusalReason::CrashSuspect, None));
             }
         }
@@ -179,10 +179,10 @@
     }
 
     /// How the request is treated after the crashes it was near.
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> SuspectStatus {
         let now_ms = self.state.node.now_ms();
         let request = self.call.fingerprint();
-        self.state.node.suspects().standing(request, now_ms)
+        self.state.node.suspects().request_status(request, now_ms)
     }
 
     /// Remembers that the request ran when an engine died, and tells the other processes.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::calls::Standing;
+use crate::calls::SuspectStatus;
 use crate::fleet::RouteKind;
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
@@ -141,7 +141,10 @@
 
     fn is_refused_suspect(&self, request: &Request) -> bool {
         let state = self.state.borrow();
-        state.suspects.standing(request.fingerprint, state.now_ms()) == Standing::Refused
+        state
+            .suspects
+            .request_status(request.fingerprint, state.now_ms())
+            == SuspectStatus::Refused
     }
 
     /// Sends the request; None when the client left meanwhile.
--- a/tests/calls/suspects.rs
+++ b/tests/calls/suspects.rs
@@ -1,8 +1,8 @@
 use arbtest::arbtest;
 
 use bergamotfork::calls::CrashId;
-use bergamotfork::calls::Standing;
 use bergamotfork::calls::SuspectSlot;
+use bergamotfork::calls::SuspectStatus;
 use bergamotfork::calls::SuspectTable;
 use bergamotfork::calls::fingerprint;
 use bergamotfork::weights::Digest;
@@ -22,27 +22,30 @@
 }
 
 #[test]
-fn standing_third_crash_is_refused() {
+fn request_status_third_crash_is_refused() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
     let poison = request(0);
-    assert_eq!(table.standing(poison, 0), Standing::Clear);
+    assert_eq!(table.request_status(poison, 0), SuspectStatus::Clear);
     for number in 0..2 {
         table.add_crash(poison, crash(number), 0);
         table.add_crash(poison, crash(number), 1);
-        assert_eq!(table.standing(poison, 1), Standing::Suspect);
+        assert_eq!(table.request_status(poison, 1), SuspectStatus::Suspect);
     }
     table.add_crash(poison, crash(2), 2);
-    assert_eq!(table.standing(poison, 2), Standing::Refused);
-    assert_eq!(table.standing(request(1), 2), Standing::Clear);
-    assert_eq!(table.standing(poison, WINDOW_MS + 2), Standing::Clear);
+    assert_eq!(table.request_status(poison, 2), SuspectStatus::Refused);
+    assert_eq!(table.request_status(request(1), 2), SuspectStatus::Clear);
+    assert_eq!(
+        table.request_status(poison, WINDOW_MS + 2),
+        SuspectStatus::Clear
+    );
 }
 
 #[test]
-fn standing_bystander_is_cleared() {
+fn request_status_cleared_request_is_clear() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
     table.add_crash(request(1), crash(0), 0);
     table.clear(request(1));
-    assert_eq!(table.standing(request(1), 0), Standing::Clear);
+    assert_eq!(table.request_status(request(1), 0), SuspectStatus::Clear);
 }
 
 #[test]
