--- a/src/calls/permit_epochs.rs
+++ b/src/calls/permit_epochs.rs
@@ -19,7 +19,7 @@
     }
 
     /// Moves on to the epoch of `now_ms`; true if it changed.
-    pub fn turn(&mut self, now_ms: u64) -> bool {
+    pub fn advance(&mut self, now_ms: u64) -> bool {
         let elapsed = now_ms.saturating_sub(self.started_ms) / self.epoch_ms;
         self.current += elapsed;
         self.started_ms += elapsed * self.epoch_ms;
@@ -37,12 +37,12 @@
     }
 
     /// Whether permits of `epoch` are still remembered.
-    pub fn holds(&self, epoch: u64) -> bool {
+    pub fn is_remembered(&self, epoch: u64) -> bool {
         epoch >= self.oldest() && epoch <= self.current
     }
 
     /// Time until the next epoch starts.
-    pub fn next_in_ms(&self, now_ms: u64) -> u64 {
+    pub fn next_epoch_in_ms(&self, now_ms: u64) -> u64 {
         (self.started_ms + self.epoch_ms).saturating_sub(now_ms)
     }
 }
--- a/src/calls/permit_table.rs
+++ b/src/calls/permit_table.rs
@@ -35,7 +35,7 @@
 
 /// What the table says to a call that arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Begin {
+pub enum CallDecision {
     /// Nothing is known of the permit; the call is now recorded as running and must be run.
     Run,
     /// The call is running; wait for its outcome.
@@ -55,7 +55,7 @@
 
 /// What the table says to a question about a permit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Asked {
+pub enum PermitStatus {
     /// The call has not run and never will.
     NotRun(RefusalReason),
     /// The call is running.
@@ -126,31 +126,31 @@
     }
 
     /// Moves on to the epoch of `now_ms` and drops the epochs past remembering.
-    pub fn turn(&mut self, now_ms: u64) {
-        if self.counter.turn(now_ms) {
+    pub fn advance_epoch(&mut self, now_ms: u64) {
+        if self.counter.advance(now_ms) {
             let oldest = self.counter.oldest();
             self.epochs.retain(|epoch| epoch.number >= oldest);
         }
     }
 
     /// Takes in a call whose request digests to `request`.
-    pub fn begin(&mut self, permit: &Permit, request: Digest, now_ms: u64) -> Begin {
-        self.take_in(permit, request, None, now_ms)
+    pub fn begin_call(&mut self, permit: &Permit, request: Digest, now_ms: u64) -> CallDecision {
+        self.decide(permit, request, None, now_ms)
     }
 
     /// Refuses a call before it is passed on, unless it is known already.
-    pub fn refuse(
+    pub fn refuse_call(
         &mut self,
         permit: &Permit,
         request: Digest,
         reason: RefusalReason,
         now_ms: u64,
-    ) -> Begin {
-        self.take_in(permit, request, Some(reason), now_ms)
+    ) -> CallDecision {
+        self.decide(permit, request, Some(reason), now_ms)
     }
 
     /// Records the outcome of a running call; later outcomes of the same call are ignored.
-    pub fn finish(&mut self, permit: &Permit, outcome: CallOutcome) {
+    pub fn finish_call(&mut self, permit: &Permit, outcome: CallOutcome) {
         let answer_bytes = self.limits.answer_bytes;
         let Some(epoch) = self.find_epoch(permit) else {
             return;
@@ -171,49 +171,54 @@
     }
 
     /// What became of a permit; one that was not seen is refused for `reason` from now on.
-    pub fn ask(&mut self, permit: &Permit, reason: RefusalReason, now_ms: u64) -> Asked {
+    pub fn status_or_refuse(
+        &mut self,
+        permit: &Permit,
+        reason: RefusalReason,
+        now_ms: u64,
+    ) -> PermitStatus {
         let limits = self.limits.clone();
         let epoch = match self.open_epoch(permit, now_ms) {
             Ok(epoch) => epoch,
-            Err(reason) => return Asked::Unknown(reason),
+            Err(reason) => return PermitStatus::Unknown(reason),
         };
         match epoch.position(permit.nonce) {
-            Ok(at) => epoch.entries[at].asked(),
-            Err(_) if epoch.is_full(&limits) => Asked::NotRun(RefusalReason::PermitsFull),
+            Ok(at) => epoch.entries[at].status(),
+            Err(_) if epoch.is_full(&limits) => PermitStatus::NotRun(RefusalReason::PermitsFull),
             Err(at) => {
                 epoch.insert(at, permit.nonce, State::Tombstone(reason));
-                Asked::NotRun(reason)
+                PermitStatus::NotRun(reason)
             }
         }
     }
 
-    fn take_in(
+    fn decide(
         &mut self,
         permit: &Permit,
         request: Digest,
         refusal: Option<RefusalReason>,
         now_ms: u64,
-    ) -> Begin {
+    ) -> CallDecision {
         let limits = self.limits.clone();
-        let next_epoch_ms = self.counter.next_in_ms(now_ms);
+        let next_epoch_ms = self.counter.next_epoch_in_ms(now_ms);
         let epoch = match self.open_epoch(permit, now_ms) {
             Ok(epoch) => epoch,
-            Err(reason) => return Begin::Unknown(reason),
+            Err(reason) => return CallDecision::Unknown(reason),
         };
         match epoch.position(permit.nonce) {
-            Ok(at) => epoch.entries[at].begun(request),
-            Err(_) if epoch.is_full(&limits) => Begin::Refused {
+            Ok(at) => epoch.entries[at].decision_for(request),
+            Err(_) if epoch.is_full(&limits) => CallDecision::Refused {
                 reason: RefusalReason::PermitsFull,
                 retry_after_ms: Some(next_epoch_ms),
             },
             Err(at) => match refusal {
                 None => {
                     epoch.insert(at, permit.nonce, State::Running(request));
-                    Begin::Run
+                    CallDecision::Run
                 }
                 Some(reason) => {
                     epoch.insert(at, permit.nonce, State::Tombstone(reason));
-                    Begin::refused(reason)
+                    CallDecision::refused(reason)
                 }
             },
         }
@@ -229,11 +234,11 @@
 
     /// The epoch a permit names, if this process can vouch for it.
     fn open_epoch(&mut self, permit: &Permit, now_ms: u64) -> Result<&mut Epoch, UnknownReason> {
-        self.turn(now_ms);
+        self.advance_epoch(now_ms);
         if permit.incarnation != self.incarnation {
             return Err(UnknownReason::PastIncarnation);
         }
-        if !self.counter.holds(permit.epoch) {
+        if !self.counter.is_remembered(permit.epoch) {
             return Err(UnknownReason::EpochDropped);
         }
         let at = match self.epoch_position(permit.epoch) {
@@ -252,7 +257,7 @@
     }
 }
 
-impl Begin {
+impl CallDecision {
     fn refused(reason: RefusalReason) -> Self {
         Self::Refused {
             reason,
@@ -289,20 +294,24 @@
 }
 
 impl Entry {
-    fn begun(&self, request: Digest) -> Begin {
+    fn decision_for(&self, request: Digest) -> CallDecision {
         match &self.state {
-            State::Running(first) if *first == request => Begin::Join,
-            State::Ended(first, outcome) if *first == request => Begin::Done(outcome.clone()),
-            State::Running(_) | State::Ended(..) => Begin::refused(RefusalReason::PermitReused),
-            State::Tombstone(reason) => Begin::refused(*reason),
+            State::Running(first) if *first == request => CallDecision::Join,
+            State::Ended(first, outcome) if *first == request => {
+                CallDecision::Done(outcome.clone())
+            }
+            State::Running(_) | State::Ended(..) => {
+                CallDecision::refused(RefusalReason::PermitReused)
+            }
+            State::Tombstone(reason) => CallDecision::refused(*reason),
         }
     }
 
-    fn asked(&self) -> Asked {
+    fn status(&self) -> PermitStatus {
         match &self.state {
-            State::Running(_) => Asked::Running,
-            State::Ended(_, outcome) => Asked::Done(outcome.clone()),
-            State::Tombstone(reason) => Asked::NotRun(*reason),
+            State::Running(_) => PermitStatus::Running,
+            State::Ended(_, outcome) => PermitStatus::Done(outcome.clone()),
+            State::Tombstone(reason) => PermitStatus::NotRun(*reason),
         }
     }
 }
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -7,11 +7,11 @@
 use actix_web::web::Bytes;
 use futures_util::FutureExt;
 
-use crate::calls::Asked;
-use crate::calls::Begin;
+use crate::calls::CallDecision;
 use crate::calls::CallOutcome;
 use crate::calls::NonceQuestion;
 use crate::calls::Permit;
+use crate::calls::PermitStatus;
 use crate::calls::RefusalReason;
 use crate::calls::ServiceCall;
 use crate::calls::ServiceReply;
@@ -60,10 +60,10 @@
     beating_response(async move {
         let asked = ask(&state, &question.permit, question.reason);
         let told = match asked {
-            Asked::NotRun(reason) => Told::Ended(CallOutcome::not_run(reason)),
-            Asked::Done(outcome) => Told::Ended(outcome),
-            Asked::Unknown(reason) => Told::NotHere(reason),
-            Asked::Running => Told::Ended(end_of(&state, &question.permit).await),
+            PermitStatus::NotRun(reason) => Told::Ended(CallOutcome::not_run(reason)),
+            PermitStatus::Done(outcome) => Told::Ended(outcome),
+            PermitStatus::Unknown(reason) => Told::NotHere(reason),
+            PermitStatus::Running => Told::Ended(end_of(&state, &question.permit).await),
         };
         ServiceReply {
             request_id: question.request_id,
@@ -83,17 +83,19 @@
     let admitted = admit(state, &call, request);
     let now_ms = state.node.now_ms();
     let begun = match &admitted {
-        Ok(_) => state.permits().begin(&permit, request, now_ms),
-        Err(reason) => state.permits().refuse(&permit, request, *reason, now_ms),
+        Ok(_) => state.permits().begin_call(&permit, request, now_ms),
+        Err(reason) => state
+            .permits()
+            .refuse_call(&permit, request, *reason, now_ms),
     };
-    if let (Begin::Run, Ok(admitted)) = (&begun, admitted) {
+    if let (CallDecision::Run, Ok(admitted)) = (&begun, admitted) {
         start(admitted, call, permit.clone(), deadline);
         return Told::Ended(end_of(state, &permit).await);
     }
     match begun {
-        Begin::Run | Begin::Join => Told::Ended(end_of(state, &permit).await),
-        Begin::Done(outcome) => Told::Ended(outcome),
-        Begin::Refused {
+        CallDecision::Run | CallDecision::Join => Told::Ended(end_of(state, &permit).await),
+        CallDecision::Done(outcome) => Told::Ended(outcome),
+        CallDecision::Refused {
             reason,
             retry_after_ms,
         } => {
@@ -103,7 +105,7 @@
                 retry_after_ms,
             })
         }
-        Begin::Unknown(reason) => Told::NotHere(reason),
+        CallDecision::Unknown(reason) => Told::NotHere(reason),
     }
 }
 
@@ -183,7 +185,7 @@
     let task = actix_rt::spawn(async move {
         let run = CallRun::new(&admitted.state, admitted.request, deadline);
         let outcome = run.execute(call, Some(nonce)).await;
-        admitted.state.permits().finish(&permit, outcome);
+        admitted.state.permits().finish_call(&permit, outcome);
         admitted.state.calls.ended(nonce);
     });
     state.calls.started(nonce, task.map(|_| ()).boxed());
@@ -195,14 +197,14 @@
         end.await;
     }
     match ask(state, permit, RefusalReason::Withdrawn) {
-        Asked::Done(outcome) => outcome,
-        Asked::NotRun(reason) => CallOutcome::not_run(reason),
-        Asked::Unknown(reason) => CallOutcome::unknown(reason),
-        Asked::Running => CallOutcome::unknown(UnknownReason::ServiceLost),
+        PermitStatus::Done(outcome) => outcome,
+        PermitStatus::NotRun(reason) => CallOutcome::not_run(reason),
+        PermitStatus::Unknown(reason) => CallOutcome::unknown(reason),
+        PermitStatus::Running => CallOutcome::unknown(UnknownReason::ServiceLost),
     }
 }
 
-fn ask(state: &EndpointState, permit: &Permit, reason: RefusalReason) -> Asked {
+fn ask(state: &EndpointState, permit: &Permit, reason: RefusalReason) -> PermitStatus {
     let now_ms = state.node.now_ms();
-    state.permits().ask(permit, reason, now_ms)
+    state.permits().status_or_refuse(permit, reason, now_ms)
 }
--- a/src/endpoint/call_ticker.rs
+++ b/src/endpoint/call_ticker.rs
@@ -38,7 +38,7 @@
         self.node.suspects().expire(now_ms);
         let epoch = {
             let mut permits = self.permits();
-            permits.turn(now_ms);
+            permits.advance_epoch(now_ms);
             permits.epoch()
         };
         self.node.own().permit_epoch = epoch;
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -1,7 +1,6 @@
 use arbtest::arbtest;
 
-use bergamotfork::calls::Asked;
-use bergamotfork::calls::Begin;
+use bergamotfork::calls::CallDecision;
 use bergamotfork::calls::CallOutcome;
 use bergamotfork::calls::Dispatch;
 use bergamotfork::calls::DispatchLedger;
@@ -10,6 +9,7 @@
 use bergamotfork::calls::PermitKey;
 use bergamotfork::calls::PermitLimits;
 use bergamotfork::calls::PermitPlace;
+use bergamotfork::calls::PermitStatus;
 use bergamotfork::calls::PermitTable;
 use bergamotfork::calls::RefusalReason;
 use bergamotfork::calls::Reply;
@@ -83,13 +83,16 @@
 fn table_resend_gets_stored_answer() {
     let mut table = table(8);
     let permit = permit(1, 1);
-    assert_eq!(table.begin(&permit, request(), 0), Begin::Run);
-    assert_eq!(table.begin(&permit, request(), 0), Begin::Join);
-    table.finish(&permit, answer(2));
-    assert_eq!(table.begin(&permit, request(), 1), Begin::Done(answer(2)));
+    assert_eq!(table.begin_call(&permit, request(), 0), CallDecision::Run);
+    assert_eq!(table.begin_call(&permit, request(), 0), CallDecision::Join);
+    table.finish_call(&permit, answer(2));
     assert_eq!(
-        table.ask(&permit, RefusalReason::Withdrawn, 1),
-        Asked::Done(answer(2))
+        table.begin_call(&permit, request(), 1),
+        CallDecision::Done(answer(2))
+    );
+    assert_eq!(
+        table.status_or_refuse(&permit, RefusalReason::Withdrawn, 1),
+        PermitStatus::Done(answer(2))
     );
 }
 
@@ -97,11 +100,11 @@
 fn table_other_request_is_refused() {
     let mut table = table(8);
     let permit = permit(1, 1);
-    table.begin(&permit, request(), 0);
-    let other = table.begin(&permit, Digest::of(b"book hut 13"), 0);
+    table.begin_call(&permit, request(), 0);
+    let other = table.begin_call(&permit, Digest::of(b"book hut 13"), 0);
     let refused = matches!(
         other,
-        Begin::Refused {
+        CallDecision::Refused {
             reason: RefusalReason::PermitReused,
             ..
         }
@@ -113,30 +116,39 @@
 fn table_large_answer_is_unknown() {
     let mut table = table(8);
     let permit = permit(1, 1);
-    table.begin(&permit, request(), 0);
-    table.finish(&permit, answer(33));
+    table.begin_call(&permit, request(), 0);
+    table.finish_call(&permit, answer(33));
     let dropped = CallOutcome::unknown(UnknownReason::AnswerDropped);
-    assert_eq!(table.begin(&permit, request(), 0), Begin::Done(dropped));
+    assert_eq!(
+        table.begin_call(&permit, request(), 0),
+        CallDecision::Done(dropped)
+    );
 }
 
 #[test]
 fn table_full_epoch_stays_closed() {
     let mut table = table(2);
     for nonce in 0..2 {
-        table.begin(&permit(nonce, 1), request(), 0);
+        table.begin_call(&permit(nonce, 1), request(), 0);
     }
-    let refused = Begin::Refused {
+    let refused = CallDecision::Refused {
         reason: RefusalReason::PermitsFull,
         retry_after_ms: Some(EPOCH_MS),
     };
-    assert_eq!(table.begin(&permit(2, 1), request(), 0), refused);
-    let asked = Asked::NotRun(RefusalReason::PermitsFull);
-    assert_eq!(table.ask(&permit(3, 1), RefusalReason::Withdrawn, 0), asked);
+    assert_eq!(table.begin_call(&permit(2, 1), request(), 0), refused);
+    let asked = PermitStatus::NotRun(RefusalReason::PermitsFull);
+    assert_eq!(
+        table.status_or_refuse(&permit(3, 1), RefusalReason::Withdrawn, 0),
+        asked
+    );
     assert_eq!(table.len(), 2);
-    assert_eq!(table.begin(&permit(2, 2), request(), EPOCH_MS), Begin::Run);
+    assert_eq!(
+        table.begin_call(&permit(2, 2), request(), EPOCH_MS),
+        CallDecision::Run
+    );
     assert!(matches!(
-        table.begin(&permit(2, 1), request(), EPOCH_MS),
-        Begin::Refused { .. }
+        table.begin_call(&permit(2, 1), request(), EPOCH_MS),
+        CallDecision::Refused { .. }
     ));
 }
 
@@ -155,19 +167,19 @@
             let permit = permit(nonce as u128, 1 + nonce as u64 % 3);
             match u.int_in_range(0..=4)? {
                 0 => now_ms += u.int_in_range(0..=EPOCH_MS)?,
-                1 => table.finish(&permit, answer(u.int_in_range(0..=40)?)),
+                1 => table.finish_call(&permit, answer(u.int_in_range(0..=40)?)),
                 2 => {
-                    let asked = table.ask(&permit, RefusalReason::Withdrawn, now_ms);
-                    not_run[nonce] |= matches!(asked, Asked::NotRun(_));
+                    let asked = table.status_or_refuse(&permit, RefusalReason::Withdrawn, now_ms);
+                    not_run[nonce] |= matches!(asked, PermitStatus::NotRun(_));
                 }
                 kind => {
                     let begun = if kind == 3 {
-                        table.begin(&permit, request(), now_ms)
+                        table.begin_call(&permit, request(), now_ms)
                     } else {
-                        table.refuse(&permit, request(), RefusalReason::Leaving, now_ms)
+                        table.refuse_call(&permit, request(), RefusalReason::Leaving, now_ms)
                     };
-                    not_run[nonce] |= matches!(begun, Begin::Refused { .. });
-                    runs[nonce] += u32::from(begun == Begin::Run);
+                    not_run[nonce] |= matches!(begun, CallDecision::Refused { .. });
+                    runs[nonce] += u32::from(begun == CallDecision::Run);
                 }
             }
             assert!(runs[nonce] <= 1, "ran twice");
--- a/tests/spec_permits/world.rs
+++ b/tests/spec_permits/world.rs
@@ -10,11 +10,11 @@
 use crate::messages::Told;
 use crate::rules::Bounds;
 use crate::rules::Rule;
-use bergamotfork::calls::Asked;
-use bergamotfork::calls::Begin;
+use bergamotfork::calls::CallDecision;
 use bergamotfork::calls::CallOutcome;
 use bergamotfork::calls::Dispatch;
 use bergamotfork::calls::DispatchLedger;
+use bergamotfork::calls::PermitStatus;
 use bergamotfork::calls::PermitTable;
 use bergamotfork::calls::RefusalReason;
 use bergamotfork::calls::SendFacts;
@@ -223,39 +223,42 @@
             permit.epoch = self.table.epoch();
         }
         let request = Digest::of(b"request");
-        let told = match self.table.begin(&permit, request, self.now_ms) {
-            Begin::Run => {
+        let told = match self.table.begin_call(&permit, request, self.now_ms) {
+            CallDecision::Run => {
                 self.running = true;
                 self.runs += 1;
                 self.joined.push(handler);
                 return;
             }
-            Begin::Join => {
+            CallDecision::Join => {
                 self.joined.push(handler);
                 return;
             }
-            Begin::Done(_) => Told::Answer,
-            Begin::Refused { reason, .. } => Told::NotRun(reason),
-            Begin::Unknown(reason) => Told::ArrivedUnknown(reason),
+            CallDecision::Done(_) => Told::Answer,
+            CallDecision::Refused { reason, .. } => Told::NotRun(reason),
+            CallDecision::Unknown(reason) => Told::ArrivedUnknown(reason),
         };
         self.send_reply(handler, told);
     }
 
     fn ask_arrives(&mut self, handler: usize) {
         let before = self.table.clone();
-        let told = match self
-            .table
-            .ask(&permit(), RefusalReason::Withdrawn, self.now_ms)
-        {
-            Asked::NotRun(reason) => Told::NotRun(reason),
-            Asked::Done(_) => Told::Answer,
-            Asked::Unknown(reason) if self.lacks(Rule::AskedApart) => Told::ArrivedUnknown(reason),
-            Asked::Unknown(reason) => Told::AskedUnknown(reason),
-            Asked::Running => {
-                self.joined.push(handler);
-                return;
-            }
-        };
+        let told =
+            match self
+                .table
+                .status_or_refuse(&permit(), RefusalReason::Withdrawn, self.now_ms)
+            {
+                PermitStatus::NotRun(reason) => Told::NotRun(reason),
+                PermitStatus::Done(_) => Told::Answer,
+                PermitStatus::Unknown(reason) if self.lacks(Rule::AskedApart) => {
+                    Told::ArrivedUnknown(reason)
+                }
+                PermitStatus::Unknown(reason) => Told::AskedUnknown(reason),
+                PermitStatus::Running => {
+                    self.joined.push(handler);
+                    return;
+                }
+            };
         if self.lacks(Rule::Tombstone) {
             self.table = before;
         }
@@ -349,7 +352,7 @@
         }
         next.push(self.with(|world| {
             world.running = false;
-            world.table.finish(&permit(), answer());
+            world.table.finish_call(&permit(), answer());
             for handler in std::mem::take(&mut world.joined) {
                 world.send_reply(handler, Told::Answer);
             }
@@ -364,7 +367,7 @@
         next.push(spent.with(World::endpoint_restarts));
         next.push(spent.with(|world| {
             world.now_ms += EPOCH_MS;
-            world.table.turn(world.now_ms);
+            world.table.advance_epoch(world.now_ms);
         }));
         for entry in 0..ENTRIES {
             next.push(spent.with(|world| world.entry_restarts(entry)));
