--- a/src/calls/permit.rs
+++ b/src/calls/permit.rs
@@ -22,7 +22,7 @@
 
 /// Where a permit is good: one incarnation and epoch of one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PermitPlace {
+pub struct PermitTarget {
     /// Name of the endpoint.
     pub endpoint: String,
     /// Address of its process.
@@ -56,14 +56,14 @@
 
 impl Permit {
     /// Issues a permit for a fresh call.
-    pub fn issue(key: &PermitKey, place: PermitPlace, branch: &str, service: &str) -> Self {
+    pub fn issue(key: &PermitKey, place: PermitTarget, branch: &str, service: &str) -> Self {
         Self::with_nonce(key, place, branch, service, Nonce::random())
     }
 
     /// Issues a permit with a given nonce.
     pub fn with_nonce(
         key: &PermitKey,
-        place: PermitPlace,
+        place: PermitTarget,
         branch: &str,
         service: &str,
         nonce: Nonce,
@@ -78,18 +78,18 @@
             service: service.to_owned(),
             seal: Digest::of(&[]),
         };
-        permit.seal = permit.seal_with(key);
+        permit.seal = permit.compute_seal(key);
         permit
     }
 
     /// Whether an entry that holds `key` issued it, unchanged.
-    pub fn is_genuine(&self, key: &PermitKey) -> bool {
+    pub fn has_valid_seal(&self, key: &PermitKey) -> bool {
         // Hashes compare in constant time.
         let seal = blake3::Hash::from_bytes(*self.seal.as_bytes());
-        seal == blake3::Hash::from_bytes(*self.seal_with(key).as_bytes())
+        seal == blake3::Hash::from_bytes(*self.compute_seal(key).as_bytes())
     }
 
-    fn seal_with(&self, key: &PermitKey) -> Digest {
+    fn compute_seal(&self, key: &PermitKey) -> Digest {
         let mut hasher = blake3::Hasher::new_keyed(&key.0);
         let address = self.address.to_string();
         for text in [&self.endpoint, &address, &self.branch, &self.service] {
--- a/src/calls/service_call.rs
+++ b/src/calls/service_call.rs
@@ -37,7 +37,7 @@
 
 /// Asks an endpoint what became of a permit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct NonceQuestion {
+pub struct PermitStatusQuery {
     /// Name of the question, echoed in its answer.
     pub request_id: String,
     /// The permit.
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -9,9 +9,9 @@
 
 use crate::calls::CallDecision;
 use crate::calls::CallOutcome;
-use crate::calls::NonceQuestion;
 use crate::calls::Permit;
 use crate::calls::PermitStatus;
+use crate::calls::PermitStatusQuery;
 use crate::calls::RefusalReason;
 use crate::calls::ServiceCall;
 use crate::calls::ServiceReply;
@@ -52,11 +52,11 @@
     request: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let question: NonceQuestion = match open_call(&request, &body, &state.node.cluster().shared_key)
-    {
-        Ok(question) => question,
-        Err(fault) => return fault.response(),
-    };
+    let question: PermitStatusQuery =
+        match open_call(&request, &body, &state.node.cluster().shared_key) {
+            Ok(question) => question,
+            Err(fault) => return fault.response(),
+        };
     beating_response(async move {
         let asked = ask(&state, &question.permit, question.reason);
         let told = match asked {
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -105,7 +105,7 @@
     let Some(permit) = permit else {
         return CallOutcome::not_run(RefusalReason::PermitRequired);
     };
-    let good = permit.is_genuine(&state.permit_key)
+    let good = permit.has_valid_seal(&state.permit_key)
         && permit.branch == call.branch
         && permit.service == call.service;
     if !good {
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -4,8 +4,8 @@
 use crate::calls::CrashId;
 use crate::calls::Dispatch;
 use crate::calls::Nonce;
-use crate::calls::NonceQuestion;
 use crate::calls::Permit;
+use crate::calls::PermitStatusQuery;
 use crate::calls::RefusalReason;
 use crate::calls::Reply;
 use crate::calls::ServiceCall;
@@ -92,7 +92,7 @@
 
     /// Asks for the nonce over a new connection, and has it refused if the call has not arrived.
     async fn ask(&self, reason: RefusalReason) -> Reply {
-        let question = NonceQuestion {
+        let question = PermitStatusQuery {
             request_id: Nonce::random().to_string(),
             permit: self.permit.clone(),
             reason,
--- a/src/entry/call_permits.rs
+++ b/src/entry/call_permits.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use crate::calls::Permit;
-use crate::calls::PermitPlace;
+use crate::calls::PermitTarget;
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 use crate::entry::auth;
@@ -50,14 +50,14 @@
     permits
 }
 
-fn places(state: &EntryState, service: &str) -> Vec<PermitPlace> {
+fn places(state: &EntryState, service: &str) -> Vec<PermitTarget> {
     let now_ms = state.node.now_ms();
     state
         .node
         .roster()
         .usable(HostRole::Endpoint, now_ms)
         .filter(|(_, host)| host.service.as_deref() == Some(service))
-        .map(|(_, host)| PermitPlace {
+        .map(|(_, host)| PermitTarget {
             endpoint: host.name.clone(),
             address: host.address,
             incarnation: host.incarnation,
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -8,9 +8,9 @@
 use bergamotfork::calls::Permit;
 use bergamotfork::calls::PermitKey;
 use bergamotfork::calls::PermitLimits;
-use bergamotfork::calls::PermitPlace;
 use bergamotfork::calls::PermitStatus;
 use bergamotfork::calls::PermitTable;
+use bergamotfork::calls::PermitTarget;
 use bergamotfork::calls::RefusalReason;
 use bergamotfork::calls::Reply;
 use bergamotfork::calls::StoredAnswer;
@@ -21,7 +21,7 @@
 const KEPT_EPOCHS: u64 = 2;
 
 fn permit(nonce: u128, epoch: u64) -> Permit {
-    let place = PermitPlace {
+    let place = PermitTarget {
         endpoint: "desk-1".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         incarnation: 5,
@@ -54,17 +54,17 @@
 }
 
 #[test]
-fn permit_changed_is_not_genuine() {
+fn has_valid_seal_changed_permit_has_none() {
     let key = PermitKey::derive("key");
     let genuine = permit(1, 1);
-    assert!(genuine.is_genuine(&key));
-    assert!(!genuine.is_genuine(&PermitKey::derive("other")));
+    assert!(genuine.has_valid_seal(&key));
+    assert!(!genuine.has_valid_seal(&PermitKey::derive("other")));
     let mut moved = genuine.clone();
     moved.address = ([127, 0, 0, 2], 80).into();
-    assert!(!moved.is_genuine(&key));
+    assert!(!moved.has_valid_seal(&key));
     let mut renewed = genuine;
     renewed.nonce = Nonce::from(2);
-    assert!(!renewed.is_genuine(&key));
+    assert!(!renewed.has_valid_seal(&key));
 }
 
 #[test]
--- a/tests/calls_faults/silence.rs
+++ b/tests/calls_faults/silence.rs
@@ -16,7 +16,7 @@
 use crate::support::until;
 use bergamotfork::calls::Permit;
 use bergamotfork::calls::PermitKey;
-use bergamotfork::calls::PermitPlace;
+use bergamotfork::calls::PermitTarget;
 
 /// Time within which a silent connection must be left and the call resolved.
 const SILENCE_LIMIT: Duration = Duration::from_secs(3);
@@ -27,7 +27,7 @@
 
 /// The permit, leading to the endpoint through `forwarder`.
 fn through(forwarder: &Forwarder, permit: &Permit) -> Permit {
-    let place = PermitPlace {
+    let place = PermitTarget {
         endpoint: permit.endpoint.clone(),
         address: forwarder.address,
         incarnation: permit.incarnation,
--- a/tests/spec_permits/fixture.rs
+++ b/tests/spec_permits/fixture.rs
@@ -3,8 +3,8 @@
 use bergamotfork::calls::Permit;
 use bergamotfork::calls::PermitKey;
 use bergamotfork::calls::PermitLimits;
-use bergamotfork::calls::PermitPlace;
 use bergamotfork::calls::PermitTable;
+use bergamotfork::calls::PermitTarget;
 use bergamotfork::calls::StoredAnswer;
 
 pub const EPOCH_MS: u64 = 1;
@@ -12,7 +12,7 @@
 pub const NONCE: u128 = 7;
 
 pub fn permit() -> Permit {
-    let place = PermitPlace {
+    let place = PermitTarget {
         endpoint: "a".to_owned(),
         address: ([127, 0, 0, 1], 1).into(),
         incarnation: FIRST_INCARNATION,
