--- a/src/calls/service_call.rs
+++ b/src/calls/service_call.rs
@@ -7,7 +7,7 @@
 use super::UnknownReason;
 
 /// Byte of a heartbeat before an answer; no answer starts with it.
-pub const BEAT: u8 = 0xc0;
+pub const HEARTBEAT_BYTE: u8 = 0xc0;
 
 /// A call of a plain service, from an entry to an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 /// What an endpoint says of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Told {
+pub enum CallReport {
     /// The call has this outcome.
     Ended(CallOutcome),
     /// The call or question met a process that cannot know the permit, and did not run there.
@@ -62,5 +62,5 @@
     /// Name of the request it answers.
     pub request_id: String,
     /// What it says.
-    pub told: Told,
+    pub told: CallReport,
 }
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -9,6 +9,7 @@
 
 use crate::calls::CallDecision;
 use crate::calls::CallOutcome;
+use crate::calls::CallReport;
 use crate::calls::Permit;
 use crate::calls::PermitStatus;
 use crate::calls::PermitStatusQuery;
@@ -16,7 +17,6 @@
 use crate::calls::ServiceCall;
 use crate::calls::ServiceReply;
 use crate::calls::SuspectStatus;
-use crate::calls::Told;
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
 use crate::endpoint::EndpointState;
@@ -60,10 +60,10 @@
     beating_response(async move {
         let asked = ask(&state, &question.permit, question.reason);
         let told = match asked {
-            PermitStatus::NotRun(reason) => Told::Ended(CallOutcome::not_run(reason)),
-            PermitStatus::Done(outcome) => Told::Ended(outcome),
-            PermitStatus::Unknown(reason) => Told::NotHere(reason),
-            PermitStatus::Running => Told::Ended(end_of(&state, &question.permit).await),
+            PermitStatus::NotRun(reason) => CallReport::Ended(CallOutcome::not_run(reason)),
+            PermitStatus::Done(outcome) => CallReport::Ended(outcome),
+            PermitStatus::Unknown(reason) => CallReport::NotHere(reason),
+            PermitStatus::Running => CallReport::Ended(end_of(&state, &question.permit).await),
         };
         ServiceReply {
             request_id: question.request_id,
@@ -78,7 +78,7 @@
     call: ServiceCall,
     permit: Permit,
     deadline: Instant,
-) -> Told {
+) -> CallReport {
     let request = fingerprint(&call.target(), call.body.as_bytes());
     let admitted = admit(state, &call, request);
     let now_ms = state.node.now_ms();
@@ -90,22 +90,22 @@
     };
     if let (CallDecision::Run, Ok(admitted)) = (&begun, admitted) {
         start(admitted, call, permit.clone(), deadline);
-        return Told::Ended(end_of(state, &permit).await);
+        return CallReport::Ended(end_of(state, &permit).await);
     }
     match begun {
-        CallDecision::Run | CallDecision::Join => Told::Ended(end_of(state, &permit).await),
-        CallDecision::Done(outcome) => Told::Ended(outcome),
+        CallDecision::Run | CallDecision::Join => CallReport::Ended(end_of(state, &permit).await),
+        CallDecision::Done(outcome) => CallReport::Ended(outcome),
         CallDecision::Refused {
             reason,
             retry_after_ms,
         } => {
             state.node.metrics().refused(reason.code());
-            Told::Ended(CallOutcome::NotRun {
+            CallReport::Ended(CallOutcome::NotRun {
                 reason,
                 retry_after_ms,
             })
         }
-        CallDecision::Unknown(reason) => Told::NotHere(reason),
+        CallDecision::Unknown(reason) => CallReport::NotHere(reason),
     }
 }
 
@@ -114,18 +114,18 @@
     state: &web::Data<EndpointState>,
     call: ServiceCall,
     deadline: Instant,
-) -> Told {
+) -> CallReport {
     let request = fingerprint(&call.target(), call.body.as_bytes());
     let admitted = match admit(state, &call, request) {
         Ok(admitted) => admitted,
         Err(reason) => {
             state.node.metrics().refused(reason.code());
-            return Told::Ended(CallOutcome::not_run(reason));
+            return CallReport::Ended(CallOutcome::not_run(reason));
         }
     };
     let _running = state.calls.repeatable();
     let run = CallRun::new(&admitted.state, request, deadline);
-    Told::Ended(run.execute(call, None).await)
+    CallReport::Ended(run.execute(call, None).await)
 }
 
 /// A call that may start; holds the slot for suspects where it needs it.
--- a/src/endpoint/call_beats.rs
+++ b/src/endpoint/call_beats.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::stream;
 
-use crate::calls::BEAT;
+use crate::calls::HEARTBEAT_BYTE;
 use crate::calls::ServiceReply;
 
 /// Time between two heartbeats of an answer that is not ready.
@@ -30,7 +30,7 @@
 async fn next_chunk(state: Option<Answering>) -> Option<(Result<Bytes, Error>, Option<Answering>)> {
     let mut answering = state?;
     match timeout(BEAT_PAUSE, &mut answering).await {
-        Err(_) => Some((Ok(Bytes::from_static(&[BEAT])), Some(answering))),
+        Err(_) => Some((Ok(Bytes::from_static(&[HEARTBEAT_BYTE])), Some(answering))),
         Ok(reply) => {
             let body = rmp_serde::to_vec_named(&reply)
                 .map(Bytes::from)
--- a/src/entry/call_link.rs
+++ b/src/entry/call_link.rs
@@ -7,9 +7,9 @@
 use futures_util::StreamExt;
 use serde::Serialize;
 
-use crate::calls::BEAT;
+use crate::calls::CallReport;
+use crate::calls::HEARTBEAT_BYTE;
 use crate::calls::ServiceReply;
-use crate::calls::Told;
 use crate::links::HttpClient;
 use crate::links::LinkError;
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(super) enum Heard {
     /// A whole answer to this request.
-    Told(Told),
+    Told(CallReport),
     /// No byte of the request left.
     NotSent,
     /// The request left and no usable answer came.
@@ -89,7 +89,10 @@
 
 /// Takes an answer only if it is whole and belongs to the request.
 fn decode(whole: &[u8], request_id: &str) -> Heard {
-    let beats = whole.iter().take_while(|byte| **byte == BEAT).count();
+    let beats = whole
+        .iter()
+        .take_while(|byte| **byte == HEARTBEAT_BYTE)
+        .count();
     match rmp_serde::from_slice::<ServiceReply>(&whole[beats..]) {
         Ok(reply) if reply.request_id == request_id => Heard::Told(reply.told),
         Ok(_) => Heard::Lost("crossed"),
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -1,6 +1,7 @@
 use std::time::Instant;
 
 use crate::calls::CallOutcome;
+use crate::calls::CallReport;
 use crate::calls::CrashId;
 use crate::calls::Dispatch;
 use crate::calls::Nonce;
@@ -10,7 +11,6 @@
 use crate::calls::Reply;
 use crate::calls::ServiceCall;
 use crate::calls::SuspectStatus;
-use crate::calls::Told;
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
 use crate::entry::EntryState;
@@ -44,8 +44,10 @@
         }
         let heard = self.send("call", &self.call.request_id, &self.call).await;
         match heard {
-            Heard::Told(Told::Ended(outcome)) => self.conclude(Reply::Ended(outcome)),
-            Heard::Told(Told::NotHere(reason)) => self.conclude(Reply::ArrivedUnknown(reason)),
+            Heard::Told(CallReport::Ended(outcome)) => self.conclude(Reply::Ended(outcome)),
+            Heard::Told(CallReport::NotHere(reason)) => {
+                self.conclude(Reply::ArrivedUnknown(reason))
+            }
             Heard::StillRunning => self.conclude(Reply::Lost(UnknownReason::StillRunning)),
             Heard::NotSent => {
                 self.state.calls.ledger().never_left(self.permit.nonce);
@@ -99,8 +101,8 @@
         };
         let heard = self.send("nonce", &question.request_id, &question).await;
         match heard {
-            Heard::Told(Told::Ended(outcome)) => Reply::Ended(outcome),
-            Heard::Told(Told::NotHere(reason)) => Reply::AskedUnknown(reason),
+            Heard::Told(CallReport::Ended(outcome)) => Reply::Ended(outcome),
+            Heard::Told(CallReport::NotHere(reason)) => Reply::AskedUnknown(reason),
             Heard::StillRunning => Reply::Lost(UnknownReason::StillRunning),
             Heard::NotSent => Reply::Lost(UnknownReason::EndpointGone),
             Heard::Lost(_) => Reply::Lost(UnknownReason::EndpointLost),
--- a/src/entry/call_repeatable.rs
+++ b/src/entry/call_repeatable.rs
@@ -4,10 +4,10 @@
 use rand::seq::SliceRandom;
 
 use crate::calls::CallOutcome;
+use crate::calls::CallReport;
 use crate::calls::Nonce;
 use crate::calls::RefusalReason;
 use crate::calls::ServiceCall;
-use crate::calls::Told;
 use crate::calls::UnknownReason;
 use crate::entry::EntryState;
 use crate::entry::call_link::Connection;
@@ -113,8 +113,8 @@
     let request_id = attempt.request_id.as_str();
     let heard = exchange(http, connection, &url, request_id, &attempt, deadline).await;
     let outcome = match heard {
-        Heard::Told(Told::Ended(outcome)) => outcome,
-        Heard::Told(Told::NotHere(reason)) => CallOutcome::unknown(reason),
+        Heard::Told(CallReport::Ended(outcome)) => outcome,
+        Heard::Told(CallReport::NotHere(reason)) => CallOutcome::unknown(reason),
         Heard::StillRunning => CallOutcome::unknown(UnknownReason::StillRunning),
         Heard::NotSent => CallOutcome::not_run(RefusalReason::Unreachable),
         Heard::Lost(cause) => {
