--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -3,9 +3,9 @@
 use super::CallOutcome;
 use super::Nonce;
 use super::RefusalReason;
-use super::Reply;
-use super::SendFacts;
-use super::verdict;
+use super::SendHistory;
+use super::SendResult;
+use super::determine_outcome;
 
 /// Whether an entry may send a call on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 struct Record {
     nonce: Nonce,
     dispatches: u32,
-    latest_send: u32,
+    latest_send_no: u32,
     closed: Option<RefusalReason>,
 }
 
@@ -56,7 +56,7 @@
         let record = Record {
             nonce,
             dispatches: 0,
-            latest_send: 0,
+            latest_send_no: 0,
             closed: None,
         };
         self.records.insert(at, record);
@@ -71,7 +71,7 @@
         let Some(record) = self.record(nonce) else {
             return Dispatch::Go;
         };
-        record.latest_send = record.latest_send.max(send_no);
+        record.latest_send_no = record.latest_send_no.max(send_no);
         if let Some(reason) = record.closed {
             return Dispatch::Closed(reason);
         }
@@ -87,18 +87,18 @@
     }
 
     /// What is known of a send, now.
-    pub fn facts(&self, nonce: Nonce, send_no: u32) -> SendFacts {
+    pub fn facts(&self, nonce: Nonce, send_no: u32) -> SendHistory {
         let record = self.position(nonce).ok().map(|at| &self.records[at]);
-        SendFacts {
+        SendHistory {
             send_no,
-            latest_send: record.map_or(send_no, |record| record.latest_send.max(send_no)),
+            latest_send_no: record.map_or(send_no, |record| record.latest_send_no.max(send_no)),
             dispatches: record.map(|record| record.dispatches),
         }
     }
 
     /// The outcome to tell now; after "not run" the permit is closed at this entry.
-    pub fn conclude(&mut self, nonce: Nonce, send_no: u32, reply: Reply) -> CallOutcome {
-        let outcome = verdict(reply, self.facts(nonce, send_no));
+    pub fn conclude(&mut self, nonce: Nonce, send_no: u32, reply: SendResult) -> CallOutcome {
+        let outcome = determine_outcome(reply, self.facts(nonce, send_no));
         if let CallOutcome::NotRun { reason, .. } = &outcome {
             self.close(nonce, *reason);
         }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -3,7 +3,7 @@
 //! A call that may not be repeated needs a permit, which names one incarnation
 //! of one endpoint. That endpoint's permit table runs each nonce once, replays
 //! its outcome to further sends, and records every refusal before it is told.
-//! An entry says "not run" only by the rule in `verdict`.
+//! An entry says "not run" only by the rule in `determine_outcome`.
 
 mod candidate;
 mod dispatch_ledger;
@@ -20,12 +20,12 @@
 mod refusal_reason;
 mod retry_budget;
 mod router;
+mod send_result;
 mod service_call;
 mod stored_answer;
 mod suspect_slot;
 mod suspect_table;
 mod unknown_reason;
-mod verdict;
 
 pub use candidate::Candidate;
 pub use candidate::stable_hash;
@@ -54,6 +54,9 @@
 pub use router::Ask;
 pub use router::Ending;
 pub use router::Router;
+pub use send_result::SendHistory;
+pub use send_result::SendResult;
+pub use send_result::determine_outcome;
 pub use service_call::CallReport;
 pub use service_call::HEARTBEAT_BYTE;
 pub use service_call::PermitStatusQuery;
@@ -68,6 +71,3 @@
 pub use suspect_table::SuspectTable;
 pub use suspect_table::fingerprint;
 pub use unknown_reason::UnknownReason;
-pub use verdict::Reply;
-pub use verdict::SendFacts;
-pub use verdict::verdict;
--- a/src/calls/verdict.rs
+++ b/src/calls/send_result.rs
@@ -4,48 +4,48 @@
 
 /// What an entry learned about one send of a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Reply {
+pub enum SendResult {
     /// The endpoint's permit table holds this outcome.
     Ended(CallOutcome),
     /// The dispatch reached a process that cannot know the permit, and was not run there.
-    ArrivedUnknown(UnknownReason),
+    DispatchUnknown(UnknownReason),
     /// The nonce was asked for at a process that cannot know the permit.
-    AskedUnknown(UnknownReason),
+    QueryUnknown(UnknownReason),
     /// No byte of the call left this entry.
-    NeverLeft(RefusalReason),
+    NotSent(RefusalReason),
     /// The call left; neither an answer nor a word on the nonce came back.
     Lost(UnknownReason),
 }
 
 /// What the entry knows of a send when it answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct SendFacts {
+pub struct SendHistory {
     /// The caller's number of this send, from 1.
     pub send_no: u32,
     /// Highest number of a send of the permit seen here.
-    pub latest_send: u32,
+    pub latest_send_no: u32,
     /// Dispatches of the permit by this entry; `None` where it cannot vouch for the count.
     pub dispatches: Option<u32>,
 }
 
-impl SendFacts {
+impl SendHistory {
     /// Whether the caller sent the permit once and this entry dispatched it `count` times in all.
     fn is_sole_send(self, count: u32) -> bool {
-        self.send_no == 1 && self.latest_send == 1 && self.dispatches == Some(count)
+        self.send_no == 1 && self.latest_send_no == 1 && self.dispatches == Some(count)
     }
 }
 
 /// The outcome to tell the caller; "not run" only of a call that never ran and never will.
-pub fn verdict(reply: Reply, facts: SendFacts) -> CallOutcome {
+pub fn determine_outcome(reply: SendResult, facts: SendHistory) -> CallOutcome {
     match reply {
-        Reply::Ended(outcome) => outcome,
-        Reply::ArrivedUnknown(reason) if facts.is_sole_send(1) => never_ran(reason),
-        Reply::ArrivedUnknown(reason) => CallOutcome::unknown(reason),
-        Reply::AskedUnknown(reason) if facts.is_sole_send(0) => never_ran(reason),
-        Reply::AskedUnknown(reason) => CallOutcome::unknown(reason),
-        Reply::NeverLeft(reason) if facts.is_sole_send(0) => CallOutcome::not_run(reason),
-        Reply::NeverLeft(_) => CallOutcome::unknown(UnknownReason::OtherSend),
-        Reply::Lost(reason) => CallOutcome::unknown(reason),
+        SendResult::Ended(outcome) => outcome,
+        SendResult::DispatchUnknown(reason) if facts.is_sole_send(1) => never_ran(reason),
+        SendResult::DispatchUnknown(reason) => CallOutcome::unknown(reason),
+        SendResult::QueryUnknown(reason) if facts.is_sole_send(0) => never_ran(reason),
+        SendResult::QueryUnknown(reason) => CallOutcome::unknown(reason),
+        SendResult::NotSent(reason) if facts.is_sole_send(0) => CallOutcome::not_run(reason),
+        SendResult::NotSent(_) => CallOutcome::unknown(UnknownReason::OtherSend),
+        SendResult::Lost(reason) => CallOutcome::unknown(reason),
     }
 }
 
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -8,7 +8,7 @@
 use crate::calls::Permit;
 use crate::calls::PermitStatusQuery;
 use crate::calls::RefusalReason;
-use crate::calls::Reply;
+use crate::calls::SendResult;
 use crate::calls::ServiceCall;
 use crate::calls::SuspectStatus;
 use crate::calls::UnknownReason;
@@ -44,11 +44,11 @@
         }
         let heard = self.send("call", &self.call.request_id, &self.call).await;
         match heard {
-            Heard::Told(CallReport::Ended(outcome)) => self.conclude(Reply::Ended(outcome)),
+            Heard::Told(CallReport::Ended(outcome)) => self.conclude(SendResult::Ended(outcome)),
             Heard::Told(CallReport::NotHere(reason)) => {
-                self.conclude(Reply::ArrivedUnknown(reason))
+                self.conclude(SendResult::DispatchUnknown(reason))
             }
-            Heard::StillRunning => self.conclude(Reply::Lost(UnknownReason::StillRunning)),
+            Heard::StillRunning => self.conclude(SendResult::Lost(UnknownReason::StillRunning)),
             Heard::NotSent => {
                 self.state.calls.ledger().never_left(self.permit.nonce);
                 self.endpoint_failed();
@@ -57,7 +57,7 @@
             Heard::Lost(cause) => {
                 self.state.node.metrics().retried(cause);
                 let reply = self.ask(RefusalReason::Withdrawn).await;
-                if reply == Reply::Lost(UnknownReason::EndpointGone) {
+                if reply == SendResult::Lost(UnknownReason::EndpointGone) {
                     self.endpoint_died().await;
                 }
                 self.conclude(reply)
@@ -82,18 +82,18 @@
 
     /// Tells "not run" where this entry can vouch for it, else has the endpoint say so.
     async fn refuse(&self, reason: RefusalReason) -> CallOutcome {
-        let outcome = self.conclude(Reply::NeverLeft(reason));
+        let outcome = self.conclude(SendResult::NotSent(reason));
         if !matches!(outcome, CallOutcome::Unknown { .. }) {
             return outcome;
         }
         match self.ask(reason).await {
-            Reply::Lost(_) => outcome,
+            SendResult::Lost(_) => outcome,
             reply => self.conclude(reply),
         }
     }
 
     /// Asks for the nonce over a new connection, and has it refused if the call has not arrived.
-    async fn ask(&self, reason: RefusalReason) -> Reply {
+    async fn ask(&self, reason: RefusalReason) -> SendResult {
         let question = PermitStatusQuery {
             request_id: Nonce::random().to_string(),
             permit: self.permit.clone(),
@@ -101,11 +101,11 @@
         };
         let heard = self.send("nonce", &question.request_id, &question).await;
         match heard {
-            Heard::Told(CallReport::Ended(outcome)) => Reply::Ended(outcome),
-            Heard::Told(CallReport::NotHere(reason)) => Reply::AskedUnknown(reason),
-            Heard::StillRunning => Reply::Lost(UnknownReason::StillRunning),
-            Heard::NotSent => Reply::Lost(UnknownReason::EndpointGone),
-            Heard::Lost(_) => Reply::Lost(UnknownReason::EndpointLost),
+            Heard::Told(CallReport::Ended(outcome)) => SendResult::Ended(outcome),
+            Heard::Told(CallReport::NotHere(reason)) => SendResult::QueryUnknown(reason),
+            Heard::StillRunning => SendResult::Lost(UnknownReason::StillRunning),
+            Heard::NotSent => SendResult::Lost(UnknownReason::EndpointGone),
+            Heard::Lost(_) => SendResult::Lost(UnknownReason::EndpointLost),
         }
     }
 
@@ -123,8 +123,8 @@
         .await
     }
 
-    fn conclude(&self, reply: Reply) -> CallOutcome {
-        if reply == Reply::Ended(CallOutcome::not_run(RefusalReason::Leaving)) {
+    fn conclude(&self, reply: SendResult) -> CallOutcome {
+        if reply == SendResult::Ended(CallOutcome::not_run(RefusalReason::Leaving)) {
             self.endpoint_leaves();
         }
         let mut ledger = self.state.calls.ledger();
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -12,7 +12,7 @@
 use bergamotfork::calls::PermitTable;
 use bergamotfork::calls::PermitTarget;
 use bergamotfork::calls::RefusalReason;
-use bergamotfork::calls::Reply;
+use bergamotfork::calls::SendResult;
 use bergamotfork::calls::StoredAnswer;
 use bergamotfork::calls::UnknownReason;
 use bergamotfork::weights::Digest;
@@ -197,7 +197,7 @@
     let mut ledger = DispatchLedger::new(2);
     let (own, other) = (Nonce::from(1), Nonce::from(2));
     ledger.issue(own);
-    let arrived = Reply::ArrivedUnknown(UnknownReason::PastIncarnation);
+    let arrived = SendResult::DispatchUnknown(UnknownReason::PastIncarnation);
     for nonce in [own, other] {
         assert_eq!(ledger.dispatch(nonce, 1), Dispatch::Go);
     }
--- a/tests/spec_permits/messages.rs
+++ b/tests/spec_permits/messages.rs
@@ -1,7 +1,7 @@
 use crate::fixture::answer;
 use bergamotfork::calls::CallOutcome;
 use bergamotfork::calls::RefusalReason;
-use bergamotfork::calls::Reply;
+use bergamotfork::calls::SendResult;
 use bergamotfork::calls::UnknownReason;
 
 /// Number of a handler that no longer waits; its messages may still arrive.
@@ -20,19 +20,19 @@
 pub enum Told {
     Answer,
     NotRun(RefusalReason),
-    ArrivedUnknown(UnknownReason),
-    AskedUnknown(UnknownReason),
+    DispatchUnknown(UnknownReason),
+    QueryUnknown(UnknownReason),
     Closed(RefusalReason),
 }
 
 impl Told {
-    pub fn reply(self) -> Reply {
+    pub fn reply(self) -> SendResult {
         match self {
-            Self::Answer => Reply::Ended(answer()),
-            Self::NotRun(reason) => Reply::Ended(CallOutcome::not_run(reason)),
-            Self::ArrivedUnknown(reason) => Reply::ArrivedUnknown(reason),
-            Self::AskedUnknown(reason) => Reply::AskedUnknown(reason),
-            Self::Closed(reason) => Reply::NeverLeft(reason),
+            Self::Answer => SendResult::Ended(answer()),
+            Self::NotRun(reason) => SendResult::Ended(CallOutcome::not_run(reason)),
+            Self::DispatchUnknown(reason) => SendResult::DispatchUnknown(reason),
+            Self::QueryUnknown(reason) => SendResult::QueryUnknown(reason),
+            Self::Closed(reason) => SendResult::NotSent(reason),
         }
     }
 }
--- a/tests/spec_permits/world.rs
+++ b/tests/spec_permits/world.rs
@@ -17,8 +17,8 @@
 use bergamotfork::calls::PermitStatus;
 use bergamotfork::calls::PermitTable;
 use bergamotfork::calls::RefusalReason;
-use bergamotfork::calls::SendFacts;
-use bergamotfork::calls::verdict;
+use bergamotfork::calls::SendHistory;
+use bergamotfork::calls::determine_outcome;
 use bergamotfork::weights::Digest;
 
 const ENTRIES: usize = 2;
@@ -236,7 +236,7 @@
             }
             CallDecision::Done(_) => Told::Answer,
             CallDecision::Refused { reason, .. } => Told::NotRun(reason),
-            CallDecision::Unknown(reason) => Told::ArrivedUnknown(reason),
+            CallDecision::Unknown(reason) => Told::DispatchUnknown(reason),
         };
         self.send_reply(handler, told);
     }
@@ -251,9 +251,9 @@
                 PermitStatus::NotRun(reason) => Told::NotRun(reason),
                 PermitStatus::Done(_) => Told::Answer,
                 PermitStatus::Unknown(reason) if self.lacks(Rule::AskedApart) => {
-                    Told::ArrivedUnknown(reason)
+                    Told::DispatchUnknown(reason)
                 }
-                PermitStatus::Unknown(reason) => Told::AskedUnknown(reason),
+                PermitStatus::Unknown(reason) => Told::QueryUnknown(reason),
                 PermitStatus::Running => {
                     self.joined.push(handler);
                     return;
@@ -278,16 +278,16 @@
             facts.dispatches = self.handlers[handler].count_at_send.or(facts.dispatches);
         }
         if self.without == Some(Rule::SendOne) {
-            facts = SendFacts {
+            facts = SendHistory {
                 send_no: 1,
-                latest_send: 1,
+                latest_send_no: 1,
                 ..facts
             };
         }
         let reply = told.reply();
         let outcome = match self.without {
             Some(Rule::CountAtAnswer | Rule::SendOne | Rule::ClosedAtEntry) => {
-                verdict(reply, facts)
+                determine_outcome(reply, facts)
             }
             _ => ledger.conclude(nonce(), send_no, reply),
         };
