--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -9,15 +9,15 @@
 
 /// Whether an entry may send a call on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Dispatch {
+pub enum DispatchDecision {
     /// Send it; the dispatch is counted.
-    Go,
+    Allowed,
     /// This entry has told "not run" for the permit; nothing may leave for it any more.
     Closed(RefusalReason),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Record {
+struct PermitRecord {
     nonce: Nonce,
     dispatches: u32,
     latest_send_no: u32,
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DispatchLedger {
     // Ascending by nonce.
-    records: Vec<Record>,
+    records: Vec<PermitRecord>,
     // Nonces in the order they were issued; the front is forgotten first.
-    issued: VecDeque<Nonce>,
+    issue_order: VecDeque<Nonce>,
     max_records: usize,
 }
 
@@ -43,51 +43,51 @@
     pub fn new(max_records: usize) -> Self {
         Self {
             records: Vec::new(),
-            issued: VecDeque::new(),
+            issue_order: VecDeque::new(),
             max_records: max_records.max(1),
         }
     }
 
     /// Records a permit this entry issues.
-    pub fn issue(&mut self, nonce: Nonce) {
+    pub fn record_permit(&mut self, nonce: Nonce) {
         let Err(at) = self.position(nonce) else {
             return;
         };
-        let record = Record {
+        let record = PermitRecord {
             nonce,
             dispatches: 0,
             latest_send_no: 0,
             closed: None,
         };
         self.records.insert(at, record);
-        self.issued.push_back(nonce);
-        if self.issued.len() > self.max_records {
+        self.issue_order.push_back(nonce);
+        if self.issue_order.len() > self.max_records {
             self.forget_oldest();
         }
     }
 
     /// Counts a dispatch; to be called before the first byte leaves.
-    pub fn dispatch(&mut self, nonce: Nonce, send_no: u32) -> Dispatch {
-        let Some(record) = self.record(nonce) else {
-            return Dispatch::Go;
+    pub fn record_dispatch(&mut self, nonce: Nonce, send_no: u32) -> DispatchDecision {
+        let Some(record) = self.record_mut(nonce) else {
+            return DispatchDecision::Allowed;
         };
         record.latest_send_no = record.latest_send_no.max(send_no);
         if let Some(reason) = record.closed {
-            return Dispatch::Closed(reason);
+            return DispatchDecision::Closed(reason);
         }
         record.dispatches += 1;
-        Dispatch::Go
+        DispatchDecision::Allowed
     }
 
     /// Takes back a dispatch of which no byte left.
-    pub fn never_left(&mut self, nonce: Nonce) {
-        if let Some(record) = self.record(nonce) {
+    pub fn undo_dispatch(&mut self, nonce: Nonce) {
+        if let Some(record) = self.record_mut(nonce) {
             record.dispatches = record.dispatches.saturating_sub(1);
         }
     }
 
     /// What is known of a send, now.
-    pub fn facts(&self, nonce: Nonce, send_no: u32) -> SendHistory {
+    pub fn send_history(&self, nonce: Nonce, send_no: u32) -> SendHistory {
         let record = self.position(nonce).ok().map(|at| &self.records[at]);
         SendHistory {
             send_no,
@@ -97,10 +97,10 @@
     }
 
     /// The outcome to tell now; after "not run" the permit is closed at this entry.
-    pub fn conclude(&mut self, nonce: Nonce, send_no: u32, reply: SendResult) -> CallOutcome {
-        let outcome = determine_outcome(reply, self.facts(nonce, send_no));
+    pub fn finish_send(&mut self, nonce: Nonce, send_no: u32, reply: SendResult) -> CallOutcome {
+        let outcome = determine_outcome(reply, self.send_history(nonce, send_no));
         if let CallOutcome::NotRun { reason, .. } = &outcome {
-            self.close(nonce, *reason);
+            self.close_permit(nonce, *reason);
         }
         outcome
     }
@@ -115,20 +115,20 @@
         self.records.is_empty()
     }
 
-    fn close(&mut self, nonce: Nonce, reason: RefusalReason) {
-        if let Some(record) = self.record(nonce) {
+    fn close_permit(&mut self, nonce: Nonce, reason: RefusalReason) {
+        if let Some(record) = self.record_mut(nonce) {
             record.closed.get_or_insert(reason);
         }
     }
 
     fn forget_oldest(&mut self) {
-        let oldest = self.issued.pop_front();
+        let oldest = self.issue_order.pop_front();
         if let Some(Ok(at)) = oldest.map(|nonce| self.position(nonce)) {
             self.records.remove(at);
         }
     }
 
-    fn record(&mut self, nonce: Nonce) -> Option<&mut Record> {
+    fn record_mut(&mut self, nonce: Nonce) -> Option<&mut PermitRecord> {
         let at = self.position(nonce).ok()?;
         self.records.get_mut(at)
     }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -29,7 +29,7 @@
 
 pub use candidate::Candidate;
 pub use candidate::stable_hash;
-pub use dispatch_ledger::Dispatch;
+pub use dispatch_ledger::DispatchDecision;
 pub use dispatch_ledger::DispatchLedger;
 pub use first_token_times::FirstTokenTimes;
 pub use generate_call::GenerateCall;
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -3,7 +3,7 @@
 use crate::calls::CallOutcome;
 use crate::calls::CallReport;
 use crate::calls::CrashId;
-use crate::calls::Dispatch;
+use crate::calls::DispatchDecision;
 use crate::calls::Nonce;
 use crate::calls::Permit;
 use crate::calls::PermitStatusQuery;
@@ -38,8 +38,8 @@
             .state
             .calls
             .ledger()
-            .dispatch(self.permit.nonce, self.send_no);
-        if let Dispatch::Closed(reason) = dispatch {
+            .record_dispatch(self.permit.nonce, self.send_no);
+        if let DispatchDecision::Closed(reason) = dispatch {
             return self.refuse(reason).await;
         }
         let heard = self.send("call", &self.call.request_id, &self.call).await;
@@ -50,7 +50,7 @@
             }
             Heard::StillRunning => self.conclude(SendResult::Lost(UnknownReason::StillRunning)),
             Heard::NotSent => {
-                self.state.calls.ledger().never_left(self.permit.nonce);
+                self.state.calls.ledger().undo_dispatch(self.permit.nonce);
                 self.endpoint_failed();
                 self.refuse(RefusalReason::Unreachable).await
             }
@@ -128,7 +128,7 @@
             self.endpoint_leaves();
         }
         let mut ledger = self.state.calls.ledger();
-        ledger.conclude(self.permit.nonce, self.send_no, reply)
+        ledger.finish_send(self.permit.nonce, self.send_no, reply)
     }
 
     fn endpoint_leaves(&self) {
--- a/src/entry/call_permits.rs
+++ b/src/entry/call_permits.rs
@@ -45,7 +45,7 @@
         .collect();
     let mut ledger = state.calls.ledger();
     for permit in &permits {
-        ledger.issue(permit.nonce);
+        ledger.record_permit(permit.nonce);
     }
     permits
 }
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -2,7 +2,7 @@
 
 use bergamotfork::calls::CallDecision;
 use bergamotfork::calls::CallOutcome;
-use bergamotfork::calls::Dispatch;
+use bergamotfork::calls::DispatchDecision;
 use bergamotfork::calls::DispatchLedger;
 use bergamotfork::calls::Nonce;
 use bergamotfork::calls::Permit;
@@ -196,18 +196,18 @@
 fn ledger_vouches_for_own_permits_only() {
     let mut ledger = DispatchLedger::new(2);
     let (own, other) = (Nonce::from(1), Nonce::from(2));
-    ledger.issue(own);
+    ledger.record_permit(own);
     let arrived = SendResult::DispatchUnknown(UnknownReason::PastIncarnation);
     for nonce in [own, other] {
-        assert_eq!(ledger.dispatch(nonce, 1), Dispatch::Go);
+        assert_eq!(ledger.record_dispatch(nonce, 1), DispatchDecision::Allowed);
     }
     let replaced = CallOutcome::not_run(RefusalReason::Replaced);
     let unknown = CallOutcome::unknown(UnknownReason::PastIncarnation);
-    assert_eq!(ledger.conclude(other, 1, arrived.clone()), unknown);
-    assert_eq!(ledger.conclude(own, 1, arrived), replaced);
+    assert_eq!(ledger.finish_send(other, 1, arrived.clone()), unknown);
+    assert_eq!(ledger.finish_send(own, 1, arrived), replaced);
     assert_eq!(
-        ledger.dispatch(own, 1),
-        Dispatch::Closed(RefusalReason::Replaced)
+        ledger.record_dispatch(own, 1),
+        DispatchDecision::Closed(RefusalReason::Replaced)
     );
 }
 
@@ -215,11 +215,11 @@
 fn ledger_forgets_oldest_and_stays_bounded() {
     let mut ledger = DispatchLedger::new(2);
     for nonce in 0..5 {
-        ledger.issue(Nonce::from(nonce));
+        ledger.record_permit(Nonce::from(nonce));
     }
     assert_eq!(ledger.len(), 2);
-    assert_eq!(ledger.facts(Nonce::from(0), 1).dispatches, None);
-    assert_eq!(ledger.facts(Nonce::from(4), 1).dispatches, Some(0));
+    assert_eq!(ledger.send_history(Nonce::from(0), 1).dispatches, None);
+    assert_eq!(ledger.send_history(Nonce::from(4), 1).dispatches, Some(0));
 }
 
 #[test]
--- a/tests/spec_permits/world.rs
+++ b/tests/spec_permits/world.rs
@@ -12,7 +12,7 @@
 use crate::rules::Rule;
 use bergamotfork::calls::CallDecision;
 use bergamotfork::calls::CallOutcome;
-use bergamotfork::calls::Dispatch;
+use bergamotfork::calls::DispatchDecision;
 use bergamotfork::calls::DispatchLedger;
 use bergamotfork::calls::PermitStatus;
 use bergamotfork::calls::PermitTable;
@@ -58,9 +58,9 @@
 impl World {
     pub fn new(without: Option<Rule>, bounds: Bounds) -> Self {
         let mut ledgers = vec![DispatchLedger::new(4); ENTRIES];
-        ledgers[0].issue(NONCE.into());
+        ledgers[0].record_permit(NONCE.into());
         if without == Some(Rule::IssuedHere) {
-            ledgers[1].issue(NONCE.into());
+            ledgers[1].record_permit(NONCE.into());
         }
         Self {
             without,
@@ -199,16 +199,16 @@
         });
         let refused = Told::Closed(RefusalReason::Overloaded);
         world.clone().entry_concludes(handler, refused, next);
-        match world.ledgers[entry].dispatch(nonce(), send_no) {
-            Dispatch::Go => {
+        match world.ledgers[entry].record_dispatch(nonce(), send_no) {
+            DispatchDecision::Allowed => {
                 if world.lacks(Rule::CountAtAnswer) {
-                    let facts = world.ledgers[entry].facts(nonce(), send_no);
+                    let facts = world.ledgers[entry].send_history(nonce(), send_no);
                     world.handlers[handler].count_at_send = facts.dispatches;
                 }
                 world.messages.push(Message::Call { handler });
                 next.push(world);
             }
-            Dispatch::Closed(reason) => {
+            DispatchDecision::Closed(reason) => {
                 world.entry_concludes(handler, Told::Closed(reason), next);
             }
         }
@@ -273,7 +273,7 @@
     fn entry_concludes(mut self, handler: usize, told: Told, next: &mut Vec<Self>) {
         let Handler { entry, send_no, .. } = self.handlers[handler];
         let ledger = &mut self.ledgers[entry];
-        let mut facts = ledger.facts(nonce(), send_no);
+        let mut facts = ledger.send_history(nonce(), send_no);
         if self.without == Some(Rule::CountAtAnswer) {
             facts.dispatches = self.handlers[handler].count_at_send.or(facts.dispatches);
         }
@@ -289,7 +289,7 @@
             Some(Rule::CountAtAnswer | Rule::SendOne | Rule::ClosedAtEntry) => {
                 determine_outcome(reply, facts)
             }
-            _ => ledger.conclude(nonce(), send_no, reply),
+            _ => ledger.finish_send(nonce(), send_no, reply),
         };
         if matches!(outcome, CallOutcome::Unknown { .. }) {
             if matches!(told, Told::Closed(_)) && self.left.questions > 0 {
@@ -384,7 +384,7 @@
     fn entry_restarts(&mut self, entry: usize) {
         self.ledgers[entry] = DispatchLedger::new(4);
         if self.lacks(Rule::IssuedHere) {
-            self.ledgers[entry].issue(nonce());
+            self.ledgers[entry].record_permit(nonce());
         }
         let heard = self.heard;
         self.messages.retain(|message| {
