--- a/src/calls/router.rs
+++ b/src/calls/router.rs
@@ -29,20 +29,20 @@
 
 /// What a request wants of the router.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// Endpoints that serve the version and take work.
     pub candidates: &'a [Candidate],
     /// Hash of the prompt's head; `None` when it is too short to matter.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Endpoints that have been tried.
     pub tried: &'a [HostKey],
 }
 
 /// How a request to an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The answer was whole.
-    Whole,
+    Complete,
     /// The endpoint refused it, or its caller went away.
     Neutral,
     /// The endpoint failed or fell silent.
@@ -79,7 +79,7 @@
     }
 
     /// The endpoint to send a request to; `None` when all were tried.
-    pub fn pick(&mut self, ask: &Ask<'_>, now_ms: u64) -> Option<HostKey> {
+    pub fn pick(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Option<HostKey> {
         let subset = self.subset(ask.candidates);
         let untried: Vec<Candidate> = subset
             .into_iter()
@@ -93,13 +93,13 @@
             return Some(key);
         }
         let home = ask
-            .prefix
+            .prefix_hash
             .and_then(|prefix| self.home(&usable, prefix, now_ms));
         home.or_else(|| self.lesser_of_two(&usable, now_ms))
     }
 
     /// Whether an endpoint that was not tried has a free slot.
-    pub fn has_room(&self, ask: &Ask<'_>, now_ms: u64) -> bool {
+    pub fn has_room(&self, ask: &RouteRequest<'_>, now_ms: u64) -> bool {
         let subset = self.subset(ask.candidates);
         subset.iter().any(|candidate| {
             let slots = u64::from(candidate.load.slots);
@@ -123,13 +123,13 @@
     }
 
     /// Counts the end of a request that was sent at `started_ms`.
-    pub fn ended(&mut self, key: HostKey, started_ms: u64, ending: Ending, now_ms: u64) {
+    pub fn ended(&mut self, key: HostKey, started_ms: u64, ending: AttemptOutcome, now_ms: u64) {
         let track = self.ensure_track(key);
         track.ended(started_ms);
         match ending {
-            Ending::Whole => track.succeeded(),
-            Ending::Neutral => {}
-            Ending::Failed => track.failed(now_ms),
+            AttemptOutcome::Complete => track.succeeded(),
+            AttemptOutcome::Neutral => {}
+            AttemptOutcome::Failed => track.failed(now_ms),
         }
     }
 
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -11,7 +11,7 @@
 use futures_util::stream::LocalBoxStream;
 
 use super::generate_routing::Choice;
-use crate::calls::Ending;
+use crate::calls::AttemptOutcome;
 use crate::calls::FrameBuffer;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
@@ -64,7 +64,7 @@
     }
 
     /// How the attempt counts for its endpoint.
-    pub(super) fn ending(self) -> Ending {
+    pub(super) fn ending(self) -> AttemptOutcome {
         match self {
             Self::NotSent
             | Self::Broken
@@ -72,8 +72,8 @@
             | Self::LateFirstToken
             | Self::WrongAnswer
             | Self::EngineFailed
-            | Self::EngineCrashed => Ending::Failed,
-            Self::Refused | Self::Leaving | Self::NotLoaded => Ending::Neutral,
+            | Self::EngineCrashed => AttemptOutcome::Failed,
+            Self::Refused | Self::Leaving | Self::NotLoaded => AttemptOutcome::Neutral,
         }
     }
 }
@@ -83,7 +83,7 @@
     state: Arc<EntryState>,
     pub(super) key: HostKey,
     started_ms: u64,
-    pub(super) ending: Ending,
+    pub(super) ending: AttemptOutcome,
     chunks: LocalBoxStream<'static, Option<Bytes>>,
     frames: FrameBuffer,
     tokens: u32,
@@ -101,7 +101,7 @@
             state,
             key: choice.key,
             started_ms: choice.started_ms,
-            ending: Ending::Neutral,
+            ending: AttemptOutcome::Neutral,
             chunks: futures_util::stream::empty().boxed_local(),
             frames: FrameBuffer::default(),
             tokens: 0,
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -5,8 +5,8 @@
 use super::generate_attempt::RetryReason;
 use super::generate_event::GenerateEvent;
 use super::generate_routing::Choice;
+use crate::calls::AttemptOutcome;
 use crate::calls::CrashId;
-use crate::calls::Ending;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
 use crate::calls::RefusalReason;
@@ -250,7 +250,7 @@
                 if !is_ours {
                     return Step::Retry(RetryReason::WrongAnswer);
                 }
-                attempt.ending = Ending::Whole;
+                attempt.ending = AttemptOutcome::Complete;
                 if self.call.is_suspect {
                     let request = self.call.fingerprint();
                     self.state.node.suspects().clear(request);
--- a/src/entry/generate_routing.rs
+++ b/src/entry/generate_routing.rs
@@ -2,11 +2,11 @@
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 
-use crate::calls::Ask;
 use crate::calls::Candidate;
 use crate::calls::FirstTokenTimes;
 use crate::calls::GenerateCall;
 use crate::calls::RetryBudget;
+use crate::calls::RouteRequest;
 use crate::calls::Router;
 use crate::calls::stable_hash;
 use crate::hosts::Host;
@@ -76,9 +76,9 @@
         let roster = node.roster();
         let candidates = candidates(&roster, call, pinned, now_ms);
         let entries = roster.usable(HostRole::Entry, now_ms).count();
-        let ask = Ask {
+        let ask = RouteRequest {
             candidates: &candidates,
-            prefix: prefix(call),
+            prefix_hash: prefix(call),
             tried,
         };
         let mut router = self.router();
@@ -106,9 +106,9 @@
     ) -> bool {
         let now_ms = node.now_ms();
         let candidates = candidates(&node.roster(), call, pinned, now_ms);
-        let ask = Ask {
+        let ask = RouteRequest {
             candidates: &candidates,
-            prefix: None,
+            prefix_hash: None,
             tried,
         };
         self.router().has_room(&ask, now_ms)
--- a/tests/routing/router.rs
+++ b/tests/routing/router.rs
@@ -3,9 +3,9 @@
 
 use arbtest::arbtest;
 
-use bergamotfork::calls::Ask;
+use bergamotfork::calls::AttemptOutcome;
 use bergamotfork::calls::Candidate;
-use bergamotfork::calls::Ending;
+use bergamotfork::calls::RouteRequest;
 use bergamotfork::calls::Router;
 use bergamotfork::calls::stable_hash;
 use bergamotfork::clients::HostList;
@@ -46,10 +46,10 @@
         .collect()
 }
 
-fn ask(candidates: &[Candidate]) -> Ask<'_> {
-    Ask {
+fn ask(candidates: &[Candidate]) -> RouteRequest<'_> {
+    RouteRequest {
         candidates,
-        prefix: None,
+        prefix_hash: None,
         tried: &[],
     }
 }
@@ -71,9 +71,9 @@
         let mut router = Router::new(u.arbitrary()?);
         let mut tried: Vec<HostKey> = Vec::new();
         loop {
-            let ask = Ask {
+            let ask = RouteRequest {
                 candidates: &candidates,
-                prefix: u.arbitrary()?,
+                prefix_hash: u.arbitrary()?,
                 tried: &tried,
             };
             let Some(key) = router.pick(&ask, 0) else {
@@ -112,9 +112,9 @@
         let now_ms = i * 5;
         // One prefix of eight takes half of the requests.
         let prefix = if i % 2 == 0 { 0 } else { i / 2 % 8 };
-        let ask = Ask {
+        let ask = RouteRequest {
             candidates: &candidates,
-            prefix: Some(prefix),
+            prefix_hash: Some(prefix),
             tried: &[],
         };
         let key = router.pick(&ask, now_ms).expect("all usable");
@@ -122,7 +122,7 @@
         running.push((key, now_ms));
         if running.len() > 40 {
             let (done, started_ms) = running.remove(0);
-            router.ended(done, started_ms, Ending::Whole, now_ms);
+            router.ended(done, started_ms, AttemptOutcome::Complete, now_ms);
         }
         let at = candidates.iter().position(|it| it.key == key);
         sent[at.expect("a candidate was picked")] += 1;
@@ -138,9 +138,9 @@
     let candidates = candidates(8);
     let (mut a, mut b) = (Router::new(1), Router::new(2));
     for prefix in 0..32 {
-        let ask = Ask {
+        let ask = RouteRequest {
             candidates: &candidates,
-            prefix: Some(prefix),
+            prefix_hash: Some(prefix),
             tried: &[],
         };
         let home = a.pick(&ask, 0);
@@ -162,7 +162,7 @@
     for i in 0..3000 {
         let key = router.pick(&ask(&candidates), i).expect("nine are usable");
         router.started(key, i);
-        router.ended(key, i, Ending::Whole, i);
+        router.ended(key, i, AttemptOutcome::Complete, i);
         to_slow += u32::from(key == slow);
     }
     assert!((1..=4).contains(&to_slow), "{to_slow} probes in 3 s");
@@ -180,9 +180,9 @@
             .expect("nine are usable");
         router.started(key, now_ms);
         let ending = if key == failing {
-            Ending::Failed
+            AttemptOutcome::Failed
         } else {
-            Ending::Whole
+            AttemptOutcome::Complete
         };
         router.ended(key, now_ms, ending, now_ms);
         failures += u32::from(key == failing);
@@ -197,7 +197,7 @@
     let mut router = Router::new(7);
     for candidate in &candidates[..3] {
         router.started(candidate.key, 0);
-        router.ended(candidate.key, 0, Ending::Failed, 0);
+        router.ended(candidate.key, 0, AttemptOutcome::Failed, 0);
     }
     let mut seen: Vec<HostKey> = (0..200)
         .filter_map(|_| router.pick(&ask(&candidates), 1))
@@ -216,9 +216,9 @@
         let mut router = Router::new(stable_hash(format!("entry-{seed}").as_bytes()));
         let mut used: Vec<HostKey> = Vec::new();
         while let Some(key) = router.pick(
-            &Ask {
+            &RouteRequest {
                 candidates: &candidates,
-                prefix: None,
+                prefix_hash: None,
                 tried: &used,
             },
             0,
