--- a/src/calls/candidate.rs
+++ b/src/calls/candidate.rs
@@ -11,7 +11,7 @@
     /// How busy it said it was.
     pub load: Load,
     /// When it said so.
-    pub heard_ms: u64,
+    pub last_received_ms: u64,
 }
 
 /// Offset basis of the 64-bit FNV-1a hash.
@@ -25,11 +25,11 @@
     let fnv = bytes.iter().fold(FNV_BASIS, |hash, &byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
-    mix(fnv, 0)
+    mix_hashes(fnv, 0)
 }
 
 /// Mixes two hashes (SplitMix64 finaliser).
-pub(super) fn mix(a: u64, b: u64) -> u64 {
+pub(super) fn mix_hashes(a: u64, b: u64) -> u64 {
     let mut x = a ^ b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -7,7 +7,7 @@
 
 mod candidate;
 mod dispatch_ledger;
-mod endpoint_track;
+mod endpoint_stats;
 mod first_token_times;
 mod generate_call;
 mod generate_frame;
--- a/src/calls/router.rs
+++ b/src/calls/router.rs
@@ -3,8 +3,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::calls::Candidate;
-use crate::calls::candidate::mix;
-use crate::calls::endpoint_track::EndpointTrack;
+use crate::calls::candidate::mix_hashes;
+use crate::calls::endpoint_stats::EndpointStats;
 use crate::hosts::HostKey;
 use crate::hosts::Load;
 
@@ -57,9 +57,9 @@
 pub struct Router {
     random: Pcg64Mcg,
     seed: u64,
-    entries: u64,
+    entry_count: u64,
     /// Sorted by key.
-    tracks: Vec<EndpointTrack>,
+    endpoints: Vec<EndpointStats>,
 }
 
 impl Router {
@@ -68,86 +68,93 @@
         Self {
             random: Pcg64Mcg::seed_from_u64(seed),
             seed,
-            entries: 1,
-            tracks: Vec::new(),
+            entry_count: 1,
+            endpoints: Vec::new(),
         }
     }
 
     /// Sets how many entries send requests to the same endpoints.
-    pub fn set_entries(&mut self, entries: u32) {
-        self.entries = u64::from(entries.max(1));
+    pub fn set_entry_count(&mut self, entry_count: u32) {
+        self.entry_count = u64::from(entry_count.max(1));
     }
 
     /// The endpoint to send a request to; `None` when all were tried.
-    pub fn pick(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Option<HostKey> {
-        let subset = self.subset(ask.candidates);
+    pub fn pick_endpoint(&mut self, request: &RouteRequest<'_>, now_ms: u64) -> Option<HostKey> {
+        let subset = self.subset(request.candidates);
         let untried: Vec<Candidate> = subset
             .into_iter()
-            .filter(|candidate| !ask.tried.contains(&candidate.key))
+            .filter(|candidate| !request.tried.contains(&candidate.key))
             .collect();
         for candidate in &untried {
-            self.ensure_track(candidate.key);
+            self.ensure_stats(candidate.key);
         }
-        let usable = self.usable(&untried, now_ms);
-        if let Some(key) = self.probe(&untried, &usable, now_ms) {
+        let usable = self.usable_candidates(&untried, now_ms);
+        if let Some(key) = self.due_probe(&untried, &usable, now_ms) {
             return Some(key);
         }
-        let home = ask
+        let preferred = request
             .prefix_hash
-            .and_then(|prefix| self.home(&usable, prefix, now_ms));
-        home.or_else(|| self.lesser_of_two(&usable, now_ms))
+            .and_then(|prefix| self.prefix_endpoint(&usable, prefix, now_ms));
+        preferred.or_else(|| self.less_loaded_of_two(&usable, now_ms))
     }
 
     /// Whether an endpoint that was not tried has a free slot.
-    pub fn has_room(&self, ask: &RouteRequest<'_>, now_ms: u64) -> bool {
-        let subset = self.subset(ask.candidates);
+    pub fn has_free_slot(&self, request: &RouteRequest<'_>, now_ms: u64) -> bool {
+        let subset = self.subset(request.candidates);
         subset.iter().any(|candidate| {
             let slots = u64::from(candidate.load.slots);
-            !ask.tried.contains(&candidate.key) && self.load(candidate, now_ms) < slots
+            !request.tried.contains(&candidate.key) && self.expected_load(candidate, now_ms) < slots
         })
     }
 
     /// Counts a request sent to `key`.
-    pub fn started(&mut self, key: HostKey, now_ms: u64) {
-        self.ensure_track(key).started(now_ms);
+    pub fn record_start(&mut self, key: HostKey, now_ms: u64) {
+        self.ensure_stats(key).record_start(now_ms);
     }
 
     /// Learns how busy an endpoint is from one of its answers.
-    pub fn answered(&mut self, key: HostKey, load: Load, now_ms: u64) {
-        self.ensure_track(key).answered(load, now_ms);
+    pub fn record_load(&mut self, key: HostKey, load: Load, now_ms: u64) {
+        self.ensure_stats(key).record_load(load, now_ms);
     }
 
     /// Learns how far apart the tokens of an answer arrive.
-    pub fn observed(&mut self, key: HostKey, token_interval_us: u64) {
-        self.ensure_track(key).observed(token_interval_us);
+    pub fn record_token_interval(&mut self, key: HostKey, token_interval_us: u64) {
+        self.ensure_stats(key)
+            .record_token_interval(token_interval_us);
     }
 
     /// Counts the end of a request that was sent at `started_ms`.
-    pub fn ended(&mut self, key: HostKey, started_ms: u64, ending: AttemptOutcome, now_ms: u64) {
-        let track = self.ensure_track(key);
-        track.ended(started_ms);
-        match ending {
-            AttemptOutcome::Complete => track.succeeded(),
+    pub fn record_end(
+        &mut self,
+        key: HostKey,
+        started_ms: u64,
+        outcome: AttemptOutcome,
+        now_ms: u64,
+    ) {
+        let stats = self.ensure_stats(key);
+        stats.record_end(started_ms);
+        match outcome {
+            AttemptOutcome::Complete => stats.record_success(),
             AttemptOutcome::Neutral => {}
-            AttemptOutcome::Failed => track.failed(now_ms),
+            AttemptOutcome::Failed => stats.record_failure(now_ms),
         }
     }
 
     /// Drops what was seen of a host that is gone.
-    pub fn forget(&mut self, key: HostKey) {
-        self.tracks.retain(|track| track.key != key);
+    pub fn remove_host(&mut self, key: HostKey) {
+        self.endpoints.retain(|stats| stats.key != key);
     }
 
     /// Requests in flight from here to `key`.
     pub fn in_flight(&self, key: HostKey) -> u64 {
-        self.track(key).map_or(0, EndpointTrack::in_flight)
+        self.find_stats(key).map_or(0, EndpointStats::in_flight)
     }
 
     /// The candidates this entry uses, alike from request to request.
     fn subset(&self, candidates: &[Candidate]) -> Vec<Candidate> {
         let mut subset = candidates.to_vec();
         if subset.len() > SUBSET_SIZE {
-            let rank = |candidate: &Candidate| mix(self.seed, candidate.name_hash);
+            let rank = |candidate: &Candidate| mix_hashes(self.seed, candidate.name_hash);
             subset.select_nth_unstable_by_key(SUBSET_SIZE, rank);
             subset.truncate(SUBSET_SIZE);
         }
@@ -156,25 +163,25 @@
     }
 
     /// The candidates without those that failed lately or are slow.
-    fn usable(&self, candidates: &[Candidate], now_ms: u64) -> Vec<Candidate> {
+    fn usable_candidates(&self, candidates: &[Candidate], now_ms: u64) -> Vec<Candidate> {
         let slow_us = self.slow_interval_us(candidates);
-        let is_good = |candidate: &&Candidate| {
-            let track = self.track(candidate.key);
-            track.is_none_or(|it| it.avoid_until_ms <= now_ms && it.token_interval_us < slow_us)
+        let is_healthy = |candidate: &&Candidate| {
+            let stats = self.find_stats(candidate.key);
+            stats.is_none_or(|it| it.avoid_until_ms <= now_ms && it.token_interval_us < slow_us)
         };
-        let good: Vec<Candidate> = candidates.iter().filter(is_good).copied().collect();
+        let healthy: Vec<Candidate> = candidates.iter().filter(is_healthy).copied().collect();
         // Where most look bad the measure is at fault, and all are used.
-        if good.len() * 100 < candidates.len() * MIN_USED_PERCENT {
+        if healthy.len() * 100 < candidates.len() * MIN_USED_PERCENT {
             return candidates.to_vec();
         }
-        good
+        healthy
     }
 
     fn slow_interval_us(&self, candidates: &[Candidate]) -> u64 {
         let mut intervals_us: Vec<u64> = candidates
             .iter()
-            .filter_map(|candidate| self.track(candidate.key))
-            .map(|track| track.token_interval_us)
+            .filter_map(|candidate| self.find_stats(candidate.key))
+            .map(|stats| stats.token_interval_us)
             .filter(|&interval_us| interval_us > 0)
             .collect();
         if intervals_us.len() < 2 {
@@ -185,13 +192,13 @@
     }
 
     /// An avoided endpoint whose time for another try has come.
-    fn probe(&mut self, all: &[Candidate], used: &[Candidate], now_ms: u64) -> Option<HostKey> {
+    fn due_probe(&mut self, all: &[Candidate], used: &[Candidate], now_ms: u64) -> Option<HostKey> {
         let is_used = |key| used.iter().any(|candidate| candidate.key == key);
         for candidate in all.iter().filter(|candidate| !is_used(candidate.key)) {
-            let track = self.ensure_track(candidate.key);
-            let is_due = now_ms >= track.probed_ms + PROBE_INTERVAL_MS;
-            if is_due && track.avoid_until_ms <= now_ms && track.in_flight() == 0 {
-                track.probed_ms = now_ms;
+            let stats = self.ensure_stats(candidate.key);
+            let is_due = now_ms >= stats.last_probe_ms + PROBE_INTERVAL_MS;
+            if is_due && stats.avoid_until_ms <= now_ms && stats.in_flight() == 0 {
+                stats.last_probe_ms = now_ms;
                 return Some(candidate.key);
             }
         }
@@ -199,30 +206,40 @@
     }
 
     /// The replica that likely caches `prefix`, if its load is within the bound.
-    fn home(&self, candidates: &[Candidate], prefix: u64, now_ms: u64) -> Option<HostKey> {
+    fn prefix_endpoint(
+        &self,
+        candidates: &[Candidate],
+        prefix: u64,
+        now_ms: u64,
+    ) -> Option<HostKey> {
         let mut ranked = candidates.to_vec();
-        ranked.sort_unstable_by_key(|candidate| mix(prefix, candidate.name_hash));
-        let tracks = candidates.iter().filter_map(|it| self.track(it.key));
-        let (recent, in_flight) = tracks.fold((0.0, 0), |(recent, in_flight), track| {
-            (recent + track.recent(now_ms), in_flight + track.in_flight())
-        });
+        ranked.sort_unstable_by_key(|candidate| mix_hashes(prefix, candidate.name_hash));
+        let known_stats = candidates.iter().filter_map(|it| self.find_stats(it.key));
+        let (total_recent, total_in_flight) =
+            known_stats.fold((0.0, 0), |(recent, in_flight), stats| {
+                (
+                    recent + stats.recent_requests(now_ms),
+                    in_flight + stats.in_flight(),
+                )
+            });
         let count = candidates.len() as f64;
         let bound = |total: f64| ((total + 1.0) / count * AFFINITY_BOUND_PERCENT / 100.0).ceil();
-        let (max_recent, max_in_flight) = (bound(recent), bound(in_flight as f64));
-        let within = |candidate: &&Candidate| {
-            let Some(track) = self.track(candidate.key) else {
+        let (max_recent_requests, max_in_flight) =
+            (bound(total_recent), bound(total_in_flight as f64));
+        let is_within_bound = |candidate: &&Candidate| {
+            let Some(stats) = self.find_stats(candidate.key) else {
                 return true;
             };
-            let load = track.load(candidate, self.entries, now_ms);
-            track.recent(now_ms) + 1.0 <= max_recent
-                && track.in_flight() as f64 + 1.0 <= max_in_flight
+            let load = stats.expected_load(candidate, self.entry_count, now_ms);
+            stats.recent_requests(now_ms) + 1.0 <= max_recent_requests
+                && stats.in_flight() as f64 + 1.0 <= max_in_flight
                 && load < u64::from(candidate.load.slots.max(1))
         };
-        let home = ranked.iter().take(AFFINITY_TRIES).find(within);
-        home.map(|candidate| candidate.key)
+        let preferred = ranked.iter().take(AFFINITY_TRIES).find(is_within_bound);
+        preferred.map(|candidate| candidate.key)
     }
 
-    fn lesser_of_two(&mut self, candidates: &[Candidate], now_ms: u64) -> Option<HostKey> {
+    fn less_loaded_of_two(&mut self, candidates: &[Candidate], now_ms: u64) -> Option<HostKey> {
         if candidates.is_empty() {
             return None;
         }
@@ -233,37 +250,43 @@
         let step = self.random.random_range(1..candidates.len());
         let second = (first + step) % candidates.len();
         let (a, b) = (&candidates[first], &candidates[second]);
-        let both_paced = self.interval_us(a) > 0 && self.interval_us(b) > 0;
+        let both_measured = self.token_interval_us(a) > 0 && self.token_interval_us(b) > 0;
         let cost = |it: &Candidate| {
-            let pace_us = if both_paced { self.interval_us(it) } else { 1 };
+            let per_token_us = if both_measured {
+                self.token_interval_us(it)
+            } else {
+                1
+            };
             let slots = u64::from(it.load.slots.max(1));
-            (self.load(it, now_ms) + 1) * pace_us * 1000 / slots
+            (self.expected_load(it, now_ms) + 1) * per_token_us * 1000 / slots
         };
         let chosen = if cost(a) <= cost(b) { a } else { b };
         Some(chosen.key)
     }
 
-    fn load(&self, candidate: &Candidate, now_ms: u64) -> u64 {
-        let track = self.track(candidate.key);
-        track.map_or(0, |it| it.load(candidate, self.entries, now_ms))
+    fn expected_load(&self, candidate: &Candidate, now_ms: u64) -> u64 {
+        let stats = self.find_stats(candidate.key);
+        stats.map_or(0, |it| {
+            it.expected_load(candidate, self.entry_count, now_ms)
+        })
     }
 
-    fn interval_us(&self, candidate: &Candidate) -> u64 {
-        self.track(candidate.key)
-            .map_or(0, |track| track.token_interval_us)
+    fn token_interval_us(&self, candidate: &Candidate) -> u64 {
+        self.find_stats(candidate.key)
+            .map_or(0, |stats| stats.token_interval_us)
     }
 
-    fn track(&self, key: HostKey) -> Option<&EndpointTrack> {
-        let found = self.tracks.binary_search_by_key(&key, |track| track.key);
-        found.ok().map(|at| &self.tracks[at])
+    fn find_stats(&self, key: HostKey) -> Option<&EndpointStats> {
+        let found = self.endpoints.binary_search_by_key(&key, |stats| stats.key);
+        found.ok().map(|at| &self.endpoints[at])
     }
 
-    fn ensure_track(&mut self, key: HostKey) -> &mut EndpointTrack {
-        let found = self.tracks.binary_search_by_key(&key, |track| track.key);
+    fn ensure_stats(&mut self, key: HostKey) -> &mut EndpointStats {
+        let found = self.endpoints.binary_search_by_key(&key, |stats| stats.key);
         let at = found.unwrap_or_else(|at| {
-            self.tracks.insert(at, EndpointTrack::new(key));
+            self.endpoints.insert(at, EndpointStats::new(key));
             at
         });
-        &mut self.tracks[at]
+        &mut self.endpoints[at]
     }
 }
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -194,7 +194,10 @@
         let first_at = *self.first_token_at.get_or_insert_with(Instant::now);
         if self.tokens > 0 && self.tokens.is_multiple_of(PACE_TOKENS) {
             let interval_us = first_at.elapsed().as_micros() as u64 / u64::from(self.tokens);
-            self.state.routing.router().observed(self.key, interval_us);
+            self.state
+                .routing
+                .router()
+                .record_token_interval(self.key, interval_us);
         }
         self.tokens += 1;
     }
@@ -202,7 +205,10 @@
     /// Takes in the load that came with a frame.
     pub(super) fn saw_load(&self, load: Load) {
         let now_ms = self.state.node.now_ms();
-        self.state.routing.router().answered(self.key, load, now_ms);
+        self.state
+            .routing
+            .router()
+            .record_load(self.key, load, now_ms);
     }
 }
 
@@ -210,6 +216,6 @@
     fn drop(&mut self) {
         let now_ms = self.state.node.now_ms();
         let mut router = self.state.routing.router();
-        router.ended(self.key, self.started_ms, self.ending, now_ms);
+        router.record_end(self.key, self.started_ms, self.ending, now_ms);
     }
 }
--- a/src/entry/generate_routing.rs
+++ b/src/entry/generate_routing.rs
@@ -83,11 +83,11 @@
         };
         let mut router = self.router();
         // The roster of an entry does not list the entry itself as usable.
-        router.set_entries(entries as u32 + 1);
-        let key = router.pick(&ask, now_ms)?;
+        router.set_entry_count(entries as u32 + 1);
+        let key = router.pick_endpoint(&ask, now_ms)?;
         let host = roster.host(key)?;
         let manifest = served_manifest(host, call, pinned)?;
-        router.started(key, now_ms);
+        router.record_start(key, now_ms);
         Some(Choice {
             key,
             address: host.address,
@@ -111,7 +111,7 @@
             prefix_hash: None,
             tried,
         };
-        self.router().has_room(&ask, now_ms)
+        self.router().has_free_slot(&ask, now_ms)
     }
 }
 
@@ -128,7 +128,7 @@
             key,
             name_hash: stable_hash(host.name.as_bytes()),
             load: host.load,
-            heard_ms: now_ms.saturating_sub(host.silent_ms(now_ms).unwrap_or(0)),
+            last_received_ms: now_ms.saturating_sub(host.silent_ms(now_ms).unwrap_or(0)),
         })
         .collect()
 }
--- a/tests/routing/router.rs
+++ b/tests/routing/router.rs
@@ -41,7 +41,7 @@
                 queued: 0,
                 slots: SLOTS,
             },
-            heard_ms: 0,
+            last_received_ms: 0,
         })
         .collect()
 }
@@ -55,17 +55,20 @@
 }
 
 #[test]
-fn pick_takes_lesser_loaded_of_two() {
+fn pick_endpoint_takes_lesser_loaded_of_two() {
     let mut candidates = candidates(2);
     candidates[0].load.running = 9;
     let mut router = Router::new(1);
     for _ in 0..50 {
-        assert_eq!(router.pick(&ask(&candidates), 0), Some(candidates[1].key));
+        assert_eq!(
+            router.pick_endpoint(&ask(&candidates), 0),
+            Some(candidates[1].key)
+        );
     }
 }
 
 #[test]
-fn pick_never_repeats_a_tried_endpoint() {
+fn pick_endpoint_never_repeats_a_tried_endpoint() {
     arbtest(|u| {
         let candidates = candidates(u.int_in_range(1..=60)?);
         let mut router = Router::new(u.arbitrary()?);
@@ -76,7 +79,7 @@
                 prefix_hash: u.arbitrary()?,
                 tried: &tried,
             };
-            let Some(key) = router.pick(&ask, 0) else {
+            let Some(key) = router.pick_endpoint(&ask, 0) else {
                 break;
             };
             assert!(!tried.contains(&key));
@@ -89,13 +92,15 @@
 
 /// A burst between two load reports spreads by what the entry itself has sent.
 #[test]
-fn pick_burst_spreads_despite_old_reports() {
+fn pick_endpoint_burst_spreads_despite_old_reports() {
     for age_ms in [0, 2000, 60_000] {
         let candidates = candidates(10);
         let mut router = Router::new(3);
         for _ in 0..100 {
-            let key = router.pick(&ask(&candidates), age_ms).expect("all usable");
-            router.started(key, age_ms);
+            let key = router
+                .pick_endpoint(&ask(&candidates), age_ms)
+                .expect("all usable");
+            router.record_start(key, age_ms);
         }
         let most = candidates.iter().map(|it| router.in_flight(it.key)).max();
         assert!(most <= Some(13), "{most:?} of 100 on one of 10");
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn pick_prefix_stays_within_bounded_load() {
+fn pick_endpoint_prefix_stays_within_bounded_load() {
     let candidates = candidates(8);
     let mut router = Router::new(5);
     let mut sent = vec![0u32; candidates.len()];
@@ -117,12 +122,12 @@
             prefix_hash: Some(prefix),
             tried: &[],
         };
-        let key = router.pick(&ask, now_ms).expect("all usable");
-        router.started(key, now_ms);
+        let key = router.pick_endpoint(&ask, now_ms).expect("all usable");
+        router.record_start(key, now_ms);
         running.push((key, now_ms));
         if running.len() > 40 {
             let (done, started_ms) = running.remove(0);
-            router.ended(done, started_ms, AttemptOutcome::Complete, now_ms);
+            router.record_end(done, started_ms, AttemptOutcome::Complete, now_ms);
         }
         let at = candidates.iter().position(|it| it.key == key);
         sent[at.expect("a candidate was picked")] += 1;
@@ -134,7 +139,7 @@
 }
 
 #[test]
-fn pick_prefix_keeps_its_home() {
+fn pick_endpoint_prefix_keeps_its_home() {
     let candidates = candidates(8);
     let (mut a, mut b) = (Router::new(1), Router::new(2));
     for prefix in 0..32 {
@@ -143,48 +148,50 @@
             prefix_hash: Some(prefix),
             tried: &[],
         };
-        let home = a.pick(&ask, 0);
-        assert_eq!(a.pick(&ask, 10), home);
-        assert_eq!(b.pick(&ask, 0), home);
+        let home = a.pick_endpoint(&ask, 0);
+        assert_eq!(a.pick_endpoint(&ask, 10), home);
+        assert_eq!(b.pick_endpoint(&ask, 0), home);
     }
 }
 
 #[test]
-fn pick_avoids_slow_endpoint_but_probes_it() {
+fn pick_endpoint_avoids_slow_endpoint_but_probes_it() {
     let candidates = candidates(10);
     let mut router = Router::new(7);
     for (at, candidate) in candidates.iter().enumerate() {
         let interval_us = if at == 4 { 100_000 } else { 10_000 };
-        router.observed(candidate.key, interval_us);
+        router.record_token_interval(candidate.key, interval_us);
     }
     let slow = candidates[4].key;
     let mut to_slow = 0;
     for i in 0..3000 {
-        let key = router.pick(&ask(&candidates), i).expect("nine are usable");
-        router.started(key, i);
-        router.ended(key, i, AttemptOutcome::Complete, i);
+        let key = router
+            .pick_endpoint(&ask(&candidates), i)
+            .expect("nine are usable");
+        router.record_start(key, i);
+        router.record_end(key, i, AttemptOutcome::Complete, i);
         to_slow += u32::from(key == slow);
     }
     assert!((1..=4).contains(&to_slow), "{to_slow} probes in 3 s");
 }
 
 #[test]
-fn pick_avoids_failed_endpoint_for_longer_each_time() {
+fn pick_endpoint_avoids_failed_endpoint_for_longer_each_time() {
     let candidates = candidates(10);
     let mut router = Router::new(7);
     let failing = candidates[0].key;
     let mut failures = 0;
     for now_ms in 0..8000 {
         let key = router
-            .pick(&ask(&candidates), now_ms)
+            .pick_endpoint(&ask(&candidates), now_ms)
             .expect("nine are usable");
-        router.started(key, now_ms);
+        router.record_start(key, now_ms);
         let ending = if key == failing {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::Complete
         };
-        router.ended(key, now_ms, ending, now_ms);
+        router.record_end(key, now_ms, ending, now_ms);
         failures += u32::from(key == failing);
     }
     // The pauses are 0.5, 1, 2, 4 and 8 s.
@@ -192,15 +199,15 @@
 }
 
 #[test]
-fn pick_uses_all_when_most_look_bad() {
+fn pick_endpoint_uses_all_when_most_look_bad() {
     let candidates = candidates(4);
     let mut router = Router::new(7);
     for candidate in &candidates[..3] {
-        router.started(candidate.key, 0);
-        router.ended(candidate.key, 0, AttemptOutcome::Failed, 0);
+        router.record_start(candidate.key, 0);
+        router.record_end(candidate.key, 0, AttemptOutcome::Failed, 0);
     }
     let mut seen: Vec<HostKey> = (0..200)
-        .filter_map(|_| router.pick(&ask(&candidates), 1))
+        .filter_map(|_| router.pick_endpoint(&ask(&candidates), 1))
         .collect();
     seen.sort_unstable();
     seen.dedup();
@@ -209,13 +216,13 @@
 
 /// 400 entries with a subset each still reach 1,600 endpoints about evenly.
 #[test]
-fn pick_subsets_cover_a_large_fleet() {
+fn pick_endpoint_subsets_cover_a_large_fleet() {
     let candidates = candidates(1600);
     let mut reached = vec![0u32; candidates.len()];
     for seed in 0..400 {
         let mut router = Router::new(stable_hash(format!("entry-{seed}").as_bytes()));
         let mut used: Vec<HostKey> = Vec::new();
-        while let Some(key) = router.pick(
+        while let Some(key) = router.pick_endpoint(
             &RouteRequest {
                 candidates: &candidates,
                 prefix_hash: None,
