--- a/src/calls/retry_budget.rs
+++ b/src/calls/retry_budget.rs
@@ -1,5 +1,5 @@
 /// Thousandths of a retry in one retry.
-const RETRY: u64 = 1000;
+const PERMILLE_PER_RETRY: u64 = 1000;
 
 /// Bounds retries to a share of the requests of each branch.
 ///
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     ratio_permille: u64,
-    max_saved: u64,
+    max_balance_permille: u64,
     /// Sorted by the name of the branch.
     branches: Vec<BranchBudget>,
 }
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone)]
 struct BranchBudget {
     branch: String,
-    saved: u64,
+    balance_permille: u64,
 }
 
 impl RetryBudget {
@@ -25,29 +25,31 @@
     pub fn new(ratio_permille: u32, burst: u32) -> Self {
         Self {
             ratio_permille: u64::from(ratio_permille),
-            max_saved: u64::from(burst) * RETRY,
+            max_balance_permille: u64::from(burst) * PERMILLE_PER_RETRY,
             branches: Vec::new(),
         }
     }
 
     /// Counts a new request of `branch`.
-    pub fn request(&mut self, branch: &str) {
-        let (ratio_permille, max_saved) = (self.ratio_permille, self.max_saved);
-        let budget = self.budget(branch);
-        budget.saved = (budget.saved + ratio_permille).min(max_saved);
+    pub fn count_request(&mut self, branch: &str) {
+        let (ratio_permille, max_balance_permille) =
+            (self.ratio_permille, self.max_balance_permille);
+        let budget = self.branch_budget(branch);
+        budget.balance_permille =
+            (budget.balance_permille + ratio_permille).min(max_balance_permille);
     }
 
     /// Takes a retry of `branch`; false when it has none left.
     pub fn try_retry(&mut self, branch: &str) -> bool {
-        let budget = self.budget(branch);
-        let allowed = budget.saved >= RETRY;
-        if allowed {
-            budget.saved -= RETRY;
+        let budget = self.branch_budget(branch);
+        let is_allowed = budget.balance_permille >= PERMILLE_PER_RETRY;
+        if is_allowed {
+            budget.balance_permille -= PERMILLE_PER_RETRY;
         }
-        allowed
+        is_allowed
     }
 
-    fn budget(&mut self, branch: &str) -> &mut BranchBudget {
+    fn branch_budget(&mut self, branch: &str) -> &mut BranchBudget {
         let found = self
             .branches
             .binary_search_by(|budget| budget.branch.as_str().cmp(branch));
@@ -55,7 +57,7 @@
             // A few retries are allowed before the first requests have been counted.
             let budget = BranchBudget {
                 branch: branch.to_owned(),
-                saved: self.max_saved,
+                balance_permille: self.max_balance_permille,
             };
             self.branches.insert(at, budget);
             at
--- a/src/calls/suspect_slot.rs
+++ b/src/calls/suspect_slot.rs
@@ -3,15 +3,15 @@
 /// Lets one suspect at a time run on an endpoint.
 #[derive(Debug, Default)]
 pub struct SuspectSlot {
-    running: Option<(Digest, u32)>,
+    holder: Option<(Digest, u32)>,
 }
 
 impl SuspectSlot {
     /// Takes the slot for a suspect; copies of one request share it.
-    pub fn enter(&mut self, fingerprint: Digest) -> bool {
-        match &mut self.running {
+    pub fn try_acquire(&mut self, fingerprint: Digest) -> bool {
+        match &mut self.holder {
             None => {
-                self.running = Some((fingerprint, 1));
+                self.holder = Some((fingerprint, 1));
                 true
             }
             Some((held, copies)) if *held == fingerprint => {
@@ -23,8 +23,8 @@
     }
 
     /// Gives the slot back.
-    pub fn leave(&mut self, fingerprint: Digest) {
-        let Some((held, copies)) = &mut self.running else {
+    pub fn release(&mut self, fingerprint: Digest) {
+        let Some((held, copies)) = &mut self.holder else {
             return;
         };
         if *held != fingerprint {
@@ -32,7 +32,7 @@
         }
         *copies -= 1;
         if *copies == 0 {
-            self.running = None;
+            self.holder = None;
         }
     }
 }
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -138,7 +138,9 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         if self.has_slot {
-            self.state.calls.with_slot(|slot| slot.leave(self.request));
+            self.state
+                .calls
+                .with_slot(|slot| slot.release(self.request));
         }
     }
 }
@@ -168,7 +170,7 @@
     let has_slot = match standing {
         SuspectStatus::Clear => false,
         SuspectStatus::Refused => return Err(RefusalReason::CrashSuspect),
-        SuspectStatus::Suspect if state.calls.with_slot(|slot| slot.enter(request)) => true,
+        SuspectStatus::Suspect if state.calls.with_slot(|slot| slot.try_acquire(request)) => true,
         SuspectStatus::Suspect => return Err(RefusalReason::SuspectBusy),
     };
     Ok(Admitted {
--- a/src/endpoint/engine_watch.rs
+++ b/src/endpoint/engine_watch.rs
@@ -35,7 +35,7 @@
 
     /// Takes the slot for suspects until the guard is dropped.
     pub(super) fn enter(&self, request: Digest) -> Option<SuspectGuard<'_>> {
-        let entered = self.lock().suspects.enter(request);
+        let entered = self.lock().suspects.try_acquire(request);
         entered.then_some(SuspectGuard {
             watch: self,
             request,
@@ -56,6 +56,6 @@
 
 impl Drop for SuspectGuard<'_> {
     fn drop(&mut self) {
-        self.watch.lock().suspects.leave(self.request);
+        self.watch.lock().suspects.release(self.request);
     }
 }
--- a/src/entry/call_repeatable.rs
+++ b/src/entry/call_repeatable.rs
@@ -30,7 +30,7 @@
     if !state.node.is_ready() {
         return CallOutcome::not_run(RefusalReason::NotReady);
     }
-    state.calls.retries().request(&call.branch);
+    state.calls.retries().count_request(&call.branch);
     let mut last = CallOutcome::not_run(RefusalReason::NoEndpoint);
     for (tried, (key, address)) in candidates(state, &call.service).into_iter().enumerate() {
         if tried > 0 && !may_retry(state, &call.branch, &last) {
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -60,7 +60,7 @@
 
 impl Relay {
     pub(super) fn new(state: Arc<EntryState>, call: GenerateCall) -> Self {
-        state.routing.retries().request(&call.branch);
+        state.routing.retries().count_request(&call.branch);
         Self {
             deadline_at_ms: state.node.now_ms() + call.deadline_ms,
             attempt: None,
--- a/tests/calls/suspects.rs
+++ b/tests/calls/suspects.rs
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn slot_one_suspect_at_a_time() {
+fn try_acquire_one_suspect_at_a_time() {
     let mut slot = SuspectSlot::default();
-    assert!(slot.enter(request(0)));
-    assert!(slot.enter(request(0)));
-    assert!(!slot.enter(request(1)));
-    slot.leave(request(0));
-    assert!(!slot.enter(request(1)));
-    slot.leave(request(0));
-    assert!(slot.enter(request(1)));
+    assert!(slot.try_acquire(request(0)));
+    assert!(slot.try_acquire(request(0)));
+    assert!(!slot.try_acquire(request(1)));
+    slot.release(request(0));
+    assert!(!slot.try_acquire(request(1)));
+    slot.release(request(0));
+    assert!(slot.try_acquire(request(1)));
 }
--- a/tests/routing/retry_budget.rs
+++ b/tests/routing/retry_budget.rs
@@ -9,7 +9,7 @@
         let (mut requests, mut retries) = (0, 0);
         for _ in 0..500 {
             if u.arbitrary()? {
-                budget.request("a");
+                budget.count_request("a");
                 requests += 1;
             } else {
                 retries += u64::from(budget.try_retry("a"));
