--- a/src/endpoint/call_desk.rs
+++ b/src/endpoint/call_desk.rs
@@ -7,7 +7,7 @@
 use futures_util::future::Shared;
 
 use crate::calls::Nonce;
-use crate::calls::PauseWatch;
+use crate::calls::PauseDetector;
 use crate::calls::SuspectSlot;
 
 /// Time between two rounds of housekeeping.
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct CallDesk {
     inner: Mutex<Inner>,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
 }
 
 #[derive(Debug, Default)]
@@ -38,12 +38,12 @@
     pub fn new(now_ms: u64) -> Self {
         Self {
             inner: Mutex::default(),
-            pauses: PauseWatch::new(TICK_MS, now_ms),
+            pauses: PauseDetector::new(TICK_MS, now_ms),
         }
     }
 
     /// Notices pauses of the process.
-    pub fn pauses(&self) -> &PauseWatch {
+    pub fn pauses(&self) -> &PauseDetector {
         &self.pauses
     }
 
