--- a/src/calls/first_token_times.rs
+++ b/src/calls/first_token_times.rs
@@ -1,5 +1,5 @@
 /// Samples that are kept.
-const SAMPLES: usize = 128;
+const MAX_SAMPLES: usize = 128;
 
 /// Samples before anything is judged by them.
 const MIN_SAMPLES: usize = 16;
@@ -14,22 +14,22 @@
 #[derive(Debug, Default)]
 pub struct FirstTokenTimes {
     samples_ms: Vec<u64>,
-    next: usize,
+    next_index: usize,
 }
 
 impl FirstTokenTimes {
     /// Adds the time that one engine took.
-    pub fn add(&mut self, taken_ms: u64) {
-        if self.samples_ms.len() < SAMPLES {
+    pub fn record(&mut self, taken_ms: u64) {
+        if self.samples_ms.len() < MAX_SAMPLES {
             self.samples_ms.push(taken_ms);
             return;
         }
-        self.samples_ms[self.next] = taken_ms;
-        self.next = (self.next + 1) % SAMPLES;
+        self.samples_ms[self.next_index] = taken_ms;
+        self.next_index = (self.next_index + 1) % MAX_SAMPLES;
     }
 
     /// Time after which a first token is late; `None` while too little is known.
-    pub fn late_ms(&self) -> Option<u64> {
+    pub fn late_threshold_ms(&self) -> Option<u64> {
         if self.samples_ms.len() < MIN_SAMPLES {
             return None;
         }
--- a/src/calls/generate_frame.rs
+++ b/src/calls/generate_frame.rs
@@ -72,7 +72,7 @@
 
 /// Bytes that are no frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadFrame;
+pub struct FrameError;
 
 /// Puts arriving bytes together to frames, bounded in memory.
 #[derive(Debug, Default)]
@@ -93,21 +93,21 @@
     ///
     /// # Errors
     ///
-    /// [`BadFrame`] when the bytes are no frame or too long for one.
-    pub fn next_frame(&mut self) -> Result<Option<GenerateFrame>, BadFrame> {
+    /// [`FrameError`] when the bytes are no frame or too long for one.
+    pub fn next_frame(&mut self) -> Result<Option<GenerateFrame>, FrameError> {
         let rest = &self.bytes[self.start..];
         let Some(head) = rest.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
         if length > MAX_FRAME_BYTES {
-            return Err(BadFrame);
+            return Err(FrameError);
         }
         let end = LENGTH_BYTES + length;
         let Some(body) = rest.get(LENGTH_BYTES..end) else {
             return Ok(None);
         };
-        let frame = rmp_serde::from_slice(body).map_err(|_| BadFrame)?;
+        let frame = rmp_serde::from_slice(body).map_err(|_| FrameError)?;
         self.start += end;
         Ok(Some(frame))
     }
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -165,7 +165,7 @@
     pub(super) fn saw_start(&mut self, may_be_late: bool) {
         self.running_since = Some(Instant::now());
         if !may_be_late {
-            self.late_ms = self.state.routing.first_tokens().late_ms();
+            self.late_ms = self.state.routing.first_tokens().late_threshold_ms();
         }
     }
 
@@ -189,7 +189,7 @@
             && let Some(since) = self.running_since
         {
             let taken_ms = since.elapsed().as_millis() as u64;
-            self.state.routing.first_tokens().add(taken_ms);
+            self.state.routing.first_tokens().record(taken_ms);
         }
         let first_at = *self.first_token_at.get_or_insert_with(Instant::now);
         if self.tokens > 0 && self.tokens.is_multiple_of(PACE_TOKENS) {
