--- a/src/calls/suspect_table.rs
+++ b/src/calls/suspect_table.rs
@@ -56,61 +56,61 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Trace {
+struct Suspicion {
     fingerprint: Digest,
-    death: CrashId,
-    seen_ms: u64,
+    crash: CrashId,
+    observed_ms: u64,
     cleared: bool,
 }
 
-impl Trace {
+impl Suspicion {
     fn key(&self) -> (Digest, &CrashId) {
-        (self.fingerprint, &self.death)
+        (self.fingerprint, &self.crash)
     }
 }
 
 /// Requests that ran when endpoints crashed, within a window of time.
 ///
-/// Merging takes the union of the traces, and "cleared" wins, so the order and
+/// Merging takes the union of the suspicions, and "cleared" wins, so the order and
 /// repetition of merges do not matter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectTable {
     // Ascending by fingerprint and death.
-    traces: Vec<Trace>,
+    suspicions: Vec<Suspicion>,
     window_ms: u64,
-    max_traces: usize,
+    max_suspicions: usize,
 }
 
 impl SuspectTable {
-    /// Empty table that remembers crashes for `window_ms`, at most `max_traces` of them.
-    pub fn new(window_ms: u64, max_traces: usize) -> Self {
+    /// Empty table that remembers crashes for `window_ms`, at most `max_suspicions` of them.
+    pub fn new(window_ms: u64, max_suspicions: usize) -> Self {
         Self {
-            traces: Vec::new(),
+            suspicions: Vec::new(),
             window_ms,
-            max_traces: max_traces.max(1),
+            max_suspicions: max_suspicions.max(1),
         }
     }
 
     /// Records a request that ran when an endpoint crashed.
-    pub fn add_crash(&mut self, fingerprint: Digest, death: CrashId, now_ms: u64) {
-        self.merge_one(Trace {
+    pub fn add_crash(&mut self, fingerprint: Digest, crash: CrashId, now_ms: u64) {
+        self.merge_suspicion(Suspicion {
             fingerprint,
-            death,
-            seen_ms: now_ms,
+            crash,
+            observed_ms: now_ms,
             cleared: false,
         });
     }
 
     /// Clears a request that ran alone among suspects and crashed nothing.
-    pub fn clear(&mut self, fingerprint: Digest) {
+    pub fn clear_request(&mut self, fingerprint: Digest) {
         let first = self
-            .traces
-            .partition_point(|trace| trace.fingerprint < fingerprint);
-        for trace in &mut self.traces[first..] {
-            if trace.fingerprint != fingerprint {
+            .suspicions
+            .partition_point(|suspicion| suspicion.fingerprint < fingerprint);
+        for suspicion in &mut self.suspicions[first..] {
+            if suspicion.fingerprint != fingerprint {
                 break;
             }
-            trace.cleared = true;
+            suspicion.cleared = true;
         }
     }
 
@@ -126,32 +126,32 @@
     /// Crashes within the window that a request was not cleared of.
     pub fn crash_count(&self, fingerprint: Digest, now_ms: u64) -> usize {
         let first = self
-            .traces
-            .partition_point(|trace| trace.fingerprint < fingerprint);
-        self.traces[first..]
+            .suspicions
+            .partition_point(|suspicion| suspicion.fingerprint < fingerprint);
+        self.suspicions[first..]
             .iter()
-            .take_while(|trace| trace.fingerprint == fingerprint)
-            .filter(|trace| !trace.cleared && !self.is_expired(trace, now_ms))
+            .take_while(|suspicion| suspicion.fingerprint == fingerprint)
+            .filter(|suspicion| !suspicion.cleared && !self.is_expired(suspicion, now_ms))
             .count()
     }
 
     /// Forgets crashes past the window.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub fn drop_expired(&mut self, now_ms: u64) {
         let window_ms = self.window_ms;
-        self.traces
-            .retain(|trace| now_ms.saturating_sub(trace.seen_ms) < window_ms);
+        self.suspicions
+            .retain(|suspicion| now_ms.saturating_sub(suspicion.observed_ms) < window_ms);
     }
 
     /// Everything known, to spread.
-    pub fn export(&self, now_ms: u64) -> Vec<SuspectRecord> {
-        self.traces
+    pub fn export_records(&self, now_ms: u64) -> Vec<SuspectRecord> {
+        self.suspicions
             .iter()
-            .filter(|trace| !self.is_expired(trace, now_ms))
-            .map(|trace| SuspectRecord {
-                fingerprint: trace.fingerprint,
-                death: trace.death.clone(),
-                age_ms: now_ms.saturating_sub(trace.seen_ms),
-                cleared: trace.cleared,
+            .filter(|suspicion| !self.is_expired(suspicion, now_ms))
+            .map(|suspicion| SuspectRecord {
+                fingerprint: suspicion.fingerprint,
+                death: suspicion.crash.clone(),
+                age_ms: now_ms.saturating_sub(suspicion.observed_ms),
+                cleared: suspicion.cleared,
             })
             .collect()
     }
@@ -159,29 +159,29 @@
     /// Digest of the crashes within the window; equal on processes that know the same.
     pub fn digest(&self, now_ms: u64) -> Digest {
         let mut hasher = blake3::Hasher::new();
-        for trace in &self.traces {
-            if self.is_expired(trace, now_ms) {
+        for suspicion in &self.suspicions {
+            if self.is_expired(suspicion, now_ms) {
                 continue;
             }
-            hasher.update(trace.fingerprint.as_bytes());
-            hasher.update(trace.death.endpoint.as_bytes());
-            hasher.update(&trace.death.incarnation.to_be_bytes());
-            hasher.update(&trace.death.crash_no.to_be_bytes());
-            hasher.update(&[u8::from(trace.cleared)]);
+            hasher.update(suspicion.fingerprint.as_bytes());
+            hasher.update(suspicion.crash.endpoint.as_bytes());
+            hasher.update(&suspicion.crash.incarnation.to_be_bytes());
+            hasher.update(&suspicion.crash.crash_no.to_be_bytes());
+            hasher.update(&[u8::from(suspicion.cleared)]);
         }
         Digest::from(hasher.finalize())
     }
 
     /// Takes in what another process knows.
-    pub fn merge(&mut self, records: impl IntoIterator<Item = SuspectRecord>, now_ms: u64) {
+    pub fn merge_records(&mut self, records: impl IntoIterator<Item = SuspectRecord>, now_ms: u64) {
         for record in records {
             if record.age_ms >= self.window_ms {
                 continue;
             }
-            self.merge_one(Trace {
+            self.merge_suspicion(Suspicion {
                 fingerprint: record.fingerprint,
-                death: record.death,
-                seen_ms: now_ms.saturating_sub(record.age_ms),
+                crash: record.death,
+                observed_ms: now_ms.saturating_sub(record.age_ms),
                 cleared: record.cleared,
             });
         }
@@ -189,42 +189,42 @@
 
     /// Crashes remembered.
     pub fn len(&self) -> usize {
-        self.traces.len()
+        self.suspicions.len()
     }
 
     /// Whether no death is remembered.
     pub fn is_empty(&self) -> bool {
-        self.traces.is_empty()
+        self.suspicions.is_empty()
     }
 
-    fn is_expired(&self, trace: &Trace, now_ms: u64) -> bool {
-        now_ms.saturating_sub(trace.seen_ms) >= self.window_ms
+    fn is_expired(&self, suspicion: &Suspicion, now_ms: u64) -> bool {
+        now_ms.saturating_sub(suspicion.observed_ms) >= self.window_ms
     }
 
-    fn merge_one(&mut self, trace: Trace) {
+    fn merge_suspicion(&mut self, suspicion: Suspicion) {
         let found = self
-            .traces
-            .binary_search_by(|known| known.key().cmp(&trace.key()));
+            .suspicions
+            .binary_search_by(|known| known.key().cmp(&suspicion.key()));
         match found {
             Ok(at) => {
-                let known = &mut self.traces[at];
-                known.cleared |= trace.cleared;
-                known.seen_ms = known.seen_ms.min(trace.seen_ms);
+                let known = &mut self.suspicions[at];
+                known.cleared |= suspicion.cleared;
+                known.observed_ms = known.observed_ms.min(suspicion.observed_ms);
             }
             Err(at) => {
-                self.traces.insert(at, trace);
+                self.suspicions.insert(at, suspicion);
                 self.drop_oldest();
             }
         }
     }
 
     fn drop_oldest(&mut self) {
-        if self.traces.len() <= self.max_traces {
+        if self.suspicions.len() <= self.max_suspicions {
             return;
         }
-        let oldest = (0..self.traces.len()).min_by_key(|&at| self.traces[at].seen_ms);
+        let oldest = (0..self.suspicions.len()).min_by_key(|&at| self.suspicions[at].observed_ms);
         if let Some(at) = oldest {
-            self.traces.remove(at);
+            self.suspicions.remove(at);
         }
     }
 }
--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -82,7 +82,7 @@
     /// Clears a suspect whose run ended well.
     fn survived(&self) {
         self.state.calls.service_is_up();
-        self.state.node.suspects().clear(self.request);
+        self.state.node.suspects().clear_request(self.request);
     }
 
     /// Tells the entries at once if the service died while this call ran on it.
--- a/src/endpoint/call_ticker.rs
+++ b/src/endpoint/call_ticker.rs
@@ -35,7 +35,7 @@
     pub(super) fn turn_calls(&self) {
         let now_ms = self.node.now_ms();
         self.calls.pauses().tick(now_ms);
-        self.node.suspects().expire(now_ms);
+        self.node.suspects().drop_expired(now_ms);
         let epoch = {
             let mut permits = self.permits();
             permits.advance_epoch(now_ms);
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -253,7 +253,7 @@
                 attempt.ending = AttemptOutcome::Complete;
                 if self.call.is_suspect {
                     let request = self.call.fingerprint();
-                    self.state.node.suspects().clear(request);
+                    self.state.node.suspects().clear_request(request);
                 }
                 Step::Last(GenerateEvent::End {
                     request_id,
--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -95,7 +95,7 @@
 }
 
 fn own_beat(state: &GatewayState) -> EntryBeat {
-    let mut suspects = state.suspects.export(state.now_ms());
+    let mut suspects = state.suspects.export_records(state.now_ms());
     suspects.truncate(MAX_TOLD_SUSPECTS);
     EntryBeat {
         name: state.settings.name.clone(),
@@ -209,7 +209,9 @@
         return;
     }
     let now_ms = known.now_ms();
-    known.suspects.merge(beat.suspects.iter().cloned(), now_ms);
+    known
+        .suspects
+        .merge_records(beat.suspects.iter().cloned(), now_ms);
     if known.weights.merge(&beat.declared, now_ms as i64) {
         known.weights_notice.notify_one();
     }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -229,7 +229,7 @@
     /// Everything known of suspects, to spread.
     pub fn known_suspects(&self) -> Vec<SuspectRecord> {
         let now_ms = self.now_ms();
-        self.suspects().export(now_ms)
+        self.suspects().export_records(now_ms)
     }
 
     /// Tag of everything known of suspects.
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -154,7 +154,8 @@
     let answer: Result<ReportAnswer, _> = node.ask(&url, &report, ANSWER_WAIT_MS).await;
     if let Ok(answer) = &answer {
         let now_ms = node.now_ms();
-        node.suspects().merge(answer.suspects.clone(), now_ms);
+        node.suspects()
+            .merge_records(answer.suspects.clone(), now_ms);
     }
     match answer {
         Ok(answer) if answer.config.offset > node.follower().fold().head() => {
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -41,7 +41,7 @@
             &[("host", &report.name), ("incarnation", &report.incarnation)],
         );
     }
-    node.suspects().merge(report.suspects, now_ms);
+    node.suspects().merge_records(report.suspects, now_ms);
     let answer = node.report_answer();
     node.count_control("received", body.len());
     node.count_control("sent", ANSWER_BYTES);
--- a/tests/calls/suspects.rs
+++ b/tests/calls/suspects.rs
@@ -44,27 +44,27 @@
 fn request_status_cleared_request_is_clear() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
     table.add_crash(request(1), crash(0), 0);
-    table.clear(request(1));
+    table.clear_request(request(1));
     assert_eq!(table.request_status(request(1), 0), SuspectStatus::Clear);
 }
 
 #[test]
-fn merge_any_order_agrees() {
+fn merge_records_any_order_agrees() {
     arbtest(|u| {
         let mut tables = vec![SuspectTable::new(WINDOW_MS, 64); 3];
         for _ in 0..u.int_in_range(1..=30)? {
             let at = u.int_in_range(0..=2)?;
             let poison = request(u.int_in_range(0..=2)?);
             if u.ratio(1, 4)? {
-                tables[at].clear(poison);
+                tables[at].clear_request(poison);
             } else {
                 tables[at].add_crash(poison, crash(u.int_in_range(0..=3)?), 0);
             }
         }
-        let exports: Vec<_> = tables.iter().map(|table| table.export(0)).collect();
+        let exports: Vec<_> = tables.iter().map(|table| table.export_records(0)).collect();
         for (at, table) in tables.iter_mut().enumerate() {
             for step in 0..exports.len() {
-                table.merge(exports[(at + step) % exports.len()].clone(), 0);
+                table.merge_records(exports[(at + step) % exports.len()].clone(), 0);
             }
         }
         assert_eq!(tables[0], tables[1]);
