--- a/src/calls/outcome.rs
+++ b/src/calls/outcome.rs
@@ -64,7 +64,7 @@
     }
 
     /// Bytes that keeping the outcome takes beyond its fixed size.
-    pub fn kept_bytes(&self) -> usize {
+    pub fn body_bytes(&self) -> usize {
         match self {
             Self::Answer(answer) => answer.body.len(),
             Self::NotRun { .. } | Self::Unknown { .. } => 0,
--- a/src/calls/permit.rs
+++ b/src/calls/permit.rs
@@ -56,23 +56,23 @@
 
 impl Permit {
     /// Issues a permit for a fresh call.
-    pub fn issue(key: &PermitKey, place: PermitTarget, branch: &str, service: &str) -> Self {
-        Self::with_nonce(key, place, branch, service, Nonce::random())
+    pub fn issue(key: &PermitKey, target: PermitTarget, branch: &str, service: &str) -> Self {
+        Self::with_nonce(key, target, branch, service, Nonce::random())
     }
 
     /// Issues a permit with a given nonce.
     pub fn with_nonce(
         key: &PermitKey,
-        place: PermitTarget,
+        target: PermitTarget,
         branch: &str,
         service: &str,
         nonce: Nonce,
     ) -> Self {
         let mut permit = Self {
-            endpoint: place.endpoint,
-            address: place.address,
-            incarnation: place.incarnation,
-            epoch: place.epoch,
+            endpoint: target.endpoint,
+            address: target.address,
+            incarnation: target.incarnation,
+            epoch: target.epoch,
             nonce,
             branch: branch.to_owned(),
             service: service.to_owned(),
--- a/src/calls/permit_epochs.rs
+++ b/src/calls/permit_epochs.rs
@@ -4,17 +4,17 @@
     current: u64,
     started_ms: u64,
     epoch_ms: u64,
-    kept: u64,
+    retained_epochs: u64,
 }
 
 impl EpochCounter {
     /// Starts epoch 1 at `now_ms`; each lasts `epoch_ms` and the last `kept` are remembered.
-    pub fn new(epoch_ms: u64, kept: u64, now_ms: u64) -> Self {
+    pub fn new(epoch_ms: u64, retained_epochs: u64, now_ms: u64) -> Self {
         Self {
             current: 1,
             started_ms: now_ms,
             epoch_ms: epoch_ms.max(1),
-            kept: kept.max(1),
+            retained_epochs: retained_epochs.max(1),
         }
     }
 
@@ -33,11 +33,11 @@
 
     /// Oldest epoch that is still remembered.
     pub fn oldest(&self) -> u64 {
-        (self.current + 1).saturating_sub(self.kept)
+        (self.current + 1).saturating_sub(self.retained_epochs)
     }
 
     /// Whether permits of `epoch` are still remembered.
-    pub fn is_remembered(&self, epoch: u64) -> bool {
+    pub fn is_retained(&self, epoch: u64) -> bool {
         epoch >= self.oldest() && epoch <= self.current
     }
 
--- a/src/calls/permit_table.rs
+++ b/src/calls/permit_table.rs
@@ -12,23 +12,23 @@
     /// Length of an epoch.
     pub epoch_ms: u64,
     /// Epochs remembered, the current one included.
-    pub kept_epochs: u64,
+    pub retained_epochs: u64,
     /// Permits remembered in one epoch.
-    pub epoch_permits: usize,
+    pub max_epoch_permits: usize,
     /// Bytes of answers kept in one epoch before it takes no further permits.
-    pub epoch_bytes: usize,
+    pub max_epoch_bytes: usize,
     /// Largest answer kept.
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
 }
 
 impl Default for PermitLimits {
     fn default() -> Self {
         Self {
             epoch_ms: 60_000,
-            kept_epochs: 4,
-            epoch_permits: 16_384,
-            epoch_bytes: 4 << 20,
-            answer_bytes: 256 << 10,
+            retained_epochs: 4,
+            max_epoch_permits: 16_384,
+            max_epoch_bytes: 4 << 20,
+            max_answer_bytes: 256 << 10,
         }
     }
 }
@@ -67,24 +67,24 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum State {
+enum CallState {
     Running(Digest),
     Ended(Digest, CallOutcome),
     Tombstone(RefusalReason),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Entry {
+struct TrackedPermit {
     nonce: Nonce,
-    state: State,
+    state: CallState,
 }
 
 /// Permits of one epoch, ascending by nonce.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Epoch {
     number: u64,
-    entries: Vec<Entry>,
-    kept_bytes: usize,
+    permits: Vec<TrackedPermit>,
+    answer_bytes: usize,
     // A full epoch stays closed: every nonce it has not seen counts as refused,
     // which records those refusals without memory.
     closed: bool,
@@ -104,7 +104,7 @@
     pub fn new(incarnation: u64, limits: PermitLimits, now_ms: u64) -> Self {
         Self {
             incarnation,
-            counter: EpochCounter::new(limits.epoch_ms, limits.kept_epochs, now_ms),
+            counter: EpochCounter::new(limits.epoch_ms, limits.retained_epochs, now_ms),
             limits,
             epochs: Vec::new(),
         }
@@ -117,7 +117,7 @@
 
     /// Permits remembered.
     pub fn len(&self) -> usize {
-        self.epochs.iter().map(|epoch| epoch.entries.len()).sum()
+        self.epochs.iter().map(|epoch| epoch.permits.len()).sum()
     }
 
     /// Whether no permit is remembered.
@@ -151,23 +151,23 @@
 
     /// Records the outcome of a running call; later outcomes of the same call are ignored.
     pub fn finish_call(&mut self, permit: &Permit, outcome: CallOutcome) {
-        let answer_bytes = self.limits.answer_bytes;
+        let max_answer_bytes = self.limits.max_answer_bytes;
         let Some(epoch) = self.find_epoch(permit) else {
             return;
         };
         let Ok(at) = epoch.position(permit.nonce) else {
             return;
         };
-        let State::Running(request) = epoch.entries[at].state else {
+        let CallState::Running(request) = epoch.permits[at].state else {
             return;
         };
-        let kept = if outcome.kept_bytes() > answer_bytes {
+        let stored = if outcome.body_bytes() > max_answer_bytes {
             CallOutcome::unknown(UnknownReason::AnswerDropped)
         } else {
             outcome
         };
-        epoch.kept_bytes += kept.kept_bytes();
-        epoch.entries[at].state = State::Ended(request, kept);
+        epoch.answer_bytes += stored.body_bytes();
+        epoch.permits[at].state = CallState::Ended(request, stored);
     }
 
     /// What became of a permit; one that was not seen is refused for `reason` from now on.
@@ -183,10 +183,10 @@
             Err(reason) => return PermitStatus::Unknown(reason),
         };
         match epoch.position(permit.nonce) {
-            Ok(at) => epoch.entries[at].status(),
+            Ok(at) => epoch.permits[at].status(),
             Err(_) if epoch.is_full(&limits) => PermitStatus::NotRun(RefusalReason::PermitsFull),
             Err(at) => {
-                epoch.insert(at, permit.nonce, State::Tombstone(reason));
+                epoch.insert(at, permit.nonce, CallState::Tombstone(reason));
                 PermitStatus::NotRun(reason)
             }
         }
@@ -206,18 +206,18 @@
             Err(reason) => return CallDecision::Unknown(reason),
         };
         match epoch.position(permit.nonce) {
-            Ok(at) => epoch.entries[at].decision_for(request),
+            Ok(at) => epoch.permits[at].decision_for(request),
             Err(_) if epoch.is_full(&limits) => CallDecision::Refused {
                 reason: RefusalReason::PermitsFull,
                 retry_after_ms: Some(next_epoch_ms),
             },
             Err(at) => match refusal {
                 None => {
-                    epoch.insert(at, permit.nonce, State::Running(request));
+                    epoch.insert(at, permit.nonce, CallState::Running(request));
                     CallDecision::Run
                 }
                 Some(reason) => {
-                    epoch.insert(at, permit.nonce, State::Tombstone(reason));
+                    epoch.insert(at, permit.nonce, CallState::Tombstone(reason));
                     CallDecision::refused(reason)
                 }
             },
@@ -238,7 +238,7 @@
         if permit.incarnation != self.incarnation {
             return Err(UnknownReason::PastIncarnation);
         }
-        if !self.counter.is_remembered(permit.epoch) {
+        if !self.counter.is_retained(permit.epoch) {
             return Err(UnknownReason::EpochDropped);
         }
         let at = match self.epoch_position(permit.epoch) {
@@ -270,48 +270,48 @@
     fn new(number: u64) -> Self {
         Self {
             number,
-            entries: Vec::new(),
-            kept_bytes: 0,
+            permits: Vec::new(),
+            answer_bytes: 0,
             closed: false,
         }
     }
 
     fn position(&self, nonce: Nonce) -> Result<usize, usize> {
-        self.entries
-            .binary_search_by_key(&nonce, |entry| entry.nonce)
+        self.permits
+            .binary_search_by_key(&nonce, |permit| permit.nonce)
     }
 
     /// Whether no unseen nonce may be recorded any more.
     fn is_full(&mut self, limits: &PermitLimits) -> bool {
-        self.closed |= self.entries.len() >= limits.epoch_permits;
-        self.closed |= self.kept_bytes >= limits.epoch_bytes;
+        self.closed |= self.permits.len() >= limits.max_epoch_permits;
+        self.closed |= self.answer_bytes >= limits.max_epoch_bytes;
         self.closed
     }
 
-    fn insert(&mut self, at: usize, nonce: Nonce, state: State) {
-        self.entries.insert(at, Entry { nonce, state });
+    fn insert(&mut self, at: usize, nonce: Nonce, state: CallState) {
+        self.permits.insert(at, TrackedPermit { nonce, state });
     }
 }
 
-impl Entry {
+impl TrackedPermit {
     fn decision_for(&self, request: Digest) -> CallDecision {
         match &self.state {
-            State::Running(first) if *first == request => CallDecision::Join,
-            State::Ended(first, outcome) if *first == request => {
+            CallState::Running(first) if *first == request => CallDecision::Join,
+            CallState::Ended(first, outcome) if *first == request => {
                 CallDecision::Done(outcome.clone())
             }
-            State::Running(_) | State::Ended(..) => {
+            CallState::Running(_) | CallState::Ended(..) => {
                 CallDecision::refused(RefusalReason::PermitReused)
             }
-            State::Tombstone(reason) => CallDecision::refused(*reason),
+            CallState::Tombstone(reason) => CallDecision::refused(*reason),
         }
     }
 
     fn status(&self) -> PermitStatus {
         match &self.state {
-            State::Running(_) => PermitStatus::Running,
-            State::Ended(_, outcome) => PermitStatus::Done(outcome.clone()),
-            State::Tombstone(reason) => PermitStatus::NotRun(*reason),
+            CallState::Running(_) => PermitStatus::Running,
+            CallState::Ended(_, outcome) => PermitStatus::Done(outcome.clone()),
+            CallState::Tombstone(reason) => PermitStatus::NotRun(*reason),
         }
     }
 }
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -18,26 +18,26 @@
 use bergamotfork::weights::Digest;
 
 const EPOCH_MS: u64 = 10;
-const KEPT_EPOCHS: u64 = 2;
+const RETAINED_EPOCHS: u64 = 2;
 
 fn permit(nonce: u128, epoch: u64) -> Permit {
-    let place = PermitTarget {
+    let target = PermitTarget {
         endpoint: "desk-1".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         incarnation: 5,
         epoch,
     };
     let key = PermitKey::derive("key");
-    Permit::with_nonce(&key, place, "seaside", "bookdesk", nonce.into())
+    Permit::with_nonce(&key, target, "seaside", "bookdesk", nonce.into())
 }
 
-fn table(epoch_permits: usize) -> PermitTable {
+fn table(max_epoch_permits: usize) -> PermitTable {
     let limits = PermitLimits {
         epoch_ms: EPOCH_MS,
-        kept_epochs: KEPT_EPOCHS,
-        epoch_permits,
-        epoch_bytes: 64,
-        answer_bytes: 32,
+        retained_epochs: RETAINED_EPOCHS,
+        max_epoch_permits,
+        max_epoch_bytes: 64,
+        max_answer_bytes: 32,
     };
     PermitTable::new(5, limits, 0)
 }
@@ -184,7 +184,7 @@
             }
             assert!(runs[nonce] <= 1, "ran twice");
             assert!(runs[nonce] == 0 || !not_run[nonce], "ran and told not run");
-            assert!(table.len() <= 4 * KEPT_EPOCHS as usize);
+            assert!(table.len() <= 4 * RETAINED_EPOCHS as usize);
         }
         Ok(())
     })
--- a/tests/spec_permits/fixture.rs
+++ b/tests/spec_permits/fixture.rs
@@ -12,22 +12,22 @@
 pub const NONCE: u128 = 7;
 
 pub fn permit() -> Permit {
-    let place = PermitTarget {
+    let target = PermitTarget {
         endpoint: "a".to_owned(),
         address: ([127, 0, 0, 1], 1).into(),
         incarnation: FIRST_INCARNATION,
         epoch: 1,
     };
-    Permit::with_nonce(&PermitKey::derive("key"), place, "b", "s", NONCE.into())
+    Permit::with_nonce(&PermitKey::derive("key"), target, "b", "s", NONCE.into())
 }
 
 pub fn table(incarnation: u64, now_ms: u64) -> PermitTable {
     let limits = PermitLimits {
         epoch_ms: EPOCH_MS,
-        kept_epochs: 1,
-        epoch_permits: 4,
-        epoch_bytes: 64,
-        answer_bytes: 64,
+        retained_epochs: 1,
+        max_epoch_permits: 4,
+        max_epoch_bytes: 64,
+        max_answer_bytes: 64,
     };
     PermitTable::new(incarnation, limits, now_ms)
 }
