--- a/tests/spec_permits/main.rs
+++ b/tests/spec_permits/main.rs
@@ -11,37 +11,37 @@
 
 mod fixture;
 mod messages;
+mod model_state;
 mod rules;
-mod world;
 
 use pathfinding::directed::bfs::bfs;
 use pathfinding::directed::bfs::bfs_reach;
 
+use crate::model_state::ModelState;
 use crate::rules::Bounds;
 use crate::rules::Rule;
-use crate::world::World;
 
 /// Resends by one caller, over restarts.
-const RESENT: Bounds = bounds(3, 2, 0, 1);
+const RESENDS: Bounds = bounds(3, 2, 0, 1);
 
 /// Resends with a doubled message and no question for the nonce.
-const DOUBLED: Bounds = bounds(3, 2, 1, 0);
+const DUPLICATES: Bounds = bounds(3, 2, 1, 0);
 
 /// Questions for the nonce, with a doubled message.
-const ASKED: Bounds = bounds(2, 2, 1, 2);
+const QUERIES: Bounds = bounds(2, 2, 1, 2);
 
-const fn bounds(sends: u32, restarts: u32, doubled: u32, questions: u32) -> Bounds {
+const fn bounds(sends: u32, restarts: u32, duplicates: u32, queries: u32) -> Bounds {
     Bounds {
         sends,
         restarts,
-        doubled,
-        questions,
+        duplicates,
+        queries,
     }
 }
 
 fn assert_holds(bounds: Bounds) {
     let mut states = 0;
-    for state in bfs_reach(World::new(None, bounds), World::successors) {
+    for state in bfs_reach(ModelState::new(None, bounds), ModelState::successors) {
         states += 1;
         assert!(!state.is_violated(), "violated: {state:?}");
     }
@@ -50,25 +50,25 @@
 }
 
 #[test]
-fn explore_resent() {
-    assert_holds(RESENT);
+fn explore_resends() {
+    assert_holds(RESENDS);
 }
 
 #[test]
-fn explore_doubled() {
-    assert_holds(DOUBLED);
+fn explore_duplicates() {
+    assert_holds(DUPLICATES);
 }
 
 #[test]
-fn explore_asked() {
-    assert_holds(ASKED);
+fn explore_queries() {
+    assert_holds(QUERIES);
 }
 
 /// Looks for a violation within the bounds in which all rules together hold.
 fn is_violated_without(rule: Rule) -> bool {
-    [RESENT, DOUBLED, ASKED].into_iter().any(|bounds| {
-        let start = World::new(Some(rule), bounds);
-        bfs(&start, World::successors, World::is_violated).is_some()
+    [RESENDS, DUPLICATES, QUERIES].into_iter().any(|bounds| {
+        let start = ModelState::new(Some(rule), bounds);
+        bfs(&start, ModelState::successors, ModelState::is_violated).is_some()
     })
 }
 
@@ -85,13 +85,13 @@
 
 violated_without! {
     explore_without_tombstone Tombstone;
-    explore_without_send_one SendOne;
-    explore_without_latest_send LatestSend;
+    explore_without_first_send_only FirstSendOnly;
+    explore_without_latest_send_only LatestSendOnly;
     explore_without_count_at_answer CountAtAnswer;
-    explore_without_incarnation Incarnation;
-    explore_without_epoch Epoch;
-    explore_without_issued_here IssuedHere;
-    explore_without_fresh_connection FreshConnection;
-    explore_without_asked_apart AskedApart;
-    explore_without_closed_at_entry ClosedAtEntry;
+    explore_without_checked_incarnation CheckedIncarnation;
+    explore_without_checked_epoch CheckedEpoch;
+    explore_without_own_permits_only OwnPermitsOnly;
+    explore_without_no_automatic_resend NoAutomaticResend;
+    explore_without_separate_query_result SeparateQueryResult;
+    explore_without_closed_after_not_run ClosedAfterNotRun;
 }
--- a/tests/spec_permits/rules.rs
+++ b/tests/spec_permits/rules.rs
@@ -4,23 +4,23 @@
     /// Asking for an unseen nonce records a refusal.
     Tombstone,
     /// Only send 1 may be told "not run" for a past incarnation.
-    SendOne,
+    FirstSendOnly,
     /// The caller ignores answers to earlier sends.
-    LatestSend,
+    LatestSendOnly,
     /// Dispatches are counted when the answer is given.
     CountAtAnswer,
     /// The table refuses permits of other incarnations.
-    Incarnation,
+    CheckedIncarnation,
     /// The table refuses permits of dropped epochs.
-    Epoch,
+    CheckedEpoch,
     /// An entry vouches only for permits this process issued.
-    IssuedHere,
+    OwnPermitsOnly,
     /// The HTTP client never resends a dispatch by itself.
-    FreshConnection,
+    NoAutomaticResend,
     /// A question that meets a new process says nothing of where the call went.
-    AskedApart,
+    SeparateQueryResult,
     /// An entry that told "not run" never dispatches the permit again.
-    ClosedAtEntry,
+    ClosedAfterNotRun,
 }
 
 /// How much may happen in an exploration.
@@ -31,7 +31,7 @@
     /// Restarts and turns of the epoch.
     pub restarts: u32,
     /// Messages that arrive twice.
-    pub doubled: u32,
+    pub duplicates: u32,
     /// Questions for the nonce.
-    pub questions: u32,
+    pub queries: u32,
 }
