--- a/tests/spec_permits/main.rs
+++ b/tests/spec_permits/main.rs
@@ -91,7 +91,7 @@
     explore_without_checked_incarnation CheckedIncarnation;
     explore_without_checked_epoch CheckedEpoch;
     explore_without_own_permits_only OwnPermitsOnly;
-    explore_without_no_automatic_resend NoAutomaticResend;
+    explore_without_single_delivery SingleDelivery;
     explore_without_separate_query_result SeparateQueryResult;
     explore_without_closed_after_not_run ClosedAfterNotRun;
 }
--- a/tests/spec_permits/model_state.rs
+++ b/tests/spec_permits/model_state.rs
@@ -185,7 +185,7 @@
     fn may_duplicate(&self, message: &Message) -> bool {
         match message {
             Message::Send { .. } => true,
-            Message::Call { .. } => self.omits(Rule::NoAutomaticResend),
+            Message::Call { .. } => self.omits(Rule::SingleDelivery),
             Message::Query { .. } | Message::Reply { .. } => false,
         }
     }
--- a/tests/spec_permits/rules.rs
+++ b/tests/spec_permits/rules.rs
@@ -16,7 +16,7 @@
     /// An entry vouches only for permits this process issued.
     OwnPermitsOnly,
     /// The HTTP client never resends a dispatch by itself.
-    NoAutomaticResend,
+    SingleDelivery,
     /// A question that meets a new process says nothing of where the call went.
     SeparateQueryResult,
     /// An entry that told "not run" never dispatches the permit again.
