--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,9 +1,10 @@
-//! Permits, outcomes, routing, retry budgets and crash suspects.
+//! Permits, outcomes, routing, retry budgets and crash suspects of calls.
 //!
-//! A call that may not be repeated needs a permit, which names one incarnation
-//! of one endpoint. That endpoint's permit table runs each nonce once, replays
-//! its outcome to further sends, and records every refusal before it is told.
-//! An entry says "not run" only by the rule in `determine_outcome`.
+//! A call that must not run twice needs a permit, which names one incarnation of
+//! one endpoint. The permit table of that endpoint runs each nonce at most once,
+//! answers further sends with the stored outcome, and records each refusal before
+//! it is reported. An entry reports "not run" only where `determine_outcome`
+//! allows it.
 
 mod candidate;
 mod dispatch_ledger;
--- a/src/calls/nonce.rs
+++ b/src/calls/nonce.rs
@@ -7,17 +7,17 @@
 use serde::Serializer;
 use serde::de;
 
-/// Hexadecimal digits of a nonce in text.
+/// Length of a nonce as text, in hexadecimal digits.
 const NONCE_DIGITS: usize = 32;
 
-/// Random number that names one call for good.
+/// Random 128-bit number that identifies one call.
 ///
 /// Serialises as 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Nonce(u128);
 
 impl Nonce {
-    /// A nonce drawn from the operating system's random source.
+    /// A nonce from the thread's random generator, which the operating system seeds.
     pub fn random() -> Self {
         Self(rand::random())
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// A text that is not a nonce.
+/// Error for a text that is not a nonce.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NonceError {
     text: String,
--- a/src/calls/permit.rs
+++ b/src/calls/permit.rs
@@ -9,18 +9,18 @@
 /// Context string that separates permit keys from other uses of the shared key.
 const KEY_CONTEXT: &str = "bergamotfork permit 1";
 
-/// Key that entries seal permits with, derived from the shared key.
+/// Key with which entries seal permits, derived from the shared key.
 #[derive(Debug, Clone)]
 pub struct PermitKey([u8; 32]);
 
 impl PermitKey {
-    /// Derives the key from the `shared_key` of the processes.
+    /// Derives the key from the setting `shared_key`, which is the same on all processes.
     pub fn derive(shared_key: &str) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, shared_key.as_bytes()))
     }
 }
 
-/// Where a permit is good: one incarnation and epoch of one endpoint.
+/// Endpoint process and epoch for which a permit is valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitTarget {
     /// Name of the endpoint.
@@ -33,7 +33,7 @@
     pub epoch: u64,
 }
 
-/// Allows one call that may not be repeated, on one endpoint only.
+/// Allows one call that must not run twice, on one endpoint process only.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Permit {
     /// Name of the endpoint.
@@ -44,23 +44,23 @@
     pub incarnation: u64,
     /// Epoch of its permit table.
     pub epoch: u64,
-    /// Name of the call.
+    /// Identifies the call.
     pub nonce: Nonce,
-    /// Branch it was issued to.
+    /// Branch to which it was issued.
     pub branch: String,
-    /// Service it may be used for.
+    /// Service for which it may be used.
     pub service: String,
     /// Keyed digest of the fields above.
     pub seal: Digest,
 }
 
 impl Permit {
-    /// Issues a permit for a fresh call.
+    /// Issues a permit with a random nonce.
     pub fn issue(key: &PermitKey, target: PermitTarget, branch: &str, service: &str) -> Self {
         Self::with_nonce(key, target, branch, service, Nonce::random())
     }
 
-    /// Issues a permit with a given nonce.
+    /// Issues a permit with the given nonce.
     pub fn with_nonce(
         key: &PermitKey,
         target: PermitTarget,
@@ -82,13 +82,14 @@
         permit
     }
 
-    /// Whether an entry that holds `key` issued it, unchanged.
+    /// Whether the permit was sealed with `key` and has not been changed since.
     pub fn has_valid_seal(&self, key: &PermitKey) -> bool {
-        // Hashes compare in constant time.
+        // `blake3::Hash` compares in constant time.
         let seal = blake3::Hash::from_bytes(*self.seal.as_bytes());
         seal == blake3::Hash::from_bytes(*self.compute_seal(key).as_bytes())
     }
 
+    /// Digest of all fields but the seal, each text preceded by its length.
     fn compute_seal(&self, key: &PermitKey) -> Digest {
         let mut hasher = blake3::Hasher::new_keyed(&key.0);
         let address = self.address.to_string();
--- a/src/calls/permit_table.rs
+++ b/src/calls/permit_table.rs
@@ -9,15 +9,15 @@
 /// Bounds of a permit table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PermitLimits {
-    /// Length of an epoch.
+    /// Length of an epoch, in milliseconds.
     pub epoch_ms: u64,
-    /// Epochs remembered, the current one included.
+    /// Number of epochs remembered, the current one included.
     pub retained_epochs: u64,
-    /// Permits remembered in one epoch.
+    /// Largest number of permits remembered in one epoch.
     pub max_epoch_permits: usize,
-    /// Bytes of answers kept in one epoch before it takes no further permits.
+    /// Bytes of stored answers from which an epoch records no further permits.
     pub max_epoch_bytes: usize,
-    /// Largest answer kept.
+    /// Largest answer stored, in bytes.
     pub max_answer_bytes: usize,
 }
 
@@ -33,27 +33,27 @@
     }
 }
 
-/// What the table says to a call that arrives.
+/// How an endpoint treats a call that arrives with a permit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallDecision {
-    /// Nothing is known of the permit; the call is now recorded as running and must be run.
+    /// The permit is new; the call is recorded as running and must now be run.
     Run,
-    /// The call is running; wait for its outcome.
+    /// The call is running already; the caller waits for its outcome.
     Join,
     /// The call has ended.
     Done(CallOutcome),
-    /// The call is not run and never will be.
+    /// The call has not run and never will.
     Refused {
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back with a fresh permit.
+        /// Suggested wait before a retry with a fresh permit, in milliseconds.
         retry_after_ms: Option<u64>,
     },
     /// This process cannot know what became of the permit.
     Unknown(UnknownReason),
 }
 
-/// What the table says to a question about a permit.
+/// What an endpoint knows of the call under a permit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PermitStatus {
     /// The call has not run and never will.
@@ -66,10 +66,12 @@
     Unknown(UnknownReason),
 }
 
+/// State of a permit; the digest is that of the request it was first used for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum CallState {
     Running(Digest),
     Ended(Digest, CallOutcome),
+    /// Refused; the nonce will not run.
     Tombstone(RefusalReason),
 }
 
@@ -84,23 +86,25 @@
 struct Epoch {
     number: u64,
     permits: Vec<TrackedPermit>,
+    // Bytes of the stored answers.
     answer_bytes: usize,
-    // A full epoch stays closed: every nonce it has not seen counts as refused,
-    // which records those refusals without memory.
-    closed: bool,
+    // Set when the epoch is full, and never reset: every nonce that is not listed
+    // then counts as refused, which records these refusals without using memory.
+    is_closed: bool,
 }
 
-/// Remembers, per epoch, which permits ran, run or were refused on this endpoint.
+/// Permits that have run, are running or were refused on this endpoint, by epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PermitTable {
     incarnation: u64,
     limits: PermitLimits,
     counter: EpochCounter,
+    // Ascending by number.
     epochs: Vec<Epoch>,
 }
 
 impl PermitTable {
-    /// Empty table of the process `incarnation`.
+    /// Empty table for a process of the given incarnation.
     pub fn new(incarnation: u64, limits: PermitLimits, now_ms: u64) -> Self {
         Self {
             incarnation,
@@ -110,12 +114,12 @@
         }
     }
 
-    /// Epoch that new permits should name.
+    /// Current epoch, which new permits name.
     pub fn epoch(&self) -> u64 {
         self.counter.current()
     }
 
-    /// Permits remembered.
+    /// Number of permits remembered.
     pub fn len(&self) -> usize {
         self.epochs.iter().map(|epoch| epoch.permits.len()).sum()
     }
@@ -125,7 +129,7 @@
         self.len() == 0
     }
 
-    /// Moves on to the epoch of `now_ms` and drops the epochs past remembering.
+    /// Advances to the epoch of `now_ms` and drops the epochs that are no longer remembered.
     pub fn advance_epoch(&mut self, now_ms: u64) {
         if self.counter.advance(now_ms) {
             let oldest = self.counter.oldest();
@@ -133,12 +137,12 @@
         }
     }
 
-    /// Takes in a call whose request digests to `request`.
+    /// Decides on a call that may start here; `request` is the digest of its request.
     pub fn begin_call(&mut self, permit: &Permit, request: Digest, now_ms: u64) -> CallDecision {
         self.decide(permit, request, None, now_ms)
     }
 
-    /// Refuses a call before it is passed on, unless it is known already.
+    /// Decides on a call that may not start here: refuses it unless its permit is known.
     pub fn refuse_call(
         &mut self,
         permit: &Permit,
@@ -149,7 +153,10 @@
         self.decide(permit, request, Some(reason), now_ms)
     }
 
-    /// Records the outcome of a running call; later outcomes of the same call are ignored.
+    /// Records the outcome of a running call.
+    ///
+    /// Further outcomes of the same call are ignored, and an answer above the limit
+    /// is replaced by [`UnknownReason::AnswerDropped`].
     pub fn finish_call(&mut self, permit: &Permit, outcome: CallOutcome) {
         let max_answer_bytes = self.limits.max_answer_bytes;
         let Some(epoch) = self.find_epoch(permit) else {
@@ -170,7 +177,7 @@
         epoch.permits[at].state = CallState::Ended(request, stored);
     }
 
-    /// What became of a permit; one that was not seen is refused for `reason` from now on.
+    /// Status of a permit; one that is not known is refused for `reason` from now on.
     pub fn status_or_refuse(
         &mut self,
         permit: &Permit,
@@ -192,6 +199,7 @@
         }
     }
 
+    /// Decides on a call; a permit that is not known runs, or is refused for `refusal`.
     fn decide(
         &mut self,
         permit: &Permit,
@@ -224,6 +232,7 @@
         }
     }
 
+    /// The recorded epoch that a permit of this incarnation names.
     fn find_epoch(&mut self, permit: &Permit) -> Option<&mut Epoch> {
         if permit.incarnation != self.incarnation {
             return None;
@@ -232,7 +241,12 @@
         self.epochs.get_mut(at)
     }
 
-    /// The epoch a permit names, if this process can vouch for it.
+    /// The epoch that a permit names.
+    ///
+    /// # Errors
+    ///
+    /// Why this process cannot know the permit: it names another incarnation, or an
+    /// epoch that is not remembered.
     fn open_epoch(&mut self, permit: &Permit, now_ms: u64) -> Result<&mut Epoch, UnknownReason> {
         self.advance_epoch(now_ms);
         if permit.incarnation != self.incarnation {
@@ -251,6 +265,7 @@
         Ok(&mut self.epochs[at])
     }
 
+    /// Index of an epoch, or the index at which it belongs.
     fn epoch_position(&self, number: u64) -> Result<usize, usize> {
         self.epochs
             .binary_search_by_key(&number, |epoch| epoch.number)
@@ -258,6 +273,7 @@
 }
 
 impl CallDecision {
+    /// A refusal with the usual wait of its reason.
     fn refused(reason: RefusalReason) -> Self {
         Self::Refused {
             reason,
@@ -272,20 +288,21 @@
             number,
             permits: Vec::new(),
             answer_bytes: 0,
-            closed: false,
+            is_closed: false,
         }
     }
 
+    /// Index of a nonce, or the index at which it belongs.
     fn position(&self, nonce: Nonce) -> Result<usize, usize> {
         self.permits
             .binary_search_by_key(&nonce, |permit| permit.nonce)
     }
 
-    /// Whether no unseen nonce may be recorded any more.
+    /// Whether no further nonce may be recorded; closes the epoch if so.
     fn is_full(&mut self, limits: &PermitLimits) -> bool {
-        self.closed |= self.permits.len() >= limits.max_epoch_permits;
-        self.closed |= self.answer_bytes >= limits.max_epoch_bytes;
-        self.closed
+        self.is_closed |= self.permits.len() >= limits.max_epoch_permits;
+        self.is_closed |= self.answer_bytes >= limits.max_epoch_bytes;
+        self.is_closed
     }
 
     fn insert(&mut self, at: usize, nonce: Nonce, state: CallState) {
@@ -294,6 +311,7 @@
 }
 
 impl TrackedPermit {
+    /// Decision on a further send of a known permit, with `request` as its request.
     fn decision_for(&self, request: Digest) -> CallDecision {
         match &self.state {
             CallState::Running(first) if *first == request => CallDecision::Join,
