--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -7,12 +7,12 @@
 use super::SendResult;
 use super::determine_outcome;
 
-/// Whether an entry may send a call on.
+/// Whether an entry may dispatch a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchDecision {
-    /// Send it; the dispatch is counted.
+    /// It may; the dispatch has been counted.
     Allowed,
-    /// This entry has told "not run" for the permit; nothing may leave for it any more.
+    /// It may not, because this entry has reported "not run" for the permit.
     Closed(RefusalReason),
 }
 
@@ -21,25 +21,26 @@
     nonce: Nonce,
     dispatches: u32,
     latest_send_no: u32,
+    // Reason that was reported with "not run".
     closed: Option<RefusalReason>,
 }
 
-/// What this entry did with the permits it issued.
+/// Sends and dispatches of the permits that this entry process issued.
 ///
-/// A permit of another entry, of an earlier process at this address, or one
-/// that has been forgotten has no record and never gets one: its count cannot
-/// be vouched for.
+/// A permit that another entry or an earlier process of this entry issued, or
+/// that was forgotten, has no record and never gets one: the number of its
+/// dispatches is not known here.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DispatchLedger {
     // Ascending by nonce.
     records: Vec<PermitRecord>,
-    // Nonces in the order they were issued; the front is forgotten first.
+    // Nonces in the order in which they were issued; the front is forgotten first.
     issue_order: VecDeque<Nonce>,
     max_records: usize,
 }
 
 impl DispatchLedger {
-    /// Empty ledger that remembers `max_records` permits.
+    /// Empty ledger for at most `max_records` permits.
     pub fn new(max_records: usize) -> Self {
         Self {
             records: Vec::new(),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Records a permit this entry issues.
+    /// Adds a permit that this entry issues.
     pub fn record_permit(&mut self, nonce: Nonce) {
         let Err(at) = self.position(nonce) else {
             return;
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Counts a dispatch; to be called before the first byte leaves.
+    /// Counts a dispatch if the permit allows one; called before the first byte is sent.
     pub fn record_dispatch(&mut self, nonce: Nonce, send_no: u32) -> DispatchDecision {
         let Some(record) = self.record_mut(nonce) else {
             return DispatchDecision::Allowed;
@@ -79,14 +80,14 @@
         DispatchDecision::Allowed
     }
 
-    /// Takes back a dispatch of which no byte left.
+    /// Uncounts a dispatch of which no byte was sent.
     pub fn undo_dispatch(&mut self, nonce: Nonce) {
         if let Some(record) = self.record_mut(nonce) {
             record.dispatches = record.dispatches.saturating_sub(1);
         }
     }
 
-    /// What is known of a send, now.
+    /// Sends and dispatches known now, for the send with the given number.
     pub fn send_history(&self, nonce: Nonce, send_no: u32) -> SendHistory {
         let record = self.position(nonce).ok().map(|at| &self.records[at]);
         SendHistory {
@@ -96,16 +97,16 @@
         }
     }
 
-    /// The outcome to tell now; after "not run" the permit is closed at this entry.
-    pub fn finish_send(&mut self, nonce: Nonce, send_no: u32, reply: SendResult) -> CallOutcome {
-        let outcome = determine_outcome(reply, self.send_history(nonce, send_no));
+    /// Determines the outcome of a send; "not run" closes the permit to further dispatches.
+    pub fn finish_send(&mut self, nonce: Nonce, send_no: u32, result: SendResult) -> CallOutcome {
+        let outcome = determine_outcome(result, self.send_history(nonce, send_no));
         if let CallOutcome::NotRun { reason, .. } = &outcome {
             self.close_permit(nonce, *reason);
         }
         outcome
     }
 
-    /// Permits remembered.
+    /// Number of permits remembered.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -115,6 +116,7 @@
         self.records.is_empty()
     }
 
+    /// Closes a permit to further dispatches; the first reason stays.
     fn close_permit(&mut self, nonce: Nonce, reason: RefusalReason) {
         if let Some(record) = self.record_mut(nonce) {
             record.closed.get_or_insert(reason);
@@ -133,6 +135,7 @@
         self.records.get_mut(at)
     }
 
+    /// Index of a nonce, or the index at which it belongs.
     fn position(&self, nonce: Nonce) -> Result<usize, usize> {
         self.records
             .binary_search_by_key(&nonce, |record| record.nonce)
--- a/src/calls/outcome.rs
+++ b/src/calls/outcome.rs
@@ -5,30 +5,30 @@
 use super::StoredAnswer;
 use super::UnknownReason;
 
-/// Final outcome of a call, as told to its caller.
+/// Final outcome of a call, as reported to its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// The service's whole answer.
+    /// The service's complete answer.
     Answer(StoredAnswer),
     /// The call was not run, and never will be under this permit.
     NotRun {
-        /// Why.
+        /// Why it was not run.
         reason: RefusalReason,
-        /// When to come back with a fresh permit.
+        /// Suggested wait before a retry with a fresh permit, in milliseconds.
         retry_after_ms: Option<u64>,
     },
     /// The call may have run.
     Unknown {
-        /// Why.
+        /// Why it is not known.
         reason: UnknownReason,
-        /// When to send the same permit again.
+        /// Suggested wait before the same permit is sent again, in milliseconds.
         retry_after_ms: Option<u64>,
     },
 }
 
 impl CallOutcome {
-    /// Not run for `reason`, with its usual wait.
+    /// A call that was not run for `reason`, with the usual wait of the reason.
     pub fn not_run(reason: RefusalReason) -> Self {
         Self::NotRun {
             reason,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Unknown for `reason`, with its usual wait.
+    /// A call that may have run, with the usual wait of the reason.
     pub fn unknown(reason: UnknownReason) -> Self {
         Self::Unknown {
             reason,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Stable code of the outcome, as shown to callers and in metrics.
+    /// Code for callers and metrics; part of the interface.
     pub fn code(&self) -> &'static str {
         match self {
             Self::Answer(_) => "answer",
@@ -53,7 +53,7 @@
         }
     }
 
-    /// When to come back, if coming back makes sense.
+    /// Suggested wait before a retry, in milliseconds; `None` if a retry is not suggested.
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
             Self::Answer(_) => None,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Bytes that keeping the outcome takes beyond its fixed size.
+    /// Size of the stored body, in bytes; 0 for an outcome without an answer.
     pub fn body_bytes(&self) -> usize {
         match self {
             Self::Answer(answer) => answer.body.len(),
--- a/src/calls/service_call.rs
+++ b/src/calls/service_call.rs
@@ -6,61 +6,63 @@
 use super::RefusalReason;
 use super::UnknownReason;
 
-/// Byte of a heartbeat before an answer; no answer starts with it.
+/// Byte sent as a heartbeat until the answer is ready.
+///
+/// It is nil in MessagePack, with which no answer starts.
 pub const HEARTBEAT_BYTE: u8 = 0xc0;
 
-/// A call of a plain service, from an entry to an endpoint.
+/// A call of a service other than a model, from an entry to an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceCall {
-    /// Name of the request, echoed in its answer.
+    /// Identifies the request; repeated in its answer.
     pub request_id: String,
     /// Branch that calls.
     pub branch: String,
     /// Name of the service.
     pub service: String,
-    /// Path of the call.
+    /// Path of the call within the service.
     pub path: String,
     /// JSON body of the call.
     pub body: String,
-    /// Permit of a call that may not be repeated.
+    /// Permit; present if the call must not run twice.
     pub permit: Option<Permit>,
-    /// Time left for the answer.
+    /// Time left for the answer, in milliseconds.
     pub deadline_ms: u64,
 }
 
 impl ServiceCall {
-    /// What the call is for, as part of its fingerprint.
+    /// Service and path, as the part of the fingerprint beside the body.
     pub fn target(&self) -> String {
         format!("{}/{}", self.service, self.path)
     }
 }
 
-/// Asks an endpoint what became of a permit.
+/// Query for the status of a permit, from an entry to an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PermitStatusQuery {
-    /// Name of the question, echoed in its answer.
+    /// Identifies the query; repeated in its answer.
     pub request_id: String,
-    /// The permit.
+    /// Permit that is queried.
     pub permit: Permit,
-    /// Why it is refused if the call has not arrived.
+    /// Reason with which the permit is refused if its call has not arrived.
     pub reason: RefusalReason,
 }
 
-/// What an endpoint says of a call.
+/// What an endpoint reports on a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallReport {
-    /// The call has this outcome.
+    /// The call ended with this outcome.
     Ended(CallOutcome),
-    /// The call or question met a process that cannot know the permit, and did not run there.
+    /// The call or query reached a process that cannot know the permit; nothing was run there.
     NotHere(UnknownReason),
 }
 
-/// Answer of an endpoint to a call or a question.
+/// Answer of an endpoint to a call or a status query.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceReply {
-    /// Name of the request it answers.
+    /// Identifier of the request or query that is answered.
     pub request_id: String,
-    /// What it says.
+    /// Report on the call.
     pub told: CallReport,
 }
--- a/src/calls/unknown_reason.rs
+++ b/src/calls/unknown_reason.rs
@@ -5,26 +5,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnknownReason {
-    /// The endpoint process that the permit names is gone.
+    /// The endpoint process that the permit names has been replaced.
     PastIncarnation,
     /// The endpoint no longer remembers the permit's epoch.
     EpochDropped,
-    /// The endpoint did not answer, and not to questions either.
+    /// The endpoint answered neither the call nor a query for its permit.
     EndpointLost,
-    /// The connection broke and the endpoint accepts none any more.
+    /// The connection broke, and the endpoint accepts no new one.
     EndpointGone,
-    /// The service's answer was lost after the call was passed on.
+    /// The service's answer was lost after the endpoint had passed the call on.
     ServiceLost,
-    /// The call ran and its answer was too large to be kept.
+    /// The call ran, and its answer was too large to be stored.
     AnswerDropped,
-    /// The call still ran at the deadline.
+    /// The call was still running at the deadline.
     StillRunning,
     /// Another send of the same permit may have run.
     OtherSend,
 }
 
 impl UnknownReason {
-    /// Stable code, as shown to callers and in metrics.
+    /// Code for callers and metrics; part of the interface.
     pub fn code(self) -> &'static str {
         match self {
             Self::PastIncarnation => "past_incarnation",
@@ -38,7 +38,8 @@
         }
     }
 
-    /// When a further send of the same permit may tell more.
+    /// Suggested wait before the same permit is sent again, in milliseconds; `None` if
+    /// a further send cannot learn more.
     pub fn retry_after_ms(self) -> Option<u64> {
         match self {
             Self::EndpointLost | Self::EndpointGone | Self::StillRunning | Self::OtherSend => {
