--- a/src/calls/candidate.rs
+++ b/src/calls/candidate.rs
@@ -1,16 +1,16 @@
 use crate::hosts::HostKey;
 use crate::hosts::Load;
 
-/// An endpoint that could serve a request.
+/// Endpoint that can serve a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
     /// Key of its host.
     pub key: HostKey,
-    /// Hash of its name, alike on every entry.
+    /// Hash of its name, the same on every entry.
     pub name_hash: u64,
-    /// How busy it said it was.
+    /// Load that it last reported.
     pub load: Load,
-    /// When it said so.
+    /// Time at which `load` was received, on the monotonic clock, in milliseconds.
     pub last_received_ms: u64,
 }
 
@@ -20,7 +20,7 @@
 /// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Hash of `bytes` that is alike on every process; no protection against forgery.
+/// Hash of `bytes` that is the same in every process; not cryptographic.
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     let fnv = bytes.iter().fold(FNV_BASIS, |hash, &byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
--- a/src/calls/endpoint_stats.rs
+++ b/src/calls/endpoint_stats.rs
@@ -2,39 +2,43 @@
 use crate::hosts::HostKey;
 use crate::hosts::Load;
 
-/// Time in which the count of recent requests halves.
+/// Time in which the count of recent requests halves, in milliseconds.
 const RECENT_HALF_LIFE_MS: f64 = 2000.0;
 
-/// Weight of the latest token interval in the average, as a divisor.
+/// The latest token interval has one part in this many of the moving average.
 const INTERVAL_SMOOTHING: u64 = 4;
 
-/// Time an endpoint is avoided after its first failure.
+/// Time for which an endpoint is avoided after its first failure, in milliseconds.
 const FIRST_AVOID_MS: u64 = 500;
 
-/// Doublings of that time at most.
+/// Largest number of doublings of `FIRST_AVOID_MS`.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// Successes in a row that take back a strike.
+/// Consecutive successes that take back one doubling.
 const SUCCESSES_PER_HALVING: u32 = 16;
 
-/// Age from which a load report counts for nothing.
+/// Age up to which a load report is used, in milliseconds.
 const MAX_LOAD_AGE_MS: u64 = 2500;
 
-/// What an entry has seen of one endpoint by its own requests.
+/// Statistics of one endpoint from the requests of this entry.
 #[derive(Debug, Clone)]
 pub(super) struct EndpointStats {
     pub(super) key: HostKey,
     /// Start times of the requests in flight.
     started_ms: Vec<u64>,
+    // Decayed count of requests, as of `recent_updated_ms`.
     recent_requests: f64,
     recent_updated_ms: u64,
-    /// Average token interval; 0 before the first.
+    /// Moving average of the token interval, in microseconds; 0 before the first answer.
     pub(super) token_interval_us: u64,
+    /// Time until which the endpoint is avoided after a failure.
     pub(super) avoid_until_ms: u64,
+    /// Time of the last probe request while it was avoided.
     pub(super) last_probe_ms: u64,
+    // Doublings of the time for which the next failure has the endpoint avoided.
     backoff_doublings: u32,
     consecutive_successes: u32,
-    /// Load that came with an answer, and when.
+    /// Load reported with the latest answer, and the time at which it was received.
     answer_load: Option<(Load, u64)>,
 }
 
@@ -58,7 +62,7 @@
         self.started_ms.len() as u64
     }
 
-    /// Requests of the last seconds, decayed.
+    /// Requests started recently, decayed with `RECENT_HALF_LIFE_MS`.
     pub(super) fn recent_requests(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.recent_updated_ms) as f64;
         self.recent_requests * 0.5f64.powf(age_ms / RECENT_HALF_LIFE_MS)
@@ -103,7 +107,10 @@
         self.backoff_doublings = (self.backoff_doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Requests expected on the endpoint now, of all `entries`.
+    /// Requests expected on the endpoint now, of all entries.
+    ///
+    /// This is the latest reported load and the requests that this entry sent since;
+    /// without a recent report it is extrapolated from the requests of this entry.
     pub(super) fn expected_load(
         &self,
         candidate: &Candidate,
--- a/src/calls/first_token_times.rs
+++ b/src/calls/first_token_times.rs
@@ -1,24 +1,25 @@
-/// Samples that are kept.
+/// Number of samples kept.
 const MAX_SAMPLES: usize = 128;
 
-/// Samples before anything is judged by them.
+/// Number of samples from which a threshold is derived.
 const MIN_SAMPLES: usize = 16;
 
-/// Multiple of the 95th percentile from which a first token is late.
+/// Threshold for a late first token, as a multiple of the 95th percentile.
 const LATE_FACTOR: u64 = 3;
 
-/// Shortest time after which a first token is late.
+/// Lowest threshold for a late first token, in milliseconds.
 const MIN_LATE_MS: u64 = 100;
 
-/// Times to the first token that engines of the fleet took lately.
+/// Latest times to the first token, over all engines.
 #[derive(Debug, Default)]
 pub struct FirstTokenTimes {
     samples_ms: Vec<u64>,
+    // Oldest sample once the buffer is full.
     next_index: usize,
 }
 
 impl FirstTokenTimes {
-    /// Adds the time that one engine took.
+    /// Adds the time that an engine took for a first token, in milliseconds.
     pub fn record(&mut self, taken_ms: u64) {
         if self.samples_ms.len() < MAX_SAMPLES {
             self.samples_ms.push(taken_ms);
@@ -28,7 +29,7 @@
         self.next_index = (self.next_index + 1) % MAX_SAMPLES;
     }
 
-    /// Time after which a first token is late; `None` while too little is known.
+    /// Time after which a first token is late, in milliseconds; `None` with too few samples.
     pub fn late_threshold_ms(&self) -> Option<u64> {
         if self.samples_ms.len() < MIN_SAMPLES {
             return None;
--- a/src/calls/generate_frame.rs
+++ b/src/calls/generate_frame.rs
@@ -5,28 +5,28 @@
 use crate::hosts::Load;
 use crate::weights::Digest;
 
-/// Bytes of the length before each frame.
+/// Size of the length prefix of each frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Longest frame, in bytes.
+/// Largest frame without its length prefix, in bytes.
 const MAX_FRAME_BYTES: usize = 64 * 1024;
 
-/// Why a stream broke off at an endpoint.
+/// Why a token stream failed at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StreamFault {
-    /// The engine failed or fell silent.
+    /// The engine failed or stopped answering.
     EngineFailed,
-    /// The engine died while it ran the request.
+    /// The engine crashed while it ran the request.
     EngineCrashed {
-        /// Crash of the engine within the incarnation of the endpoint.
+        /// Number of the crash within the incarnation of the endpoint.
         crash_no: u32,
     },
-    /// The engine does not serve the weights asked for.
+    /// The engine does not serve the requested weights.
     NotLoaded,
-    /// The engine answered another request or with other weights.
+    /// The engine answered another request, or used other weights.
     WrongAnswer,
-    /// The deadline passed while tokens were made.
+    /// The deadline passed while tokens were generated.
     DeadlinePassed,
 }
 
@@ -34,33 +34,35 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GenerateFrame {
-    /// The request left the queue and runs.
+    /// The request left the queue and is running.
     Started { load: Load },
     /// The next token.
     Token { index: u32, text: String },
-    /// The connection is alive.
+    /// Heartbeat: the connection is alive.
     Beat { load: Load },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
         request_id: String,
-        /// Index after the last token.
+        /// Number of tokens of the complete answer, those before `resume_from` included.
         tokens: u32,
+        /// Manifest of the weights that were used.
         manifest: Digest,
+        /// Digest of the complete weights that were used.
         whole: Digest,
         load: Load,
     },
-    /// The request was not run and will not be.
+    /// The request was not run and never will be.
     Refused {
         reason: RefusalReason,
         retry_after_ms: Option<u64>,
         load: Load,
     },
-    /// The stream broke off.
+    /// The stream failed.
     Failed { fault: StreamFault, load: Load },
 }
 
 impl GenerateFrame {
-    /// The frame in MessagePack, after its length.
+    /// The frame in MessagePack, with its length prefix.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = vec![0; LENGTH_BYTES];
         rmp_serde::encode::write_named(&mut bytes, self).expect("frames have no failing fields");
@@ -70,11 +72,11 @@
     }
 }
 
-/// Bytes that are no frame.
+/// Error for bytes that are not a valid frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrameError;
 
-/// Puts arriving bytes together to frames, bounded in memory.
+/// Reassembles frames from received bytes, with bounded memory.
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
     bytes: Vec<u8>,
@@ -82,18 +84,18 @@
 }
 
 impl FrameBuffer {
-    /// Appends arrived bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.start);
         self.start = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole frame.
+    /// The next complete frame; `None` until more bytes are received.
     ///
     /// # Errors
     ///
-    /// [`FrameError`] when the bytes are no frame or too long for one.
+    /// [`FrameError`] when the bytes are not a frame or the frame is too large.
     pub fn next_frame(&mut self) -> Result<Option<GenerateFrame>, FrameError> {
         let rest = &self.bytes[self.start..];
         let Some(head) = rest.first_chunk::<LENGTH_BYTES>() else {
--- a/src/calls/pause_detector.rs
+++ b/src/calls/pause_detector.rs
@@ -1,13 +1,13 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Missed ticks that count as a pause; a busy process ticks late.
+/// Missed ticks in a row that count as a pause; fewer may be due to load.
 const MISSED_TICKS: u64 = 5;
 
-/// Time after waking in which messages are read that arrived before.
+/// Time after a pause in which messages that arrived during it may still be read, in milliseconds.
 const SETTLE_MS: u64 = 1_000;
 
-/// Notices that the process did not run for a while.
+/// Detects pauses in which the process did not run, from missing ticks.
 #[derive(Debug)]
 pub struct PauseDetector {
     tick_ms: u64,
@@ -17,7 +17,7 @@
 }
 
 impl PauseDetector {
-    /// A watch that is ticked every `tick_ms`.
+    /// Detector for a process that calls [`tick`](Self::tick) every `tick_ms`.
     pub fn new(tick_ms: u64, now_ms: u64) -> Self {
         Self {
             tick_ms,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Notes that the process runs.
+    /// Records that the process runs at `now_ms`.
     pub fn tick(&self, now_ms: u64) {
         let tick_gap_ms = self.tick_gap_ms(now_ms);
         if tick_gap_ms > 0 {
@@ -37,7 +37,8 @@
         self.last_tick_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Time a message that is read now may have waited for a paused process.
+    /// Longest time, in milliseconds, for which a message that is read now may have waited
+    /// while the process was paused.
     pub fn pause_ms(&self, now_ms: u64) -> u64 {
         let tick_gap_ms = self.tick_gap_ms(now_ms);
         let resumed_for_ms = now_ms.saturating_sub(self.resumed_ms.load(Ordering::Relaxed));
@@ -47,7 +48,7 @@
         self.last_pause_ms.load(Ordering::Relaxed)
     }
 
-    /// Time without a tick, if that is long enough for a pause.
+    /// Time since the last tick if it is long enough for a pause, else 0, in milliseconds.
     fn tick_gap_ms(&self, now_ms: u64) -> u64 {
         let tick_gap_ms = now_ms.saturating_sub(self.last_tick_ms.load(Ordering::Relaxed));
         match tick_gap_ms >= MISSED_TICKS * self.tick_ms {
--- a/src/calls/retry_budget.rs
+++ b/src/calls/retry_budget.rs
@@ -1,10 +1,10 @@
-/// Thousandths of a retry in one retry.
+/// Balance that one retry takes.
 const PERMILLE_PER_RETRY: u64 = 1000;
 
 /// Bounds retries to a share of the requests of each branch.
 ///
-/// Each new request adds a part of a retry to its branch and each retry takes a
-/// whole one, so that retries cannot grow faster than the requests do.
+/// Each new request adds a fraction of a retry to the balance of its branch, and
+/// each retry takes a complete one, so retries cannot outgrow the requests.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     ratio_permille: u64,
@@ -16,12 +16,13 @@
 #[derive(Debug, Clone)]
 struct BranchBudget {
     branch: String,
+    // Thousandths of a retry.
     balance_permille: u64,
 }
 
 impl RetryBudget {
-    /// Allows `ratio_permille` retries for every thousand requests of a branch and
-    /// at most `burst` at once.
+    /// Allows `ratio_permille` retries for every thousand requests of a branch, and
+    /// at most `burst` of them at once.
     pub fn new(ratio_permille: u32, burst: u32) -> Self {
         Self {
             ratio_permille: u64::from(ratio_permille),
@@ -39,7 +40,7 @@
             (budget.balance_permille + ratio_permille).min(max_balance_permille);
     }
 
-    /// Takes a retry of `branch`; false when it has none left.
+    /// Takes one retry from the balance of `branch`; returns false if there is none left.
     pub fn try_retry(&mut self, branch: &str) -> bool {
         let budget = self.branch_budget(branch);
         let is_allowed = budget.balance_permille >= PERMILLE_PER_RETRY;
@@ -49,12 +50,13 @@
         is_allowed
     }
 
+    /// Budget of `branch`, created if there is none.
     fn branch_budget(&mut self, branch: &str) -> &mut BranchBudget {
         let found = self
             .branches
             .binary_search_by(|budget| budget.branch.as_str().cmp(branch));
         let at = found.unwrap_or_else(|at| {
-            // A few retries are allowed before the first requests have been counted.
+            // A new branch starts with a full balance, so that its first requests may be retried.
             let budget = BranchBudget {
                 branch: branch.to_owned(),
                 balance_permille: self.max_balance_permille,
--- a/src/calls/router.rs
+++ b/src/calls/router.rs
@@ -8,51 +8,52 @@
 use crate::hosts::HostKey;
 use crate::hosts::Load;
 
-/// Endpoints one entry uses for a model; more are cut down to a subset.
+/// Number of endpoints that one entry uses for a model; of more it uses a fixed subset.
 const SUBSET_SIZE: usize = 48;
 
-/// Most load of a replica that affinity may cause, in percent of the mean; the
-/// margin below 125 is for rounding up to whole requests.
+/// Highest load that prefix affinity may cause on a replica, in percent of the mean.
+///
+/// The load has to stay within 125 %; the margin is for rounding up to whole requests.
 const AFFINITY_BOUND_PERCENT: f64 = 120.0;
 
-/// Replicas tried for a prefix before it goes by load alone.
+/// Replicas in rendezvous order that are considered for a prefix before load alone decides.
 const AFFINITY_TRIES: usize = 3;
 
-/// Token interval, in multiples of the median, from which an endpoint is slow.
+/// An endpoint is slow from this multiple of the median token interval.
 const SLOW_FACTOR: u64 = 3;
 
-/// Time between requests that try a slow or failed endpoint.
+/// Time between two probe requests to an avoided endpoint, in milliseconds.
 const PROBE_INTERVAL_MS: u64 = 1000;
 
-/// Endpoints that stay in use whatever was seen of them, in percent.
+/// Share of healthy candidates below which all candidates are used, in percent.
 const MIN_USED_PERCENT: usize = 50;
 
-/// What a request wants of the router.
+/// Candidates and constraints for the choice of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteRequest<'a> {
-    /// Endpoints that serve the version and take work.
+    /// Endpoints that serve the wanted version and accept requests.
     pub candidates: &'a [Candidate],
-    /// Hash of the prompt's head; `None` when it is too short to matter.
+    /// Hash of the start of the prompt; `None` when the prompt is too short for caching to matter.
     pub prefix_hash: Option<u64>,
-    /// Endpoints that have been tried.
+    /// Endpoints that were tried for this request and are left out.
     pub tried: &'a [HostKey],
 }
 
-/// How a request to an endpoint ended.
+/// How an attempt at an endpoint ended, as counted for the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The answer was whole.
+    /// The answer was complete.
     Complete,
-    /// The endpoint refused it, or its caller went away.
+    /// The endpoint refused the request or the caller disconnected; not counted.
     Neutral,
-    /// The endpoint failed or fell silent.
+    /// The endpoint failed or stopped answering.
     Failed,
 }
 
 /// Chooses an endpoint for each request.
 ///
-/// The lesser loaded of two random endpoints is taken, unless the prompt's prefix
-/// has a home whose load is within the bound.
+/// It takes the less loaded of two random endpoints, unless the rendezvous order of
+/// the prompt's prefix yields an endpoint whose load is within the bound.
 #[derive(Debug)]
 pub struct Router {
     random: Pcg64Mcg,
@@ -63,7 +64,7 @@
 }
 
 impl Router {
-    /// Router of an entry; `seed` differs between entries.
+    /// Router of one entry; `seed` has to differ between entries.
     pub fn new(seed: u64) -> Self {
         Self {
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Sets how many entries send requests to the same endpoints.
+    /// Sets the number of entries that send requests to the same endpoints.
     pub fn set_entry_count(&mut self, entry_count: u32) {
         self.entry_count = u64::from(entry_count.max(1));
     }
 
-    /// The endpoint to send a request to; `None` when all were tried.
+    /// Endpoint to which a request is to be sent; `None` when all were tried.
     pub fn pick_endpoint(&mut self, request: &RouteRequest<'_>, now_ms: u64) -> Option<HostKey> {
         let subset = self.subset(request.candidates);
         let untried: Vec<Candidate> = subset
@@ -98,7 +99,7 @@
         preferred.or_else(|| self.less_loaded_of_two(&usable, now_ms))
     }
 
-    /// Whether an endpoint that was not tried has a free slot.
+    /// Whether an endpoint that was not tried is expected to have a free slot.
     pub fn has_free_slot(&self, request: &RouteRequest<'_>, now_ms: u64) -> bool {
         let subset = self.subset(request.candidates);
         subset.iter().any(|candidate| {
@@ -107,23 +108,23 @@
         })
     }
 
-    /// Counts a request sent to `key`.
+    /// Records that a request was sent to `key` at `now_ms`.
     pub fn record_start(&mut self, key: HostKey, now_ms: u64) {
         self.ensure_stats(key).record_start(now_ms);
     }
 
-    /// Learns how busy an endpoint is from one of its answers.
+    /// Records the load that an endpoint reported with an answer.
     pub fn record_load(&mut self, key: HostKey, load: Load, now_ms: u64) {
         self.ensure_stats(key).record_load(load, now_ms);
     }
 
-    /// Learns how far apart the tokens of an answer arrive.
+    /// Records the mean interval between the tokens of an answer, in microseconds.
     pub fn record_token_interval(&mut self, key: HostKey, token_interval_us: u64) {
         self.ensure_stats(key)
             .record_token_interval(token_interval_us);
     }
 
-    /// Counts the end of a request that was sent at `started_ms`.
+    /// Records the end of a request that was sent at `started_ms`.
     pub fn record_end(
         &mut self,
         key: HostKey,
@@ -140,17 +141,17 @@
         }
     }
 
-    /// Drops what was seen of a host that is gone.
+    /// Drops the statistics of a host that was removed.
     pub fn remove_host(&mut self, key: HostKey) {
         self.endpoints.retain(|stats| stats.key != key);
     }
 
-    /// Requests in flight from here to `key`.
+    /// Requests in flight from this entry to `key`.
     pub fn in_flight(&self, key: HostKey) -> u64 {
         self.find_stats(key).map_or(0, EndpointStats::in_flight)
     }
 
-    /// The candidates this entry uses, alike from request to request.
+    /// Candidates that this entry uses, the same for each request, in order of name hash.
     fn subset(&self, candidates: &[Candidate]) -> Vec<Candidate> {
         let mut subset = candidates.to_vec();
         if subset.len() > SUBSET_SIZE {
@@ -162,7 +163,7 @@
         subset
     }
 
-    /// The candidates without those that failed lately or are slow.
+    /// Candidates without those that failed recently or are slow.
     fn usable_candidates(&self, candidates: &[Candidate], now_ms: u64) -> Vec<Candidate> {
         let slow_us = self.slow_interval_us(candidates);
         let is_healthy = |candidate: &&Candidate| {
@@ -170,13 +171,14 @@
             stats.is_none_or(|it| it.avoid_until_ms <= now_ms && it.token_interval_us < slow_us)
         };
         let healthy: Vec<Candidate> = candidates.iter().filter(is_healthy).copied().collect();
-        // Where most look bad the measure is at fault, and all are used.
+        // If most look unhealthy, the criterion is more likely wrong than the endpoints.
         if healthy.len() * 100 < candidates.len() * MIN_USED_PERCENT {
             return candidates.to_vec();
         }
         healthy
     }
 
+    /// Token interval from which an endpoint is slow; `u64::MAX` if fewer than two are known.
     fn slow_interval_us(&self, candidates: &[Candidate]) -> u64 {
         let mut intervals_us: Vec<u64> = candidates
             .iter()
@@ -191,7 +193,7 @@
         intervals_us[(intervals_us.len() - 1) / 2] * SLOW_FACTOR
     }
 
-    /// An avoided endpoint whose time for another try has come.
+    /// An avoided endpoint that is due for a probe request.
     fn due_probe(&mut self, all: &[Candidate], used: &[Candidate], now_ms: u64) -> Option<HostKey> {
         let is_used = |key| used.iter().any(|candidate| candidate.key == key);
         for candidate in all.iter().filter(|candidate| !is_used(candidate.key)) {
@@ -205,7 +207,7 @@
         None
     }
 
-    /// The replica that likely caches `prefix`, if its load is within the bound.
+    /// The endpoint that most likely caches `prefix`, among those with load within the bound.
     fn prefix_endpoint(
         &self,
         candidates: &[Candidate],
@@ -239,6 +241,10 @@
         preferred.map(|candidate| candidate.key)
     }
 
+    /// The less loaded of two random endpoints.
+    ///
+    /// Load is counted per slot, and weighted with the token interval if that is known
+    /// for both.
     fn less_loaded_of_two(&mut self, candidates: &[Candidate], now_ms: u64) -> Option<HostKey> {
         if candidates.is_empty() {
             return None;
@@ -264,6 +270,7 @@
         Some(chosen.key)
     }
 
+    /// Requests expected on a candidate now, of all entries.
     fn expected_load(&self, candidate: &Candidate, now_ms: u64) -> u64 {
         let stats = self.find_stats(candidate.key);
         stats.map_or(0, |it| {
@@ -271,6 +278,7 @@
         })
     }
 
+    /// Average token interval of a candidate; 0 if not known.
     fn token_interval_us(&self, candidate: &Candidate) -> u64 {
         self.find_stats(candidate.key)
             .map_or(0, |stats| stats.token_interval_us)
--- a/src/calls/suspect_slot.rs
+++ b/src/calls/suspect_slot.rs
@@ -1,13 +1,16 @@
 use crate::weights::Digest;
 
-/// Lets one suspect at a time run on an endpoint.
+/// Lets one crash suspect at a time run on an endpoint.
 #[derive(Debug, Default)]
 pub struct SuspectSlot {
+    // Fingerprint of the request that holds the slot, and its running copies.
     holder: Option<(Digest, u32)>,
 }
 
 impl SuspectSlot {
-    /// Takes the slot for a suspect; copies of one request share it.
+    /// Takes the slot for a suspect, or returns false if another request holds it.
+    ///
+    /// Copies of one request share the slot.
     pub fn try_acquire(&mut self, fingerprint: Digest) -> bool {
         match &mut self.holder {
             None => {
@@ -22,7 +25,7 @@
         }
     }
 
-    /// Gives the slot back.
+    /// Releases the slot for one copy of a request.
     pub fn release(&mut self, fingerprint: Digest) {
         let Some((held, copies)) = &mut self.holder else {
             return;
--- a/src/calls/suspect_table.rs
+++ b/src/calls/suspect_table.rs
@@ -3,10 +3,10 @@
 
 use crate::weights::Digest;
 
-/// Crashes after which a request is refused.
+/// Number of crashes from which a request is refused.
 pub const REFUSED_AT_CRASHES: usize = 3;
 
-/// Digest that names a request: what it is for, and its body.
+/// Digest of the target and body of a request, which identifies it in the suspect table.
 pub fn fingerprint(target: &str, body: &[u8]) -> Digest {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(target.len() as u64).to_be_bytes());
@@ -15,48 +15,50 @@
     Digest::from(hasher.finalize())
 }
 
-/// Names one crash, whoever reports it.
+/// Identifies a crash; the same for all processes that report it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashId {
     /// Endpoint that crashed.
     pub endpoint: String,
     /// Incarnation of its process.
     pub incarnation: u64,
-    /// Crash of its engine or service within the incarnation, or `PROCESS_CRASH`.
+    /// Number of the crash of its engine or service within the incarnation, or
+    /// `PROCESS_CRASH`.
     pub crash_no: u32,
 }
 
 impl CrashId {
-    /// Crash number of the process itself, which happens once per incarnation.
+    /// Number for a crash of the process itself, which ends the incarnation.
     pub const PROCESS_CRASH: u32 = u32::MAX;
 }
 
-/// One request that ran when an endpoint crashed, as spread between processes.
+/// A request that was running when an endpoint crashed, as exchanged between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Digest,
-    /// The crash it was near.
+    /// Crash during which it was running.
     pub death: CrashId,
-    /// Time since the crash was seen.
+    /// Time since the crash was observed, in milliseconds.
     pub age_ms: u64,
-    /// Whether a later run cleared the request of it.
+    /// Whether a later run without a crash cleared the request.
     pub cleared: bool,
 }
 
-/// How a request is to be treated.
+/// How a request is treated after the crashes during which it was running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectStatus {
-    /// Run it as any other.
+    /// Runs like any other request.
     Clear,
-    /// Run it with no other suspect on the endpoint.
+    /// Runs with no other suspect on the endpoint.
     Suspect,
-    /// Refuse it.
+    /// Is refused.
     Refused,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Suspicion {
+    // Request and crash are the key.
     fingerprint: Digest,
     crash: CrashId,
     observed_ms: u64,
@@ -69,20 +71,20 @@
     }
 }
 
-/// Requests that ran when endpoints crashed, within a window of time.
+/// Requests that were running when endpoints crashed, within a time window.
 ///
-/// Merging takes the union of the suspicions, and "cleared" wins, so the order and
-/// repetition of merges do not matter.
+/// A suspicion is a pair of request and crash. Merging takes the union, in which
+/// "cleared" wins, so the order and repetition of merges do not matter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectTable {
-    // Ascending by fingerprint and death.
+    // Ascending by fingerprint and crash.
     suspicions: Vec<Suspicion>,
     window_ms: u64,
     max_suspicions: usize,
 }
 
 impl SuspectTable {
-    /// Empty table that remembers crashes for `window_ms`, at most `max_suspicions` of them.
+    /// Empty table that remembers at most `max_suspicions`, each for `window_ms`.
     pub fn new(window_ms: u64, max_suspicions: usize) -> Self {
         Self {
             suspicions: Vec::new(),
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Records a request that ran when an endpoint crashed.
+    /// Records a request that was running when an endpoint crashed.
     pub fn add_crash(&mut self, fingerprint: Digest, crash: CrashId, now_ms: u64) {
         self.merge_suspicion(Suspicion {
             fingerprint,
@@ -101,7 +103,7 @@
         });
     }
 
-    /// Clears a request that ran alone among suspects and crashed nothing.
+    /// Clears a request that ran as the only suspect on an endpoint without a crash.
     pub fn clear_request(&mut self, fingerprint: Digest) {
         let first = self
             .suspicions
@@ -114,7 +116,7 @@
         }
     }
 
-    /// How to treat a request.
+    /// How a request is to be treated.
     pub fn request_status(&self, fingerprint: Digest, now_ms: u64) -> SuspectStatus {
         match self.crash_count(fingerprint, now_ms) {
             0 => SuspectStatus::Clear,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Crashes within the window that a request was not cleared of.
+    /// Number of crashes within the window of which a request has not been cleared.
     pub fn crash_count(&self, fingerprint: Digest, now_ms: u64) -> usize {
         let first = self
             .suspicions
@@ -135,14 +137,14 @@
             .count()
     }
 
-    /// Forgets crashes past the window.
+    /// Drops the suspicions older than the window.
     pub fn drop_expired(&mut self, now_ms: u64) {
         let window_ms = self.window_ms;
         self.suspicions
             .retain(|suspicion| now_ms.saturating_sub(suspicion.observed_ms) < window_ms);
     }
 
-    /// Everything known, to spread.
+    /// Suspicions within the window, for other processes.
     pub fn export_records(&self, now_ms: u64) -> Vec<SuspectRecord> {
         self.suspicions
             .iter()
@@ -156,7 +158,7 @@
             .collect()
     }
 
-    /// Digest of the crashes within the window; equal on processes that know the same.
+    /// Digest of the suspicions within the window; equal in processes that hold the same ones.
     pub fn digest(&self, now_ms: u64) -> Digest {
         let mut hasher = blake3::Hasher::new();
         for suspicion in &self.suspicions {
@@ -172,7 +174,7 @@
         Digest::from(hasher.finalize())
     }
 
-    /// Takes in what another process knows.
+    /// Merges the suspicions that another process exported.
     pub fn merge_records(&mut self, records: impl IntoIterator<Item = SuspectRecord>, now_ms: u64) {
         for record in records {
             if record.age_ms >= self.window_ms {
@@ -187,12 +189,12 @@
         }
     }
 
-    /// Crashes remembered.
+    /// Number of suspicions remembered.
     pub fn len(&self) -> usize {
         self.suspicions.len()
     }
 
-    /// Whether no death is remembered.
+    /// Whether no suspicion is remembered.
     pub fn is_empty(&self) -> bool {
         self.suspicions.is_empty()
     }
@@ -218,6 +220,7 @@
         }
     }
 
+    /// Drops the oldest suspicion if there are too many.
     fn drop_oldest(&mut self) {
         if self.suspicions.len() <= self.max_suspicions {
             return;
