--- a/src/calls/permit_table.rs
+++ b/src/calls/permit_table.rs
@@ -142,7 +142,7 @@
         self.decide(permit, request, None, now_ms)
     }
 
-    /// Decides on a call that may not start here: refuses it unless its permit is known.
+    /// Decides on a call that must not start here: refuses it unless its permit is known.
     pub fn refuse_call(
         &mut self,
         permit: &Permit,
--- a/tests/calls/main.rs
+++ b/tests/calls/main.rs
@@ -1,4 +1,4 @@
-//! Permits, the permit table, the dispatch ledger, the verdict and crash suspects.
+//! Permits, the permit table, the dispatch ledger, pauses and crash suspects.
 
 mod pauses;
 mod permits;
--- a/tests/calls/pauses.rs
+++ b/tests/calls/pauses.rs
@@ -5,7 +5,7 @@
     let detector = PauseDetector::new(100, 0);
     detector.tick(100);
     assert_eq!(detector.pause_ms(450), 0);
-    // Read before the first tick after waking, and after it.
+    // Before the first tick after the pause, and after it.
     assert_eq!(detector.pause_ms(3100), 3000);
     detector.tick(3100);
     assert_eq!(detector.pause_ms(3150), 3000);
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn has_valid_seal_changed_permit_has_none() {
+fn has_valid_seal_rejects_changed_permit() {
     let key = PermitKey::derive("key");
     let genuine = permit(1, 1);
     assert!(genuine.has_valid_seal(&key));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn permit_survives_json_and_msgpack() {
+fn permit_round_trips_json_and_msgpack() {
     let permit = permit(u128::MAX, 3);
     let json = serde_json::to_string(&permit).expect("a permit is JSON");
     assert_eq!(
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn table_resend_gets_stored_answer() {
+fn begin_call_resend_gets_stored_answer() {
     let mut table = table(8);
     let permit = permit(1, 1);
     assert_eq!(table.begin_call(&permit, request(), 0), CallDecision::Run);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn table_other_request_is_refused() {
+fn begin_call_other_request_is_refused() {
     let mut table = table(8);
     let permit = permit(1, 1);
     table.begin_call(&permit, request(), 0);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn table_large_answer_is_unknown() {
+fn finish_call_large_answer_is_dropped() {
     let mut table = table(8);
     let permit = permit(1, 1);
     table.begin_call(&permit, request(), 0);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn table_full_epoch_stays_closed() {
+fn begin_call_full_epoch_stays_closed() {
     let mut table = table(2);
     for nonce in 0..2 {
         table.begin_call(&permit(nonce, 1), request(), 0);
@@ -136,10 +136,10 @@
         retry_after_ms: Some(EPOCH_MS),
     };
     assert_eq!(table.begin_call(&permit(2, 1), request(), 0), refused);
-    let asked = PermitStatus::NotRun(RefusalReason::PermitsFull);
+    let not_run = PermitStatus::NotRun(RefusalReason::PermitsFull);
     assert_eq!(
         table.status_or_refuse(&permit(3, 1), RefusalReason::Withdrawn, 0),
-        asked
+        not_run
     );
     assert_eq!(table.len(), 2);
     assert_eq!(
@@ -152,10 +152,10 @@
     ));
 }
 
-/// Any mix of calls, questions, refusals and time: a permit runs once at most,
-/// never after "not run", and the table stays within its bounds.
+/// After any mix of calls, queries, refusals and time, a permit has run at most once,
+/// never together with "not run", and the table is within its limits.
 #[test]
-fn table_any_history_keeps_promises() {
+fn permit_table_random_history_runs_once() {
     arbtest(|u| {
         let mut table = table(4);
         let mut now_ms = 0;
@@ -163,27 +163,30 @@
         let mut not_run = [false; 6];
         for _ in 0..u.int_in_range(1..=60)? {
             let nonce = u.int_in_range(0..=5)?;
-            // One nonce belongs to one epoch.
+            // Each nonce belongs to one epoch.
             let permit = permit(nonce as u128, 1 + nonce as u64 % 3);
             match u.int_in_range(0..=4)? {
                 0 => now_ms += u.int_in_range(0..=EPOCH_MS)?,
                 1 => table.finish_call(&permit, answer(u.int_in_range(0..=40)?)),
                 2 => {
-                    let asked = table.status_or_refuse(&permit, RefusalReason::Withdrawn, now_ms);
-                    not_run[nonce] |= matches!(asked, PermitStatus::NotRun(_));
+                    let status = table.status_or_refuse(&permit, RefusalReason::Withdrawn, now_ms);
+                    not_run[nonce] |= matches!(status, PermitStatus::NotRun(_));
                 }
                 kind => {
-                    let begun = if kind == 3 {
+                    let decision = if kind == 3 {
                         table.begin_call(&permit, request(), now_ms)
                     } else {
                         table.refuse_call(&permit, request(), RefusalReason::Leaving, now_ms)
                     };
-                    not_run[nonce] |= matches!(begun, CallDecision::Refused { .. });
-                    runs[nonce] += u32::from(begun == CallDecision::Run);
+                    not_run[nonce] |= matches!(decision, CallDecision::Refused { .. });
+                    runs[nonce] += u32::from(decision == CallDecision::Run);
                 }
             }
             assert!(runs[nonce] <= 1, "ran twice");
-            assert!(runs[nonce] == 0 || !not_run[nonce], "ran and told not run");
+            assert!(
+                runs[nonce] == 0 || !not_run[nonce],
+                "ran and was reported as not run"
+            );
             assert!(table.len() <= 4 * RETAINED_EPOCHS as usize);
         }
         Ok(())
@@ -193,7 +196,7 @@
 }
 
 #[test]
-fn ledger_vouches_for_own_permits_only() {
+fn finish_send_not_run_for_own_permits_only() {
     let mut ledger = DispatchLedger::new(2);
     let (own, other) = (Nonce::from(1), Nonce::from(2));
     ledger.record_permit(own);
@@ -212,7 +215,7 @@
 }
 
 #[test]
-fn ledger_forgets_oldest_and_stays_bounded() {
+fn record_permit_forgets_oldest() {
     let mut ledger = DispatchLedger::new(2);
     for nonce in 0..5 {
         ledger.record_permit(Nonce::from(nonce));
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn reasons_have_distinct_codes() {
+fn refusal_reason_codes_are_distinct() {
     let mut codes: Vec<&str> = RefusalReason::ALL
         .iter()
         .map(|reason| reason.code())
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn reasons_page_lists_every_code() {
+fn refusal_reason_page_lists_every_code() {
     let page = include_str!("../../docs/CALLS.md");
     for reason in RefusalReason::ALL {
         let wait = reason
--- a/tests/calls/suspects.rs
+++ b/tests/calls/suspects.rs
@@ -22,26 +22,26 @@
 }
 
 #[test]
-fn request_status_third_crash_is_refused() {
+fn request_status_refuses_after_third_crash() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
-    let poison = request(0);
-    assert_eq!(table.request_status(poison, 0), SuspectStatus::Clear);
+    let suspect = request(0);
+    assert_eq!(table.request_status(suspect, 0), SuspectStatus::Clear);
     for number in 0..2 {
-        table.add_crash(poison, crash(number), 0);
-        table.add_crash(poison, crash(number), 1);
-        assert_eq!(table.request_status(poison, 1), SuspectStatus::Suspect);
+        table.add_crash(suspect, crash(number), 0);
+        table.add_crash(suspect, crash(number), 1);
+        assert_eq!(table.request_status(suspect, 1), SuspectStatus::Suspect);
     }
-    table.add_crash(poison, crash(2), 2);
-    assert_eq!(table.request_status(poison, 2), SuspectStatus::Refused);
+    table.add_crash(suspect, crash(2), 2);
+    assert_eq!(table.request_status(suspect, 2), SuspectStatus::Refused);
     assert_eq!(table.request_status(request(1), 2), SuspectStatus::Clear);
     assert_eq!(
-        table.request_status(poison, WINDOW_MS + 2),
+        table.request_status(suspect, WINDOW_MS + 2),
         SuspectStatus::Clear
     );
 }
 
 #[test]
-fn request_status_cleared_request_is_clear() {
+fn clear_request_ends_suspicion() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
     table.add_crash(request(1), crash(0), 0);
     table.clear_request(request(1));
@@ -54,11 +54,11 @@
         let mut tables = vec![SuspectTable::new(WINDOW_MS, 64); 3];
         for _ in 0..u.int_in_range(1..=30)? {
             let at = u.int_in_range(0..=2)?;
-            let poison = request(u.int_in_range(0..=2)?);
+            let suspect = request(u.int_in_range(0..=2)?);
             if u.ratio(1, 4)? {
-                tables[at].clear_request(poison);
+                tables[at].clear_request(suspect);
             } else {
-                tables[at].add_crash(poison, crash(u.int_in_range(0..=3)?), 0);
+                tables[at].add_crash(suspect, crash(u.int_in_range(0..=3)?), 0);
             }
         }
         let exports: Vec<_> = tables.iter().map(|table| table.export_records(0)).collect();
--- a/tests/routing/main.rs
+++ b/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Routing: choice of endpoints and retry budgets.
+//! Choice of endpoints, and retry budgets.
 
 mod retry_budget;
 mod router;
--- a/tests/routing/retry_budget.rs
+++ b/tests/routing/retry_budget.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn try_retry_branches_are_apart() {
+fn try_retry_branches_are_independent() {
     let mut budget = RetryBudget::new(80, 1);
     assert!(budget.try_retry("a"));
     assert!(!budget.try_retry("a"));
--- a/tests/routing/router.rs
+++ b/tests/routing/router.rs
@@ -46,7 +46,7 @@
         .collect()
 }
 
-fn ask(candidates: &[Candidate]) -> RouteRequest<'_> {
+fn route_request(candidates: &[Candidate]) -> RouteRequest<'_> {
     RouteRequest {
         candidates,
         prefix_hash: None,
@@ -55,31 +55,31 @@
 }
 
 #[test]
-fn pick_endpoint_takes_lesser_loaded_of_two() {
+fn pick_endpoint_takes_less_loaded_of_two() {
     let mut candidates = candidates(2);
     candidates[0].load.running = 9;
     let mut router = Router::new(1);
     for _ in 0..50 {
         assert_eq!(
-            router.pick_endpoint(&ask(&candidates), 0),
+            router.pick_endpoint(&route_request(&candidates), 0),
             Some(candidates[1].key)
         );
     }
 }
 
 #[test]
-fn pick_endpoint_never_repeats_a_tried_endpoint() {
+fn pick_endpoint_skips_tried_endpoints() {
     arbtest(|u| {
         let candidates = candidates(u.int_in_range(1..=60)?);
         let mut router = Router::new(u.arbitrary()?);
         let mut tried: Vec<HostKey> = Vec::new();
         loop {
-            let ask = RouteRequest {
+            let request = RouteRequest {
                 candidates: &candidates,
                 prefix_hash: u.arbitrary()?,
                 tried: &tried,
             };
-            let Some(key) = router.pick_endpoint(&ask, 0) else {
+            let Some(key) = router.pick_endpoint(&request, 0) else {
                 break;
             };
             assert!(!tried.contains(&key));
@@ -90,7 +90,7 @@
     });
 }
 
-/// A burst between two load reports spreads by what the entry itself has sent.
+/// Between two load reports, a burst is spread by the requests that the entry itself sent.
 #[test]
 fn pick_endpoint_burst_spreads_despite_old_reports() {
     for age_ms in [0, 2000, 60_000] {
@@ -98,7 +98,7 @@
         let mut router = Router::new(3);
         for _ in 0..100 {
             let key = router
-                .pick_endpoint(&ask(&candidates), age_ms)
+                .pick_endpoint(&route_request(&candidates), age_ms)
                 .expect("all usable");
             router.record_start(key, age_ms);
         }
@@ -108,21 +108,21 @@
 }
 
 #[test]
-fn pick_endpoint_prefix_stays_within_bounded_load() {
+fn pick_endpoint_prefix_load_is_bounded() {
     let candidates = candidates(8);
     let mut router = Router::new(5);
     let mut sent = vec![0u32; candidates.len()];
     let mut running = Vec::new();
     for i in 0..2000u64 {
         let now_ms = i * 5;
-        // One prefix of eight takes half of the requests.
+        // One of eight prefixes has more than half of the requests.
         let prefix = if i % 2 == 0 { 0 } else { i / 2 % 8 };
-        let ask = RouteRequest {
+        let request = RouteRequest {
             candidates: &candidates,
             prefix_hash: Some(prefix),
             tried: &[],
         };
-        let key = router.pick_endpoint(&ask, now_ms).expect("all usable");
+        let key = router.pick_endpoint(&request, now_ms).expect("all usable");
         router.record_start(key, now_ms);
         running.push((key, now_ms));
         if running.len() > 40 {
@@ -139,18 +139,18 @@
 }
 
 #[test]
-fn pick_endpoint_prefix_keeps_its_home() {
+fn pick_endpoint_prefix_keeps_its_endpoint() {
     let candidates = candidates(8);
     let (mut a, mut b) = (Router::new(1), Router::new(2));
     for prefix in 0..32 {
-        let ask = RouteRequest {
+        let request = RouteRequest {
             candidates: &candidates,
             prefix_hash: Some(prefix),
             tried: &[],
         };
-        let home = a.pick_endpoint(&ask, 0);
-        assert_eq!(a.pick_endpoint(&ask, 10), home);
-        assert_eq!(b.pick_endpoint(&ask, 0), home);
+        let preferred = a.pick_endpoint(&request, 0);
+        assert_eq!(a.pick_endpoint(&request, 10), preferred);
+        assert_eq!(b.pick_endpoint(&request, 0), preferred);
     }
 }
 
@@ -166,7 +166,7 @@
     let mut to_slow = 0;
     for i in 0..3000 {
         let key = router
-            .pick_endpoint(&ask(&candidates), i)
+            .pick_endpoint(&route_request(&candidates), i)
             .expect("nine are usable");
         router.record_start(key, i);
         router.record_end(key, i, AttemptOutcome::Complete, i);
@@ -183,40 +183,40 @@
     let mut failures = 0;
     for now_ms in 0..8000 {
         let key = router
-            .pick_endpoint(&ask(&candidates), now_ms)
+            .pick_endpoint(&route_request(&candidates), now_ms)
             .expect("nine are usable");
         router.record_start(key, now_ms);
-        let ending = if key == failing {
+        let outcome = if key == failing {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::Complete
         };
-        router.record_end(key, now_ms, ending, now_ms);
+        router.record_end(key, now_ms, outcome, now_ms);
         failures += u32::from(key == failing);
     }
-    // The pauses are 0.5, 1, 2, 4 and 8 s.
+    // The endpoint is avoided for 0.5, 1, 2, 4 and 8 s.
     assert!((2..=5).contains(&failures), "{failures}");
 }
 
 #[test]
-fn pick_endpoint_uses_all_when_most_look_bad() {
+fn pick_endpoint_uses_all_if_most_failed() {
     let candidates = candidates(4);
     let mut router = Router::new(7);
     for candidate in &candidates[..3] {
         router.record_start(candidate.key, 0);
         router.record_end(candidate.key, 0, AttemptOutcome::Failed, 0);
     }
-    let mut seen: Vec<HostKey> = (0..200)
-        .filter_map(|_| router.pick_endpoint(&ask(&candidates), 1))
+    let mut picked: Vec<HostKey> = (0..200)
+        .filter_map(|_| router.pick_endpoint(&route_request(&candidates), 1))
         .collect();
-    seen.sort_unstable();
-    seen.dedup();
-    assert_eq!(seen.len(), 4);
+    picked.sort_unstable();
+    picked.dedup();
+    assert_eq!(picked.len(), 4);
 }
 
-/// 400 entries with a subset each still reach 1,600 endpoints about evenly.
+/// The subsets of 400 entries cover 1,600 endpoints about evenly.
 #[test]
-fn pick_endpoint_subsets_cover_a_large_fleet() {
+fn pick_endpoint_subsets_cover_large_fleet() {
     let candidates = candidates(1600);
     let mut reached = vec![0u32; candidates.len()];
     for seed in 0..400 {
--- a/tests/spec_permits/main.rs
+++ b/tests/spec_permits/main.rs
@@ -1,13 +1,14 @@
-//! The life of one permit, explored in all states.
+//! Exhaustive exploration of the states of one permit.
 //!
-//! Two entries, up to three sends, two restarts (of the endpoint, of an entry,
-//! or the turn of an epoch), a doubled message, and any message lost or late,
-//! within the bounds named below.
-//! A copy of a send outlives its connection only while the send is unanswered,
-//! as HTTP clients resend nothing else by themselves.
-//! The model drives the permit table, the dispatch ledger and the verdict of the
-//! product. Each protective rule is then taken out in turn, and the exploration
-//! must find a violation.
+//! The model has two entries, up to three sends, two restarts (of the endpoint or
+//! of an entry, or the start of a new epoch), a duplicated message, and any message
+//! lost or late, within the bounds below. A copy of a send outlives its connection
+//! only until the send is answered, since HTTP clients resend nothing else by
+//! themselves.
+//!
+//! The model calls the product's own permit table, dispatch ledger and
+//! `determine_outcome`. Each protective rule is then omitted in turn, and the
+//! exploration must find a violation.
 
 mod fixture;
 mod messages;
@@ -21,13 +22,13 @@
 use crate::rules::Bounds;
 use crate::rules::Rule;
 
-/// Resends by one caller, over restarts.
+/// Resends by the caller, across restarts.
 const RESENDS: Bounds = bounds(3, 2, 0, 1);
 
-/// Resends with a doubled message and no question for the nonce.
+/// Resends with a duplicated message and without status queries.
 const DUPLICATES: Bounds = bounds(3, 2, 1, 0);
 
-/// Questions for the nonce, with a doubled message.
+/// Status queries with a duplicated message.
 const QUERIES: Bounds = bounds(2, 2, 1, 2);
 
 const fn bounds(sends: u32, restarts: u32, duplicates: u32, queries: u32) -> Bounds {
@@ -64,7 +65,7 @@
     assert_holds(QUERIES);
 }
 
-/// Looks for a violation within the bounds in which all rules together hold.
+/// Searches for a violation within the bounds in which the complete set of rules holds.
 fn is_violated_without(rule: Rule) -> bool {
     [RESENDS, DUPLICATES, QUERIES].into_iter().any(|bounds| {
         let start = ModelState::new(Some(rule), bounds);
--- a/tests/spec_permits/messages.rs
+++ b/tests/spec_permits/messages.rs
@@ -4,18 +4,23 @@
 use bergamotfork::calls::SendResult;
 use bergamotfork::calls::UnknownReason;
 
-/// Number of a handler that no longer waits; its messages may still arrive.
+/// Index of a handler that no longer waits; messages to or from it may still arrive.
 pub const CLOSED_HANDLER: usize = usize::MAX;
 
+/// A message that is on its way.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
+    /// From the caller to an entry.
     Send { entry: usize, send_no: u32 },
+    /// Dispatch from an entry to the endpoint.
     Call { handler: usize },
+    /// Status query from an entry to the endpoint.
     Query { handler: usize },
+    /// From the endpoint to an entry.
     Reply { handler: usize, reply: ReplyKind },
 }
 
-/// Short form of a reply on its way.
+/// Short form of a [`SendResult`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ReplyKind {
     Answer,
--- a/tests/spec_permits/model_state.rs
+++ b/tests/spec_permits/model_state.rs
@@ -21,6 +21,7 @@
 use bergamotfork::calls::determine_outcome;
 use bergamotfork::weights::Digest;
 
+/// Number of entries.
 const ENTRIES: usize = 2;
 
 /// One send in progress at an entry.
@@ -28,20 +29,20 @@
 struct Handler {
     entry: usize,
     send_no: u32,
-    // Dispatches counted at the time of sending, for the rule taken out.
+    // Dispatches counted at the time of sending, used if `CountAtAnswer` is omitted.
     count_at_send: Option<u32>,
     has_queried: bool,
     is_open: bool,
 }
 
-/// One state of callers, entries, endpoint and messages.
+/// One state of the caller, the entries, the endpoint and the messages on their way.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ModelState {
     omitted_rule: Option<Rule>,
     remaining: Bounds,
     now_ms: u64,
-    latest_send: u32,
-    // Sends whose answer reached the caller, one bit each.
+    latest_send_no: u32,
+    // Sends whose answer reached the caller, one bit each, by send number.
     answered_sends: u32,
     reported_not_run: bool,
     received_answer: bool,
@@ -51,6 +52,7 @@
     incarnation: u64,
     table: PermitTable,
     running: bool,
+    // Handlers to which the running call will be answered.
     waiting_handlers: Vec<usize>,
     runs: u32,
 }
@@ -66,7 +68,7 @@
             omitted_rule,
             remaining: bounds,
             now_ms: 0,
-            latest_send: 0,
+            latest_send_no: 0,
             answered_sends: 0,
             reported_not_run: false,
             received_answer: false,
@@ -81,15 +83,16 @@
         }
     }
 
-    /// The two promises: at most one execution, and "not run" only of a call that never runs.
+    /// Whether the call ran more than once, or ran and was reported as not run.
     pub fn is_violated(&self) -> bool {
         self.runs > 1 || (self.reported_not_run && self.runs > 0)
     }
 
+    /// All states that can follow this one.
     pub fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
         self.caller_sends(&mut next);
-        self.messages_arrive(&mut next);
+        self.deliver_messages(&mut next);
         self.handlers_query(&mut next);
         self.service_finishes(&mut next);
         self.restart_or_advance_epoch(&mut next);
@@ -97,10 +100,10 @@
         next
     }
 
-    /// Brings states that differ only in order or in what no longer matters to one form.
+    /// Normalizes states that differ only in order or in what no longer matters.
     fn normalize(&mut self) {
         if self.reported_not_run || self.received_answer {
-            // The caller hears nothing more, so only calls on their way matter.
+            // The caller accepts no further answer, so only calls on their way matter.
             self.handlers
                 .iter_mut()
                 .for_each(|handler| handler.is_open = false);
@@ -144,10 +147,12 @@
         self.handlers = order.iter().map(|&at| self.handlers[at]).collect();
     }
 
+    /// Whether `rule` is omitted from this exploration.
     fn omits(&self, rule: Rule) -> bool {
         self.omitted_rule == Some(rule)
     }
 
+    /// A copy of this state with `change` applied.
     fn with_change(&self, change: impl FnOnce(&mut Self)) -> Self {
         let mut next = self.clone();
         change(&mut next);
@@ -158,26 +163,26 @@
         if self.remaining.sends == 0 || self.reported_not_run || self.received_answer {
             return;
         }
-        let send_no = self.latest_send + 1;
+        let send_no = self.latest_send_no + 1;
         for entry in 0..ENTRIES {
             next.push(self.with_change(|state| {
                 state.remaining.sends -= 1;
-                state.latest_send = send_no;
+                state.latest_send_no = send_no;
                 state.messages.push(Message::Send { entry, send_no });
             }));
         }
     }
 
-    fn messages_arrive(&self, next: &mut Vec<Self>) {
+    fn deliver_messages(&self, next: &mut Vec<Self>) {
         for at in 0..self.messages.len() {
             let message = self.messages[at].clone();
-            let mut taken = self.clone();
-            taken.messages.remove(at);
-            taken.arrive(message.clone(), next);
+            let mut delivered = self.clone();
+            delivered.messages.remove(at);
+            delivered.arrive(message.clone(), next);
             if self.remaining.duplicates > 0 && self.may_duplicate(&message) {
-                let mut kept = self.clone();
-                kept.remaining.duplicates -= 1;
-                kept.arrive(message, next);
+                let mut duplicated = self.clone();
+                duplicated.remaining.duplicates -= 1;
+                duplicated.arrive(message, next);
             }
         }
     }
@@ -203,7 +208,7 @@
         }
     }
 
-    /// The entry dispatches the call, or refuses it.
+    /// The entry dispatches the call or refuses it.
     fn entry_receives_call(self, entry: usize, send_no: u32, next: &mut Vec<Self>) {
         let handler = self.handlers.len();
         let mut state = self.clone();
@@ -286,7 +291,7 @@
         self.messages.push(Message::Reply { handler, reply });
     }
 
-    /// The entry tells the caller, or asks for the nonce where it could not dispatch.
+    /// The entry reports to the caller, or sends a status query if it could not dispatch.
     fn entry_finishes_send(mut self, handler: usize, reply: ReplyKind, next: &mut Vec<Self>) {
         let Handler { entry, send_no, .. } = self.handlers[handler];
         let ledger = &mut self.ledgers[entry];
@@ -329,7 +334,7 @@
 
     fn caller_receives(&mut self, send_no: u32, outcome: &CallOutcome) {
         self.answered_sends |= 1 << send_no;
-        if send_no != self.latest_send && !self.omits(Rule::LatestSendOnly) {
+        if send_no != self.latest_send_no && !self.omits(Rule::LatestSendOnly) {
             return;
         }
         match outcome {
@@ -339,7 +344,7 @@
         }
     }
 
-    /// An entry takes the connection for silent and asks for the nonce over a new one.
+    /// An entry gives up a silent connection and sends a status query over a new one.
     fn handlers_query(&self, next: &mut Vec<Self>) {
         if self.remaining.queries == 0 {
             return;
@@ -382,14 +387,14 @@
         if self.remaining.restarts == 0 {
             return;
         }
-        let spent = self.with_change(|state| state.remaining.restarts -= 1);
-        next.push(spent.with_change(ModelState::endpoint_restarts));
-        next.push(spent.with_change(|state| {
+        let restarted = self.with_change(|state| state.remaining.restarts -= 1);
+        next.push(restarted.with_change(ModelState::endpoint_restarts));
+        next.push(restarted.with_change(|state| {
             state.now_ms += EPOCH_MS;
             state.table.advance_epoch(state.now_ms);
         }));
         for entry in 0..ENTRIES {
-            next.push(spent.with_change(|state| state.entry_restarts(entry)));
+            next.push(restarted.with_change(|state| state.entry_restarts(entry)));
         }
     }
 
@@ -407,7 +412,7 @@
         }
         let answered_sends = self.answered_sends;
         self.messages.retain(|message| {
-            // Copies of an answered request die with their connection: no client sends those again.
+            // Copies of an answered send are lost with their connection; no client resends them.
             !matches!(message, Message::Send { entry: to, send_no } if *to == entry && answered_sends & (1 << send_no) != 0)
         });
         for handler in 0..self.handlers.len() {
--- a/tests/spec_permits/rules.rs
+++ b/tests/spec_permits/rules.rs
@@ -1,37 +1,37 @@
-/// A protective rule that can be taken out.
+/// A protective rule, which an exploration can omit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Rule {
-    /// Asking for an unseen nonce records a refusal.
+    /// A status query for a nonce that is not known records a refusal.
     Tombstone,
-    /// Only send 1 may be told "not run" for a past incarnation.
+    /// Only the first send may be reported as not run for a past incarnation.
     FirstSendOnly,
-    /// The caller ignores answers to earlier sends.
+    /// The caller ignores answers to all sends but the latest.
     LatestSendOnly,
-    /// Dispatches are counted when the answer is given.
+    /// The outcome depends on the number of dispatches when the answer is given.
     CountAtAnswer,
     /// The table refuses permits of other incarnations.
     CheckedIncarnation,
     /// The table refuses permits of dropped epochs.
     CheckedEpoch,
-    /// An entry vouches only for permits this process issued.
+    /// An entry counts dispatches only of permits that its process issued.
     OwnPermitsOnly,
-    /// The HTTP client never resends a dispatch by itself.
+    /// The HTTP client does not resend a dispatch by itself.
     SingleDelivery,
-    /// A question that meets a new process says nothing of where the call went.
+    /// A status query that reaches a new process does not show where the call went.
     SeparateQueryResult,
-    /// An entry that told "not run" never dispatches the permit again.
+    /// An entry that reported "not run" does not dispatch the permit again.
     ClosedAfterNotRun,
 }
 
-/// How much may happen in an exploration.
+/// Largest number of events of each kind in an exploration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Bounds {
     /// Sends of the permit by its caller.
     pub sends: u32,
-    /// Restarts and turns of the epoch.
+    /// Restarts, and starts of a new epoch.
     pub restarts: u32,
-    /// Messages that arrive twice.
+    /// Duplicated messages.
     pub duplicates: u32,
-    /// Questions for the nonce.
+    /// Status queries.
     pub queries: u32,
 }
