--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -12,10 +12,11 @@
 pub enum DispatchDecision {
     /// It may; the dispatch has been counted.
     Allowed,
-    /// It may not, because this entry has reported "not run" for the permit.
+    /// It must not, because this entry has reported "not run" for the permit.
     Closed(RefusalReason),
 }
 
+/// Sends and dispatches of one permit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct PermitRecord {
     nonce: Nonce,
@@ -80,7 +81,7 @@
         DispatchDecision::Allowed
     }
 
-    /// Uncounts a dispatch of which no byte was sent.
+    /// Takes back the count of a dispatch of which no byte was sent.
     pub fn undo_dispatch(&mut self, nonce: Nonce) {
         if let Some(record) = self.record_mut(nonce) {
             record.dispatches = record.dispatches.saturating_sub(1);
--- a/src/calls/permit_table.rs
+++ b/src/calls/permit_table.rs
@@ -6,7 +6,7 @@
 use super::UnknownReason;
 use crate::weights::Digest;
 
-/// Bounds of a permit table.
+/// Limits of a permit table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PermitLimits {
     /// Length of an epoch, in milliseconds.
@@ -75,6 +75,7 @@
     Tombstone(RefusalReason),
 }
 
+/// A permit that the table remembers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct TrackedPermit {
     nonce: Nonce,
--- a/src/calls/retry_budget.rs
+++ b/src/calls/retry_budget.rs
@@ -1,4 +1,4 @@
-/// Balance that one retry takes.
+/// Balance that one retry takes, in permille of a retry.
 const PERMILLE_PER_RETRY: u64 = 1000;
 
 /// Bounds retries to a share of the requests of each branch.
@@ -13,6 +13,7 @@
     branches: Vec<BranchBudget>,
 }
 
+/// Retries that one branch has left.
 #[derive(Debug, Clone)]
 struct BranchBudget {
     branch: String,
--- a/src/calls/suspect_table.rs
+++ b/src/calls/suspect_table.rs
@@ -56,6 +56,7 @@
     Refused,
 }
 
+/// A request that was running during a crash.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Suspicion {
     // Request and crash are the key.
--- a/tests/spec_permits/fixture.rs
+++ b/tests/spec_permits/fixture.rs
@@ -7,10 +7,14 @@
 use bergamotfork::calls::PermitTarget;
 use bergamotfork::calls::StoredAnswer;
 
+/// Length of an epoch of the permit table, in milliseconds.
 pub const EPOCH_MS: u64 = 1;
+/// Incarnation of the endpoint that the permit names.
 pub const FIRST_INCARNATION: u64 = 1;
+/// Nonce of the only permit.
 pub const NONCE: u128 = 7;
 
+/// The only permit, as the first entry issued it.
 pub fn permit() -> Permit {
     let target = PermitTarget {
         endpoint: "a".to_owned(),
@@ -21,6 +25,7 @@
     Permit::with_nonce(&PermitKey::derive("key"), target, "b", "s", NONCE.into())
 }
 
+/// Permit table that remembers the current epoch only.
 pub fn table(incarnation: u64, now_ms: u64) -> PermitTable {
     let limits = PermitLimits {
         epoch_ms: EPOCH_MS,
--- a/tests/spec_permits/messages.rs
+++ b/tests/spec_permits/messages.rs
@@ -31,6 +31,7 @@
 }
 
 impl ReplyKind {
+    /// The result that the entry derives from this reply.
     pub fn send_result(self) -> SendResult {
         match self {
             Self::Answer => SendResult::Ended(answer()),
--- a/tests/spec_permits/model_state.rs
+++ b/tests/spec_permits/model_state.rs
@@ -58,6 +58,7 @@
 }
 
 impl ModelState {
+    /// Start state: the first entry has issued the permit and nothing was sent.
     pub fn new(omitted_rule: Option<Rule>, bounds: Bounds) -> Self {
         let mut ledgers = vec![DispatchLedger::new(4); ENTRIES];
         ledgers[0].record_permit(NONCE.into());
@@ -100,7 +101,7 @@
         next
     }
 
-    /// Normalizes states that differ only in order or in what no longer matters.
+    /// Gives states that differ only in order, or in what no longer matters, the same form.
     fn normalize(&mut self) {
         if self.reported_not_run || self.received_answer {
             // The caller accepts no further answer, so only calls on their way matter.
@@ -187,6 +188,7 @@
         }
     }
 
+    /// Whether a message may be delivered twice.
     fn may_duplicate(&self, message: &Message) -> bool {
         match message {
             Message::Send { .. } => true,
@@ -356,9 +358,10 @@
         }
     }
 
+    /// Drops replies on the old connection; a call on it may still arrive at the endpoint.
     fn query_on_new_connection(&mut self, handler: usize) {
-        let is_reply = |message: &Message| matches!(message, Message::Reply { handler: of, .. } if *of == handler);
-        self.messages.retain(|message| !is_reply(message));
+        let is_own_reply = |message: &Message| matches!(message, Message::Reply { handler: of, .. } if *of == handler);
+        self.messages.retain(|message| !is_own_reply(message));
         self.waiting_handlers.retain(|&waiting| waiting != handler);
         for message in &mut self.messages {
             if *message == (Message::Call { handler }) {
