--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -3,109 +3,111 @@
 use super::CallOutcome;
 use super::Nonce;
 use super::RefusalReason;
-use super::Reply;
-use super::SendFacts;
-use super::verdict;
+use super::SendHistory;
+use super::SendResult;
+use super::determine_outcome;
 
-/// Whether an entry may send a call on.
+/// Whether an entry may dispatch a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Dispatch {
-    /// Send it; the dispatch is counted.
-    Go,
-    /// This entry has told "not run" for the permit; nothing may leave for it any more.
+pub enum DispatchDecision {
+    /// It may; the dispatch has been counted.
+    Allowed,
+    /// It must not, because this entry has reported "not run" for the permit.
     Closed(RefusalReason),
 }
 
+/// Sends and dispatches of one permit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Record {
+struct PermitRecord {
     nonce: Nonce,
     dispatches: u32,
-    latest_send: u32,
+    latest_send_no: u32,
+    // Reason that was reported with "not run".
     closed: Option<RefusalReason>,
 }
 
-/// What this entry did with the permits it issued.
+/// Sends and dispatches of the permits that this entry process issued.
 ///
-/// A permit of another entry, of an earlier process at this address, or one
-/// that has been forgotten has no record and never gets one: its count cannot
-/// be vouched for.
+/// A permit that another entry or an earlier process of this entry issued, or
+/// that was forgotten, has no record and never gets one: the number of its
+/// dispatches is not known here.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct DispatchLedger {
     // Ascending by nonce.
-    records: Vec<Record>,
-    // Nonces in the order they were issued; the front is forgotten first.
-    issued: VecDeque<Nonce>,
+    records: Vec<PermitRecord>,
+    // Nonces in the order in which they were issued; the front is forgotten first.
+    issue_order: VecDeque<Nonce>,
     max_records: usize,
 }
 
 impl DispatchLedger {
-    /// Empty ledger that remembers `max_records` permits.
+    /// Empty ledger for at most `max_records` permits.
     pub fn new(max_records: usize) -> Self {
         Self {
             records: Vec::new(),
-            issued: VecDeque::new(),
+            issue_order: VecDeque::new(),
             max_records: max_records.max(1),
         }
     }
 
-    /// Records a permit this entry issues.
-    pub fn issue(&mut self, nonce: Nonce) {
+    /// Adds a permit that this entry issues.
+    pub fn record_permit(&mut self, nonce: Nonce) {
         let Err(at) = self.position(nonce) else {
             return;
         };
-        let record = Record {
+        let record = PermitRecord {
             nonce,
             dispatches: 0,
-            latest_send: 0,
+            latest_send_no: 0,
             closed: None,
         };
         self.records.insert(at, record);
-        self.issued.push_back(nonce);
-        if self.issued.len() > self.max_records {
+        self.issue_order.push_back(nonce);
+        if self.issue_order.len() > self.max_records {
             self.forget_oldest();
         }
     }
 
-    /// Counts a dispatch; to be called before the first byte leaves.
-    pub fn dispatch(&mut self, nonce: Nonce, send_no: u32) -> Dispatch {
-        let Some(record) = self.record(nonce) else {
-            return Dispatch::Go;
+    /// Counts a dispatch if the permit allows one; called before the first byte is sent.
+    pub fn record_dispatch(&mut self, nonce: Nonce, send_no: u32) -> DispatchDecision {
+        let Some(record) = self.record_mut(nonce) else {
+            return DispatchDecision::Allowed;
         };
-        record.latest_send = record.latest_send.max(send_no);
+        record.latest_send_no = record.latest_send_no.max(send_no);
         if let Some(reason) = record.closed {
-            return Dispatch::Closed(reason);
+            return DispatchDecision::Closed(reason);
         }
         record.dispatches += 1;
-        Dispatch::Go
+        DispatchDecision::Allowed
     }
 
-    /// Takes back a dispatch of which no byte left.
-    pub fn never_left(&mut self, nonce: Nonce) {
-        if let Some(record) = self.record(nonce) {
+    /// Takes back the count of a dispatch of which no byte was sent.
+    pub fn undo_dispatch(&mut self, nonce: Nonce) {
+        if let Some(record) = self.record_mut(nonce) {
             record.dispatches = record.dispatches.saturating_sub(1);
         }
     }
 
-    /// What is known of a send, now.
-    pub fn facts(&self, nonce: Nonce, send_no: u32) -> SendFacts {
+    /// Sends and dispatches known now, for the send with the given number.
+    pub fn send_history(&self, nonce: Nonce, send_no: u32) -> SendHistory {
         let record = self.position(nonce).ok().map(|at| &self.records[at]);
-        SendFacts {
+        SendHistory {
             send_no,
-            latest_send: record.map_or(send_no, |record| record.latest_send.max(send_no)),
+            latest_send_no: record.map_or(send_no, |record| record.latest_send_no.max(send_no)),
             dispatches: record.map(|record| record.dispatches),
         }
     }
 
-    /// The outcome to tell now; after "not run" the permit is closed at this entry.
-    pub fn conclude(&mut self, nonce: Nonce, send_no: u32, reply: Reply) -> CallOutcome {
-        let outcome = verdict(reply, self.facts(nonce, send_no));
+    /// Determines the outcome of a send; "not run" closes the permit to further dispatches.
+    pub fn finish_send(&mut self, nonce: Nonce, send_no: u32, result: SendResult) -> CallOutcome {
+        let outcome = determine_outcome(result, self.send_history(nonce, send_no));
         if let CallOutcome::NotRun { reason, .. } = &outcome {
-            self.close(nonce, *reason);
+            self.close_permit(nonce, *reason);
         }
         outcome
     }
 
-    /// Permits remembered.
+    /// Number of permits remembered.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -115,24 +117,26 @@
         self.records.is_empty()
     }
 
-    fn close(&mut self, nonce: Nonce, reason: RefusalReason) {
-        if let Some(record) = self.record(nonce) {
+    /// Closes a permit to further dispatches; the first reason stays.
+    fn close_permit(&mut self, nonce: Nonce, reason: RefusalReason) {
+        if let Some(record) = self.record_mut(nonce) {
             record.closed.get_or_insert(reason);
         }
     }
 
     fn forget_oldest(&mut self) {
-        let oldest = self.issued.pop_front();
+        let oldest = self.issue_order.pop_front();
         if let Some(Ok(at)) = oldest.map(|nonce| self.position(nonce)) {
             self.records.remove(at);
         }
     }
 
-    fn record(&mut self, nonce: Nonce) -> Option<&mut Record> {
+    fn record_mut(&mut self, nonce: Nonce) -> Option<&mut PermitRecord> {
         let at = self.position(nonce).ok()?;
         self.records.get_mut(at)
     }
 
+    /// Index of a nonce, or the index at which it belongs.
     fn position(&self, nonce: Nonce) -> Result<usize, usize> {
         self.records
             .binary_search_by_key(&nonce, |record| record.nonce)
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,73 +1,74 @@
-//! Permits, outcomes, routing, retry budgets and crash suspects.
+//! Permits, outcomes, routing, retry budgets and crash suspects of calls.
 //!
-//! A call that may not be repeated needs a permit, which names one incarnation
-//! of one endpoint. That endpoint's permit table runs each nonce once, replays
-//! its outcome to further sends, and records every refusal before it is told.
-//! An entry says "not run" only by the rule in `verdict`.
+//! A call that must not run twice needs a permit, which names one incarnation of
+//! one endpoint. The permit table of that endpoint runs each nonce at most once,
+//! answers further sends with the stored outcome, and records each refusal before
+//! it is reported. An entry reports "not run" only where `determine_outcome`
+//! allows it.
 
 mod candidate;
 mod dispatch_ledger;
-mod endpoint_track;
+mod endpoint_stats;
 mod first_token_times;
 mod generate_call;
 mod generate_frame;
 mod nonce;
 mod outcome;
-mod pause_watch;
+mod pause_detector;
 mod permit;
 mod permit_epochs;
 mod permit_table;
 mod refusal_reason;
 mod retry_budget;
 mod router;
+mod send_result;
 mod service_call;
 mod stored_answer;
 mod suspect_slot;
 mod suspect_table;
 mod unknown_reason;
-mod verdict;
 
 pub use candidate::Candidate;
 pub use candidate::stable_hash;
-pub use dispatch_ledger::Dispatch;
+pub use dispatch_ledger::DispatchDecision;
 pub use dispatch_ledger::DispatchLedger;
 pub use first_token_times::FirstTokenTimes;
 pub use generate_call::GenerateCall;
-pub use generate_frame::BadFrame;
 pub use generate_frame::FrameBuffer;
+pub use generate_frame::FrameError;
 pub use generate_frame::GenerateFrame;
 pub use generate_frame::StreamFault;
 pub use nonce::Nonce;
 pub use nonce::NonceError;
 pub use outcome::CallOutcome;
-pub use pause_watch::PauseWatch;
+pub use pause_detector::PauseDetector;
 pub use permit::Permit;
 pub use permit::PermitKey;
-pub use permit::PermitPlace;
+pub use permit::PermitTarget;
 pub use permit_epochs::EpochCounter;
-pub use permit_table::Asked;
-pub use permit_table::Begin;
+pub use permit_table::CallDecision;
 pub use permit_table::PermitLimits;
+pub use permit_table::PermitStatus;
 pub use permit_table::PermitTable;
 pub use refusal_reason::RefusalReason;
 pub use retry_budget::RetryBudget;
-pub use router::Ask;
-pub use router::Ending;
+pub use router::AttemptOutcome;
+pub use router::RouteRequest;
 pub use router::Router;
-pub use service_call::BEAT;
-pub use service_call::NonceQuestion;
+pub use send_result::SendHistory;
+pub use send_result::SendResult;
+pub use send_result::determine_outcome;
+pub use service_call::CallReport;
+pub use service_call::HEARTBEAT_BYTE;
+pub use service_call::PermitStatusQuery;
 pub use service_call::ServiceCall;
 pub use service_call::ServiceReply;
-pub use service_call::Told;
 pub use stored_answer::StoredAnswer;
 pub use suspect_slot::SuspectSlot;
-pub use suspect_table::DeathId;
-pub use suspect_table::REFUSED_AT_DEATHS;
-pub use suspect_table::Standing;
+pub use suspect_table::CrashId;
+pub use suspect_table::REFUSED_AT_CRASHES;
 pub use suspect_table::SuspectRecord;
+pub use suspect_table::SuspectStatus;
 pub use suspect_table::SuspectTable;
 pub use suspect_table::fingerprint;
 pub use unknown_reason::UnknownReason;
-pub use verdict::Reply;
-pub use verdict::SendFacts;
-pub use verdict::verdict;
--- a/src/calls/suspect_slot.rs
+++ b/src/calls/suspect_slot.rs
@@ -1,17 +1,20 @@
 use crate::weights::Digest;
 
-/// Lets one suspect at a time run on an endpoint.
+/// Lets one crash suspect at a time run on an endpoint.
 #[derive(Debug, Default)]
 pub struct SuspectSlot {
-    running: Option<(Digest, u32)>,
+    // Fingerprint of the request that holds the slot, and its running copies.
+    holder: Option<(Digest, u32)>,
 }
 
 impl SuspectSlot {
-    /// Takes the slot for a suspect; copies of one request share it.
-    pub fn enter(&mut self, fingerprint: Digest) -> bool {
-        match &mut self.running {
+    /// Takes the slot for a suspect, or returns false if another request holds it.
+    ///
+    /// Copies of one request share the slot.
+    pub fn try_acquire(&mut self, fingerprint: Digest) -> bool {
+        match &mut self.holder {
             None => {
-                self.running = Some((fingerprint, 1));
+                self.holder = Some((fingerprint, 1));
                 true
             }
             Some((held, copies)) if *held == fingerprint => {
@@ -22,9 +25,9 @@
         }
     }
 
-    /// Gives the slot back.
-    pub fn leave(&mut self, fingerprint: Digest) {
-        let Some((held, copies)) = &mut self.running else {
+    /// Releases the slot for one copy of a request.
+    pub fn release(&mut self, fingerprint: Digest) {
+        let Some((held, copies)) = &mut self.holder else {
             return;
         };
         if *held != fingerprint {
@@ -32,7 +35,7 @@
         }
         *copies -= 1;
         if *copies == 0 {
-            self.running = None;
+            self.holder = None;
         }
     }
 }
--- a/src/calls/suspect_table.rs
+++ b/src/calls/suspect_table.rs
@@ -3,10 +3,10 @@
 
 use crate::weights::Digest;
 
-/// Deaths after which a request is refused.
-pub const REFUSED_AT_DEATHS: usize = 3;
+/// Number of crashes from which a request is refused.
+pub const REFUSED_AT_CRASHES: usize = 3;
 
-/// Digest that names a request: what it is for, and its body.
+/// Digest of the target and body of a request, which identifies it in the suspect table.
 pub fn fingerprint(target: &str, body: &[u8]) -> Digest {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(target.len() as u64).to_be_bytes());
@@ -15,216 +15,220 @@
     Digest::from(hasher.finalize())
 }
 
-/// Names one crash, whoever reports it.
+/// Identifies a crash; the same for all processes that report it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DeathId {
+pub struct CrashId {
     /// Endpoint that crashed.
     pub endpoint: String,
     /// Incarnation of its process.
     pub incarnation: u64,
-    /// Crash of its engine or service within the incarnation, or `PROCESS_DEATH`.
+    /// Number of the crash of its engine or service within the incarnation, or
+    /// `PROCESS_CRASH`.
     pub crash_no: u32,
 }
 
-impl DeathId {
-    /// Crash number of the process itself, which happens once per incarnation.
-    pub const PROCESS_DEATH: u32 = u32::MAX;
+impl CrashId {
+    /// Number for a crash of the process itself, which ends the incarnation.
+    pub const PROCESS_CRASH: u32 = u32::MAX;
 }
 
-/// One request that ran when an endpoint crashed, as spread between processes.
+/// A request that was running when an endpoint crashed, as exchanged between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Digest,
-    /// The crash it was near.
-    pub death: DeathId,
-    /// Time since the crash was seen.
+    /// Crash during which it was running.
+    pub death: CrashId,
+    /// Time since the crash was observed, in milliseconds.
     pub age_ms: u64,
-    /// Whether a later run cleared the request of it.
+    /// Whether a later run without a crash cleared the request.
     pub cleared: bool,
 }
 
-/// How a request is to be treated.
+/// How a request is treated after the crashes during which it was running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// Run it as any other.
+pub enum SuspectStatus {
+    /// Runs like any other request.
     Clear,
-    /// Run it with no other suspect on the endpoint.
+    /// Runs with no other suspect on the endpoint.
     Suspect,
-    /// Refuse it.
+    /// Is refused.
     Refused,
 }
 
+/// A request that was running during a crash.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Trace {
+struct Suspicion {
+    // Request and crash are the key.
     fingerprint: Digest,
-    death: DeathId,
-    seen_ms: u64,
+    crash: CrashId,
+    observed_ms: u64,
     cleared: bool,
 }
 
-impl Trace {
-    fn key(&self) -> (Digest, &DeathId) {
-        (self.fingerprint, &self.death)
+impl Suspicion {
+    fn key(&self) -> (Digest, &CrashId) {
+        (self.fingerprint, &self.crash)
     }
 }
 
-/// Requests that ran when endpoints crashed, within a window of time.
+/// Requests that were running when endpoints crashed, within a time window.
 ///
-/// Merging takes the union of the traces, and "cleared" wins, so the order and
-/// repetition of merges do not matter.
+/// A suspicion is a pair of request and crash. Merging takes the union, in which
+/// "cleared" wins, so the order and repetition of merges do not matter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectTable {
-    // Ascending by fingerprint and death.
-    traces: Vec<Trace>,
+    // Ascending by fingerprint and crash.
+    suspicions: Vec<Suspicion>,
     window_ms: u64,
-    max_traces: usize,
+    max_suspicions: usize,
 }
 
 impl SuspectTable {
-    /// Empty table that remembers deaths for `window_ms`, at most `max_traces` of them.
-    pub fn new(window_ms: u64, max_traces: usize) -> Self {
+    /// Empty table that remembers at most `max_suspicions`, each for `window_ms`.
+    pub fn new(window_ms: u64, max_suspicions: usize) -> Self {
         Self {
-            traces: Vec::new(),
+            suspicions: Vec::new(),
             window_ms,
-            max_traces: max_traces.max(1),
+            max_suspicions: max_suspicions.max(1),
         }
     }
 
-    /// Records a request that ran when an endpoint crashed.
-    pub fn add_death(&mut self, fingerprint: Digest, death: DeathId, now_ms: u64) {
-        self.merge_one(Trace {
+    /// Records a request that was running when an endpoint crashed.
+    pub fn add_crash(&mut self, fingerprint: Digest, crash: CrashId, now_ms: u64) {
+        self.merge_suspicion(Suspicion {
             fingerprint,
-            death,
-            seen_ms: now_ms,
+            crash,
+            observed_ms: now_ms,
             cleared: false,
         });
     }
 
-    /// Clears a request that ran alone among suspects and crashed nothing.
-    pub fn clear(&mut self, fingerprint: Digest) {
+    /// Clears a request that ran as the only suspect on an endpoint without a crash.
+    pub fn clear_request(&mut self, fingerprint: Digest) {
         let first = self
-            .traces
-            .partition_point(|trace| trace.fingerprint < fingerprint);
-        for trace in &mut self.traces[first..] {
-            if trace.fingerprint != fingerprint {
+            .suspicions
+            .partition_point(|suspicion| suspicion.fingerprint < fingerprint);
+        for suspicion in &mut self.suspicions[first..] {
+            if suspicion.fingerprint != fingerprint {
                 break;
             }
-            trace.cleared = true;
+            suspicion.cleared = true;
         }
     }
 
-    /// How to treat a request.
-    pub fn standing(&self, fingerprint: Digest, now_ms: u64) -> Standing {
-        match self.deaths(fingerprint, now_ms) {
-            0 => Standing::Clear,
-            deaths if deaths < REFUSED_AT_DEATHS => Standing::Suspect,
-            _ => Standing::Refused,
+    /// How a request is to be treated.
+    pub fn request_status(&self, fingerprint: Digest, now_ms: u64) -> SuspectStatus {
+        match self.crash_count(fingerprint, now_ms) {
+            0 => SuspectStatus::Clear,
+            count if count < REFUSED_AT_CRASHES => SuspectStatus::Suspect,
+            _ => SuspectStatus::Refused,
         }
     }
 
-    /// Deaths within the window that a request was not cleared of.
-    pub fn deaths(&self, fingerprint: Digest, now_ms: u64) -> usize {
+    /// Number of crashes within the window of which a request has not been cleared.
+    pub fn crash_count(&self, fingerprint: Digest, now_ms: u64) -> usize {
         let first = self
-            .traces
-            .partition_point(|trace| trace.fingerprint < fingerprint);
-        self.traces[first..]
+            .suspicions
+            .partition_point(|suspicion| suspicion.fingerprint < fingerprint);
+        self.suspicions[first..]
             .iter()
-            .take_while(|trace| trace.fingerprint == fingerprint)
-            .filter(|trace| !trace.cleared && !self.is_expired(trace, now_ms))
+            .take_while(|suspicion| suspicion.fingerprint == fingerprint)
+            .filter(|suspicion| !suspicion.cleared && !self.is_expired(suspicion, now_ms))
             .count()
     }
 
-    /// Forgets deaths past the window.
-    pub fn expire(&mut self, now_ms: u64) {
+    /// Drops the suspicions older than the window.
+    pub fn drop_expired(&mut self, now_ms: u64) {
         let window_ms = self.window_ms;
-        self.traces
-            .retain(|trace| now_ms.saturating_sub(trace.seen_ms) < window_ms);
+        self.suspicions
+            .retain(|suspicion| now_ms.saturating_sub(suspicion.observed_ms) < window_ms);
     }
 
-    /// Everything known, to spread.
-    pub fn export(&self, now_ms: u64) -> Vec<SuspectRecord> {
-        self.traces
+    /// Suspicions within the window, for other processes.
+    pub fn export_records(&self, now_ms: u64) -> Vec<SuspectRecord> {
+        self.suspicions
             .iter()
-            .filter(|trace| !self.is_expired(trace, now_ms))
-            .map(|trace| SuspectRecord {
-                fingerprint: trace.fingerprint,
-                death: trace.death.clone(),
-                age_ms: now_ms.saturating_sub(trace.seen_ms),
-                cleared: trace.cleared,
+            .filter(|suspicion| !self.is_expired(suspicion, now_ms))
+            .map(|suspicion| SuspectRecord {
+                fingerprint: suspicion.fingerprint,
+                death: suspicion.crash.clone(),
+                age_ms: now_ms.saturating_sub(suspicion.observed_ms),
+                cleared: suspicion.cleared,
             })
             .collect()
     }
 
-    /// Digest of the deaths within the window; equal on processes that know the same.
+    /// Digest of the suspicions within the window; equal in processes that hold the same ones.
     pub fn digest(&self, now_ms: u64) -> Digest {
         let mut hasher = blake3::Hasher::new();
-        for trace in &self.traces {
-            if self.is_expired(trace, now_ms) {
+        for suspicion in &self.suspicions {
+            if self.is_expired(suspicion, now_ms) {
                 continue;
             }
-            hasher.update(trace.fingerprint.as_bytes());
-            hasher.update(trace.death.endpoint.as_bytes());
-            hasher.update(&trace.death.incarnation.to_be_bytes());
-            hasher.update(&trace.death.crash_no.to_be_bytes());
-            hasher.update(&[u8::from(trace.cleared)]);
+            hasher.update(suspicion.fingerprint.as_bytes());
+            hasher.update(suspicion.crash.endpoint.as_bytes());
+            hasher.update(&suspicion.crash.incarnation.to_be_bytes());
+            hasher.update(&suspicion.crash.crash_no.to_be_bytes());
+            hasher.update(&[u8::from(suspicion.cleared)]);
         }
         Digest::from(hasher.finalize())
     }
 
-    /// Takes in what another process knows.
-    pub fn merge(&mut self, records: impl IntoIterator<Item = SuspectRecord>, now_ms: u64) {
+    /// Merges the suspicions that another process exported.
+    pub fn merge_records(&mut self, records: impl IntoIterator<Item = SuspectRecord>, now_ms: u64) {
         for record in records {
             if record.age_ms >= self.window_ms {
                 continue;
             }
-            self.merge_one(Trace {
+            self.merge_suspicion(Suspicion {
                 fingerprint: record.fingerprint,
-                death: record.death,
-                seen_ms: now_ms.saturating_sub(record.age_ms),
+                crash: record.death,
+                observed_ms: now_ms.saturating_sub(record.age_ms),
                 cleared: record.cleared,
             });
         }
     }
 
-    /// Deaths remembered.
+    /// Number of suspicions remembered.
     pub fn len(&self) -> usize {
-        self.traces.len()
+        self.suspicions.len()
     }
 
-    /// Whether no death is remembered.
+    /// Whether no suspicion is remembered.
     pub fn is_empty(&self) -> bool {
-        self.traces.is_empty()
+        self.suspicions.is_empty()
     }
 
-    fn is_expired(&self, trace: &Trace, now_ms: u64) -> bool {
-        now_ms.saturating_sub(trace.seen_ms) >= self.window_ms
+    fn is_expired(&self, suspicion: &Suspicion, now_ms: u64) -> bool {
+        now_ms.saturating_sub(suspicion.observed_ms) >= self.window_ms
     }
 
-    fn merge_one(&mut self, trace: Trace) {
+    fn merge_suspicion(&mut self, suspicion: Suspicion) {
         let found = self
-            .traces
-            .binary_search_by(|known| known.key().cmp(&trace.key()));
+            .suspicions
+            .binary_search_by(|known| known.key().cmp(&suspicion.key()));
         match found {
             Ok(at) => {
-                let known = &mut self.traces[at];
-                known.cleared |= trace.cleared;
-                known.seen_ms = known.seen_ms.min(trace.seen_ms);
+                let known = &mut self.suspicions[at];
+                known.cleared |= suspicion.cleared;
+                known.observed_ms = known.observed_ms.min(suspicion.observed_ms);
             }
             Err(at) => {
-                self.traces.insert(at, trace);
+                self.suspicions.insert(at, suspicion);
                 self.drop_oldest();
             }
         }
     }
 
+    /// Drops the oldest suspicion if there are too many.
     fn drop_oldest(&mut self) {
-        if self.traces.len() <= self.max_traces {
+        if self.suspicions.len() <= self.max_suspicions {
             return;
         }
-        let oldest = (0..self.traces.len()).min_by_key(|&at| self.traces[at].seen_ms);
+        let oldest = (0..self.suspicions.len()).min_by_key(|&at| self.suspicions[at].observed_ms);
         if let Some(at) = oldest {
-            self.traces.remove(at);
+            self.suspicions.remove(at);
         }
     }
 }
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -7,16 +7,16 @@
 use actix_web::web::Bytes;
 use futures_util::FutureExt;
 
-use crate::calls::Asked;
-use crate::calls::Begin;
+use crate::calls::CallDecision;
 use crate::calls::CallOutcome;
-use crate::calls::NonceQuestion;
+use crate::calls::CallReport;
 use crate::calls::Permit;
+use crate::calls::PermitStatus;
+use crate::calls::PermitStatusQuery;
 use crate::calls::RefusalReason;
 use crate::calls::ServiceCall;
 use crate::calls::ServiceReply;
-use crate::calls::Standing;
-use crate::calls::Told;
+use crate::calls::SuspectStatus;
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
 use crate::endpoint::EndpointState;
@@ -52,18 +52,18 @@
     request: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let question: NonceQuestion = match open_call(&request, &body, &state.node.cluster().shared_key)
-    {
-        Ok(question) => question,
-        Err(fault) => return fault.response(),
-    };
+    let question: PermitStatusQuery =
+        match open_call(&request, &body, &state.node.cluster().shared_key) {
+            Ok(question) => question,
+            Err(fault) => return fault.response(),
+        };
     beating_response(async move {
         let asked = ask(&state, &question.permit, question.reason);
         let told = match asked {
-            Asked::NotRun(reason) => Told::Ended(CallOutcome::not_run(reason)),
-            Asked::Done(outcome) => Told::Ended(outcome),
-            Asked::Unknown(reason) => Told::NotHere(reason),
-            Asked::Running => Told::Ended(end_of(&state, &question.permit).await),
+            PermitStatus::NotRun(reason) => CallReport::Ended(CallOutcome::not_run(reason)),
+            PermitStatus::Done(outcome) => CallReport::Ended(outcome),
+            PermitStatus::Unknown(reason) => CallReport::NotHere(reason),
+            PermitStatus::Running => CallReport::Ended(end_of(&state, &question.permit).await),
         };
         ServiceReply {
             request_id: question.request_id,
@@ -78,32 +78,34 @@
     call: ServiceCall,
     permit: Permit,
     deadline: Instant,
-) -> Told {
+) -> CallReport {
     let request = fingerprint(&call.target(), call.body.as_bytes());
     let admitted = admit(state, &call, request);
     let now_ms = state.node.now_ms();
     let begun = match &admitted {
-        Ok(_) => state.permits().begin(&permit, request, now_ms),
-        Err(reason) => state.permits().refuse(&permit, request, *reason, now_ms),
+        Ok(_) => state.permits().begin_call(&permit, request, now_ms),
+        Err(reason) => state
+            .permits()
+            .refuse_call(&permit, request, *reason, now_ms),
     };
-    if let (Begin::Run, Ok(admitted)) = (&begun, admitted) {
+    if let (CallDecision::Run, Ok(admitted)) = (&begun, admitted) {
         start(admitted, call, permit.clone(), deadline);
-        return Told::Ended(end_of(state, &permit).await);
+        return CallReport::Ended(end_of(state, &permit).await);
     }
     match begun {
-        Begin::Run | Begin::Join => Told::Ended(end_of(state, &permit).await),
-        Begin::Done(outcome) => Told::Ended(outcome),
-        Begin::Refused {
+        CallDecision::Run | CallDecision::Join => CallReport::Ended(end_of(state, &permit).await),
+        CallDecision::Done(outcome) => CallReport::Ended(outcome),
+        CallDecision::Refused {
             reason,
             retry_after_ms,
         } => {
             state.node.metrics().refused(reason.code());
-            Told::Ended(CallOutcome::NotRun {
+            CallReport::Ended(CallOutcome::NotRun {
                 reason,
                 retry_after_ms,
             })
         }
-        Begin::Unknown(reason) => Told::NotHere(reason),
+        CallDecision::Unknown(reason) => CallReport::NotHere(reason),
     }
 }
 
@@ -112,18 +114,18 @@
     state: &web::Data<EndpointState>,
     call: ServiceCall,
     deadline: Instant,
-) -> Told {
+) -> CallReport {
     let request = fingerprint(&call.target(), call.body.as_bytes());
     let admitted = match admit(state, &call, request) {
         Ok(admitted) => admitted,
         Err(reason) => {
             state.node.metrics().refused(reason.code());
-            return Told::Ended(CallOutcome::not_run(reason));
+            return CallReport::Ended(CallOutcome::not_run(reason));
         }
     };
     let _running = state.calls.repeatable();
     let run = CallRun::new(&admitted.state, request, deadline);
-    Told::Ended(run.execute(call, None).await)
+    CallReport::Ended(run.execute(call, None).await)
 }
 
 /// A call that may start; holds the slot for suspects where it needs it.
@@ -136,7 +138,9 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         if self.has_slot {
-            self.state.calls.with_slot(|slot| slot.leave(self.request));
+            self.state
+                .calls
+                .with_slot(|slot| slot.release(self.request));
         }
     }
 }
@@ -162,12 +166,12 @@
     if state.calls.running() as u64 >= limit {
         return Err(RefusalReason::Overloaded);
     }
-    let standing = state.node.suspects().standing(request, now_ms);
+    let standing = state.node.suspects().request_status(request, now_ms);
     let has_slot = match standing {
-        Standing::Clear => false,
-        Standing::Refused => return Err(RefusalReason::CrashSuspect),
-        Standing::Suspect if state.calls.with_slot(|slot| slot.enter(request)) => true,
-        Standing::Suspect => return Err(RefusalReason::SuspectBusy),
+        SuspectStatus::Clear => false,
+        SuspectStatus::Refused => return Err(RefusalReason::CrashSuspect),
+        SuspectStatus::Suspect if state.calls.with_slot(|slot| slot.try_acquire(request)) => true,
+        SuspectStatus::Suspect => return Err(RefusalReason::SuspectBusy),
     };
     Ok(Admitted {
         state: state.clone(),
@@ -183,7 +187,7 @@
     let task = actix_rt::spawn(async move {
         let run = CallRun::new(&admitted.state, admitted.request, deadline);
         let outcome = run.execute(call, Some(nonce)).await;
-        admitted.state.permits().finish(&permit, outcome);
+        admitted.state.permits().finish_call(&permit, outcome);
         admitted.state.calls.ended(nonce);
     });
     state.calls.started(nonce, task.map(|_| ()).boxed());
@@ -195,14 +199,14 @@
         end.await;
     }
     match ask(state, permit, RefusalReason::Withdrawn) {
-        Asked::Done(outcome) => outcome,
-        Asked::NotRun(reason) => CallOutcome::not_run(reason),
-        Asked::Unknown(reason) => CallOutcome::unknown(reason),
-        Asked::Running => CallOutcome::unknown(UnknownReason::ServiceLost),
+        PermitStatus::Done(outcome) => outcome,
+        PermitStatus::NotRun(reason) => CallOutcome::not_run(reason),
+        PermitStatus::Unknown(reason) => CallOutcome::unknown(reason),
+        PermitStatus::Running => CallOutcome::unknown(UnknownReason::ServiceLost),
     }
 }
 
-fn ask(state: &EndpointState, permit: &Permit, reason: RefusalReason) -> Asked {
+fn ask(state: &EndpointState, permit: &Permit, reason: RefusalReason) -> PermitStatus {
     let now_ms = state.node.now_ms();
-    state.permits().ask(permit, reason, now_ms)
+    state.permits().status_or_refuse(permit, reason, now_ms)
 }
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -1,16 +1,16 @@
 use std::time::Instant;
 
 use crate::calls::CallOutcome;
-use crate::calls::DeathId;
-use crate::calls::Dispatch;
+use crate::calls::CallReport;
+use crate::calls::CrashId;
+use crate::calls::DispatchDecision;
 use crate::calls::Nonce;
-use crate::calls::NonceQuestion;
 use crate::calls::Permit;
+use crate::calls::PermitStatusQuery;
 use crate::calls::RefusalReason;
-use crate::calls::Reply;
+use crate::calls::SendResult;
 use crate::calls::ServiceCall;
-use crate::calls::Standing;
-use crate::calls::Told;
+use crate::calls::SuspectStatus;
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
 use crate::entry::EntryState;
@@ -38,24 +38,26 @@
             .state
             .calls
             .ledger()
-            .dispatch(self.permit.nonce, self.send_no);
-        if let Dispatch::Closed(reason) = dispatch {
+            .record_dispatch(self.permit.nonce, self.send_no);
+        if let DispatchDecision::Closed(reason) = dispatch {
             return self.refuse(reason).await;
         }
         let heard = self.send("call", &self.call.request_id, &self.call).await;
         match heard {
-            Heard::Told(Told::Ended(outcome)) => self.conclude(Reply::Ended(outcome)),
-            Heard::Told(Told::NotHere(reason)) => self.conclude(Reply::ArrivedUnknown(reason)),
-            Heard::StillRunning => self.conclude(Reply::Lost(UnknownReason::StillRunning)),
+            Heard::Told(CallReport::Ended(outcome)) => self.conclude(SendResult::Ended(outcome)),
+            Heard::Told(CallReport::NotHere(reason)) => {
+                self.conclude(SendResult::DispatchUnknown(reason))
+            }
+            Heard::StillRunning => self.conclude(SendResult::Lost(UnknownReason::StillRunning)),
             Heard::NotSent => {
-                self.state.calls.ledger().never_left(self.permit.nonce);
+                self.state.calls.ledger().undo_dispatch(self.permit.nonce);
                 self.endpoint_failed();
                 self.refuse(RefusalReason::Unreachable).await
             }
             Heard::Lost(cause) => {
                 self.state.node.metrics().retried(cause);
                 let reply = self.ask(RefusalReason::Withdrawn).await;
-                if reply == Reply::Lost(UnknownReason::EndpointGone) {
+                if reply == SendResult::Lost(UnknownReason::EndpointGone) {
                     self.endpoint_died().await;
                 }
                 self.conclude(reply)
@@ -74,36 +76,36 @@
         }
         let now_ms = node.now_ms();
         let request = fingerprint(&self.call.target(), self.call.body.as_bytes());
-        let standing = node.suspects().standing(request, now_ms);
-        (standing == Standing::Refused).then_some(RefusalReason::CrashSuspect)
+        let standing = node.suspects().request_status(request, now_ms);
+        (standing == SuspectStatus::Refused).then_some(RefusalReason::CrashSuspect)
     }
 
     /// Tells "not run" where this entry can vouch for it, else has the endpoint say so.
     async fn refuse(&self, reason: RefusalReason) -> CallOutcome {
-        let outcome = self.conclude(Reply::NeverLeft(reason));
+        let outcome = self.conclude(SendResult::NotSent(reason));
         if !matches!(outcome, CallOutcome::Unknown { .. }) {
             return outcome;
         }
         match self.ask(reason).await {
-            Reply::Lost(_) => outcome,
+            SendResult::Lost(_) => outcome,
             reply => self.conclude(reply),
         }
     }
 
     /// Asks for the nonce over a new connection, and has it refused if the call has not arrived.
-    async fn ask(&self, reason: RefusalReason) -> Reply {
-        let question = NonceQuestion {
+    async fn ask(&self, reason: RefusalReason) -> SendResult {
+        let question = PermitStatusQuery {
             request_id: Nonce::random().to_string(),
             permit: self.permit.clone(),
             reason,
         };
         let heard = self.send("nonce", &question.request_id, &question).await;
         match heard {
-            Heard::Told(Told::Ended(outcome)) => Reply::Ended(outcome),
-            Heard::Told(Told::NotHere(reason)) => Reply::AskedUnknown(reason),
-            Heard::StillRunning => Reply::Lost(UnknownReason::StillRunning),
-            Heard::NotSent => Reply::Lost(UnknownReason::EndpointGone),
-            Heard::Lost(_) => Reply::Lost(UnknownReason::EndpointLost),
+            Heard::Told(CallReport::Ended(outcome)) => SendResult::Ended(outcome),
+            Heard::Told(CallReport::NotHere(reason)) => SendResult::QueryUnknown(reason),
+            Heard::StillRunning => SendResult::Lost(UnknownReason::StillRunning),
+            Heard::NotSent => SendResult::Lost(UnknownReason::EndpointGone),
+            Heard::Lost(_) => SendResult::Lost(UnknownReason::EndpointLost),
         }
     }
 
@@ -121,12 +123,12 @@
         .await
     }
 
-    fn conclude(&self, reply: Reply) -> CallOutcome {
-        if reply == Reply::Ended(CallOutcome::not_run(RefusalReason::Leaving)) {
+    fn conclude(&self, reply: SendResult) -> CallOutcome {
+        if reply == SendResult::Ended(CallOutcome::not_run(RefusalReason::Leaving)) {
             self.endpoint_leaves();
         }
         let mut ledger = self.state.calls.ledger();
-        ledger.conclude(self.permit.nonce, self.send_no, reply)
+        ledger.finish_send(self.permit.nonce, self.send_no, reply)
     }
 
     fn endpoint_leaves(&self) {
@@ -151,12 +153,12 @@
         let node = &self.state.node;
         let now_ms = node.now_ms();
         let request = fingerprint(&self.call.target(), self.call.body.as_bytes());
-        let death = DeathId {
+        let death = CrashId {
             endpoint: self.permit.endpoint.clone(),
             incarnation: self.permit.incarnation,
-            crash_no: DeathId::PROCESS_DEATH,
+            crash_no: CrashId::PROCESS_CRASH,
         };
-        node.suspects().add_death(request, death, now_ms);
+        node.suspects().add_crash(request, death, now_ms);
         Reporter::report_now(node).await;
     }
 }
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -11,7 +11,7 @@
 use futures_util::stream::LocalBoxStream;
 
 use super::generate_routing::Choice;
-use crate::calls::Ending;
+use crate::calls::AttemptOutcome;
 use crate::calls::FrameBuffer;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
@@ -64,7 +64,7 @@
     }
 
     /// How the attempt counts for its endpoint.
-    pub(super) fn ending(self) -> Ending {
+    pub(super) fn ending(self) -> AttemptOutcome {
         match self {
             Self::NotSent
             | Self::Broken
@@ -72,8 +72,8 @@
             | Self::LateFirstToken
             | Self::WrongAnswer
             | Self::EngineFailed
-            | Self::EngineCrashed => Ending::Failed,
-            Self::Refused | Self::Leaving | Self::NotLoaded => Ending::Neutral,
+            | Self::EngineCrashed => AttemptOutcome::Failed,
+            Self::Refused | Self::Leaving | Self::NotLoaded => AttemptOutcome::Neutral,
         }
     }
 }
@@ -83,7 +83,7 @@
     state: Arc<EntryState>,
     pub(super) key: HostKey,
     started_ms: u64,
-    pub(super) ending: Ending,
+    pub(super) ending: AttemptOutcome,
     chunks: LocalBoxStream<'static, Option<Bytes>>,
     frames: FrameBuffer,
     tokens: u32,
@@ -101,7 +101,7 @@
             state,
             key: choice.key,
             started_ms: choice.started_ms,
-            ending: Ending::Neutral,
+            ending: AttemptOutcome::Neutral,
             chunks: futures_util::stream::empty().boxed_local(),
             frames: FrameBuffer::default(),
             tokens: 0,
@@ -165,7 +165,7 @@
     pub(super) fn saw_start(&mut self, may_be_late: bool) {
         self.running_since = Some(Instant::now());
         if !may_be_late {
-            self.late_ms = self.state.routing.first_tokens().late_ms();
+            self.late_ms = self.state.routing.first_tokens().late_threshold_ms();
         }
     }
 
@@ -189,12 +189,15 @@
             && let Some(since) = self.running_since
         {
             let taken_ms = since.elapsed().as_millis() as u64;
-            self.state.routing.first_tokens().add(taken_ms);
+            self.state.routing.first_tokens().record(taken_ms);
         }
         let first_at = *self.first_token_at.get_or_insert_with(Instant::now);
         if self.tokens > 0 && self.tokens.is_multiple_of(PACE_TOKENS) {
             let interval_us = first_at.elapsed().as_micros() as u64 / u64::from(self.tokens);
-            self.state.routing.router().observed(self.key, interval_us);
+            self.state
+                .routing
+                .router()
+                .record_token_interval(self.key, interval_us);
         }
         self.tokens += 1;
     }
@@ -202,7 +205,10 @@
     /// Takes in the load that came with a frame.
     pub(super) fn saw_load(&self, load: Load) {
         let now_ms = self.state.node.now_ms();
-        self.state.routing.router().answered(self.key, load, now_ms);
+        self.state
+            .routing
+            .router()
+            .record_load(self.key, load, now_ms);
     }
 }
 
@@ -210,6 +216,6 @@
     fn drop(&mut self) {
         let now_ms = self.state.node.now_ms();
         let mut router = self.state.routing.router();
-        router.ended(self.key, self.started_ms, self.ending, now_ms);
+        router.record_end(self.key, self.started_ms, self.ending, now_ms);
     }
 }
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -5,13 +5,13 @@
 use super::generate_attempt::RetryReason;
 use super::generate_event::GenerateEvent;
 use super::generate_routing::Choice;
-use crate::calls::DeathId;
-use crate::calls::Ending;
+use crate::calls::AttemptOutcome;
+use crate::calls::CrashId;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
 use crate::calls::RefusalReason;
-use crate::calls::Standing;
 use crate::calls::StreamFault;
+use crate::calls::SuspectStatus;
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 use crate::entry::ErrorCode;
@@ -60,7 +60,7 @@
 
 impl Relay {
     pub(super) fn new(state: Arc<EntryState>, call: GenerateCall) -> Self {
-        state.routing.retries().request(&call.branch);
+        state.routing.retries().count_request(&call.branch);
         Self {
             deadline_at_ms: state.node.now_ms() + call.deadline_ms,
             attempt: None,
@@ -141,9 +141,9 @@
     /// Sends the call to an endpoint that has not been tried.
     async fn open(&mut self, left_ms: u64, wait: Duration) -> Step {
         match self.standing() {
-            Standing::Clear => {}
-            Standing::Suspect => self.call.is_suspect = true,
-            Standing::Refused => {
+            SuspectStatus::Clear => {}
+            SuspectStatus::Suspect => self.call.is_suspect = true,
+            SuspectStatus::Refused => {
                 return Step::Fail(refusal_error(RefusalReason::CrashSuspect, None));
             }
         }
@@ -179,10 +179,10 @@
     }
 
     /// How the request is treated after the crashes it was near.
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> SuspectStatus {
         let now_ms = self.state.node.now_ms();
         let request = self.call.fingerprint();
-        self.state.node.suspects().standing(request, now_ms)
+        self.state.node.suspects().request_status(request, now_ms)
     }
 
     /// Remembers that the request ran when an engine died, and tells the other processes.
@@ -198,14 +198,14 @@
         else {
             return;
         };
-        let death = DeathId {
+        let death = CrashId {
             endpoint,
             incarnation,
             crash_no,
         };
         let now_ms = node.now_ms();
         let request = self.call.fingerprint();
-        node.suspects().add_death(request, death, now_ms);
+        node.suspects().add_crash(request, death, now_ms);
         let node = Arc::clone(node);
         actix_rt::spawn(async move { Reporter::report_now(&node).await });
     }
@@ -250,10 +250,10 @@
                 if !is_ours {
                     return Step::Retry(RetryReason::WrongAnswer);
                 }
-                attempt.ending = Ending::Whole;
+                attempt.ending = AttemptOutcome::Complete;
                 if self.call.is_suspect {
                     let request = self.call.fingerprint();
-                    self.state.node.suspects().clear(request);
+                    self.state.node.suspects().clear_request(request);
                 }
                 Step::Last(GenerateEvent::End {
                     request_id,
--- a/src/entry/generate_routing.rs
+++ b/src/entry/generate_routing.rs
@@ -2,11 +2,11 @@
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 
-use crate::calls::Ask;
 use crate::calls::Candidate;
 use crate::calls::FirstTokenTimes;
 use crate::calls::GenerateCall;
 use crate::calls::RetryBudget;
+use crate::calls::RouteRequest;
 use crate::calls::Router;
 use crate::calls::stable_hash;
 use crate::hosts::Host;
@@ -76,18 +76,18 @@
         let roster = node.roster();
         let candidates = candidates(&roster, call, pinned, now_ms);
         let entries = roster.usable(HostRole::Entry, now_ms).count();
-        let ask = Ask {
+        let ask = RouteRequest {
             candidates: &candidates,
-            prefix: prefix(call),
+            prefix_hash: prefix(call),
             tried,
         };
         let mut router = self.router();
         // The roster of an entry does not list the entry itself as usable.
-        router.set_entries(entries as u32 + 1);
-        let key = router.pick(&ask, now_ms)?;
+        router.set_entry_count(entries as u32 + 1);
+        let key = router.pick_endpoint(&ask, now_ms)?;
         let host = roster.host(key)?;
         let manifest = served_manifest(host, call, pinned)?;
-        router.started(key, now_ms);
+        router.record_start(key, now_ms);
         Some(Choice {
             key,
             address: host.address,
@@ -106,12 +106,12 @@
     ) -> bool {
         let now_ms = node.now_ms();
         let candidates = candidates(&node.roster(), call, pinned, now_ms);
-        let ask = Ask {
+        let ask = RouteRequest {
             candidates: &candidates,
-            prefix: None,
+            prefix_hash: None,
             tried,
         };
-        self.router().has_room(&ask, now_ms)
+        self.router().has_free_slot(&ask, now_ms)
     }
 }
 
@@ -128,7 +128,7 @@
             key,
             name_hash: stable_hash(host.name.as_bytes()),
             load: host.load,
-            heard_ms: now_ms.saturating_sub(host.silent_ms(now_ms).unwrap_or(0)),
+            last_received_ms: now_ms.saturating_sub(host.silent_ms(now_ms).unwrap_or(0)),
         })
         .collect()
 }
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -99,7 +99,7 @@
 
 /// Heartbeat with the present state of this entry.
 fn own_heartbeat(state: &GatewayState) -> EntryHeartbeat {
-    let mut suspects = state.suspects.export(state.now_ms());
+    let mut suspects = state.suspects.export_records(state.now_ms());
     suspects.truncate(MAX_SENT_SUSPECTS);
     EntryHeartbeat {
         name: state.settings.name.clone(),
@@ -221,7 +221,7 @@
     let now_ms = current.now_ms();
     current
         .suspects
-        .merge(heartbeat.suspects.iter().cloned(), now_ms);
+        .merge_records(heartbeat.suspects.iter().cloned(), now_ms);
     if current
         .weights
         .merge_ages(&heartbeat.declared, now_ms as i64)
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -1,43 +1,43 @@
 use arbtest::arbtest;
 
-use bergamotfork::calls::Asked;
-use bergamotfork::calls::Begin;
+use bergamotfork::calls::CallDecision;
 use bergamotfork::calls::CallOutcome;
-use bergamotfork::calls::Dispatch;
+use bergamotfork::calls::DispatchDecision;
 use bergamotfork::calls::DispatchLedger;
 use bergamotfork::calls::Nonce;
 use bergamotfork::calls::Permit;
 use bergamotfork::calls::PermitKey;
 use bergamotfork::calls::PermitLimits;
-use bergamotfork::calls::PermitPlace;
+use bergamotfork::calls::PermitStatus;
 use bergamotfork::calls::PermitTable;
+use bergamotfork::calls::PermitTarget;
 use bergamotfork::calls::RefusalReason;
-use bergamotfork::calls::Reply;
+use bergamotfork::calls::SendResult;
 use bergamotfork::calls::StoredAnswer;
 use bergamotfork::calls::UnknownReason;
 use bergamotfork::weights::Digest;
 
 const EPOCH_MS: u64 = 10;
-const KEPT_EPOCHS: u64 = 2;
+const RETAINED_EPOCHS: u64 = 2;
 
 fn permit(nonce: u128, epoch: u64) -> Permit {
-    let place = PermitPlace {
+    let target = PermitTarget {
         endpoint: "desk-1".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         incarnation: 5,
         epoch,
     };
     let key = PermitKey::derive("key");
-    Permit::with_nonce(&key, place, "seaside", "bookdesk", nonce.into())
+    Permit::with_nonce(&key, target, "seaside", "bookdesk", nonce.into())
 }
 
-fn table(epoch_permits: usize) -> PermitTable {
+fn table(max_epoch_permits: usize) -> PermitTable {
     let limits = PermitLimits {
         epoch_ms: EPOCH_MS,
-        kept_epochs: KEPT_EPOCHS,
-        epoch_permits,
-        epoch_bytes: 64,
-        answer_bytes: 32,
+        retained_epochs: RETAINED_EPOCHS,
+        max_epoch_permits,
+        max_epoch_bytes: 64,
+        max_answer_bytes: 32,
     };
     PermitTable::new(5, limits, 0)
 }
@@ -54,21 +54,21 @@
 }
 
 #[test]
-fn permit_changed_is_not_genuine() {
+fn has_valid_seal_rejects_changed_permit() {
     let key = PermitKey::derive("key");
     let genuine = permit(1, 1);
-    assert!(genuine.is_genuine(&key));
-    assert!(!genuine.is_genuine(&PermitKey::derive("other")));
+    assert!(genuine.has_valid_seal(&key));
+    assert!(!genuine.has_valid_seal(&PermitKey::derive("other")));
     let mut moved = genuine.clone();
     moved.address = ([127, 0, 0, 2], 80).into();
-    assert!(!moved.is_genuine(&key));
+    assert!(!moved.has_valid_seal(&key));
     let mut renewed = genuine;
     renewed.nonce = Nonce::from(2);
-    assert!(!renewed.is_genuine(&key));
+    assert!(!renewed.has_valid_seal(&key));
 }
 
 #[test]
-fn permit_survives_json_and_msgpack() {
+fn permit_round_trips_json_and_msgpack() {
     let permit = permit(u128::MAX, 3);
     let json = serde_json::to_string(&permit).expect("a permit is JSON");
     assert_eq!(
@@ -80,28 +80,31 @@
 }
 
 #[test]
-fn table_resend_gets_stored_answer() {
+fn begin_call_resend_gets_stored_answer() {
     let mut table = table(8);
     let permit = permit(1, 1);
-    assert_eq!(table.begin(&permit, request(), 0), Begin::Run);
-    assert_eq!(table.begin(&permit, request(), 0), Begin::Join);
-    table.finish(&permit, answer(2));
-    assert_eq!(table.begin(&permit, request(), 1), Begin::Done(answer(2)));
+    assert_eq!(table.begin_call(&permit, request(), 0), CallDecision::Run);
+    assert_eq!(table.begin_call(&permit, request(), 0), CallDecision::Join);
+    table.finish_call(&permit, answer(2));
     assert_eq!(
-        table.ask(&permit, RefusalReason::Withdrawn, 1),
-        Asked::Done(answer(2))
+        table.begin_call(&permit, request(), 1),
+        CallDecision::Done(answer(2))
+    );
+    assert_eq!(
+        table.status_or_refuse(&permit, RefusalReason::Withdrawn, 1),
+        PermitStatus::Done(answer(2))
     );
 }
 
 #[test]
-fn table_other_request_is_refused() {
+fn begin_call_other_request_is_refused() {
     let mut table = table(8);
     let permit = permit(1, 1);
-    table.begin(&permit, request(), 0);
-    let other = table.begin(&permit, Digest::of(b"book hut 13"), 0);
+    table.begin_call(&permit, request(), 0);
+    let other = table.begin_call(&permit, Digest::of(b"book hut 13"), 0);
     let refused = matches!(
         other,
-        Begin::Refused {
+        CallDecision::Refused {
             reason: RefusalReason::PermitReused,
             ..
         }
@@ -110,40 +113,49 @@
 }
 
 #[test]
-fn table_large_answer_is_unknown() {
+fn finish_call_large_answer_is_dropped() {
     let mut table = table(8);
     let permit = permit(1, 1);
-    table.begin(&permit, request(), 0);
-    table.finish(&permit, answer(33));
+    table.begin_call(&permit, request(), 0);
+    table.finish_call(&permit, answer(33));
     let dropped = CallOutcome::unknown(UnknownReason::AnswerDropped);
-    assert_eq!(table.begin(&permit, request(), 0), Begin::Done(dropped));
+    assert_eq!(
+        table.begin_call(&permit, request(), 0),
+        CallDecision::Done(dropped)
+    );
 }
 
 #[test]
-fn table_full_epoch_stays_closed() {
+fn begin_call_full_epoch_stays_closed() {
     let mut table = table(2);
     for nonce in 0..2 {
-        table.begin(&permit(nonce, 1), request(), 0);
+        table.begin_call(&permit(nonce, 1), request(), 0);
     }
-    let refused = Begin::Refused {
+    let refused = CallDecision::Refused {
         reason: RefusalReason::PermitsFull,
         retry_after_ms: Some(EPOCH_MS),
     };
-    assert_eq!(table.begin(&permit(2, 1), request(), 0), refused);
-    let asked = Asked::NotRun(RefusalReason::PermitsFull);
-    assert_eq!(table.ask(&permit(3, 1), RefusalReason::Withdrawn, 0), asked);
+    assert_eq!(table.begin_call(&permit(2, 1), request(), 0), refused);
+    let not_run = PermitStatus::NotRun(RefusalReason::PermitsFull);
+    assert_eq!(
+        table.status_or_refuse(&permit(3, 1), RefusalReason::Withdrawn, 0),
+        not_run
+    );
     assert_eq!(table.len(), 2);
-    assert_eq!(table.begin(&permit(2, 2), request(), EPOCH_MS), Begin::Run);
+    assert_eq!(
+        table.begin_call(&permit(2, 2), request(), EPOCH_MS),
+        CallDecision::Run
+    );
     assert!(matches!(
-        table.begin(&permit(2, 1), request(), EPOCH_MS),
-        Begin::Refused { .. }
+        table.begin_call(&permit(2, 1), request(), EPOCH_MS),
+        CallDecision::Refused { .. }
     ));
 }
 
-/// Any mix of calls, questions, refusals and time: a permit runs once at most,
-/// never after "not run", and the table stays within its bounds.
+/// After any mix of calls, queries, refusals and time, a permit has run at most once,
+/// never together with "not run", and the table is within its limits.
 #[test]
-fn table_any_history_keeps_promises() {
+fn permit_table_random_history_runs_once() {
     arbtest(|u| {
         let mut table = table(4);
         let mut now_ms = 0;
@@ -151,28 +163,31 @@
         let mut not_run = [false; 6];
         for _ in 0..u.int_in_range(1..=60)? {
             let nonce = u.int_in_range(0..=5)?;
-            // One nonce belongs to one epoch.
+            // Each nonce belongs to one epoch.
             let permit = permit(nonce as u128, 1 + nonce as u64 % 3);
             match u.int_in_range(0..=4)? {
                 0 => now_ms += u.int_in_range(0..=EPOCH_MS)?,
-                1 => table.finish(&permit, answer(u.int_in_range(0..=40)?)),
+                1 => table.finish_call(&permit, answer(u.int_in_range(0..=40)?)),
                 2 => {
-                    let asked = table.ask(&permit, RefusalReason::Withdrawn, now_ms);
-                    not_run[nonce] |= matches!(asked, Asked::NotRun(_));
+                    let status = table.status_or_refuse(&permit, RefusalReason::Withdrawn, now_ms);
+                    not_run[nonce] |= matches!(status, PermitStatus::NotRun(_));
                 }
                 kind => {
-                    let begun = if kind == 3 {
-                        table.begin(&permit, request(), now_ms)
+                    let decision = if kind == 3 {
+                        table.begin_call(&permit, request(), now_ms)
                     } else {
-                        table.refuse(&permit, request(), RefusalReason::Leaving, now_ms)
+                        table.refuse_call(&permit, request(), RefusalReason::Leaving, now_ms)
                     };
-                    not_run[nonce] |= matches!(begun, Begin::Refused { .. });
-                    runs[nonce] += u32::from(begun == Begin::Run);
+                    not_run[nonce] |= matches!(decision, CallDecision::Refused { .. });
+                    runs[nonce] += u32::from(decision == CallDecision::Run);
                 }
             }
             assert!(runs[nonce] <= 1, "ran twice");
-            assert!(runs[nonce] == 0 || !not_run[nonce], "ran and told not run");
-            assert!(table.len() <= 4 * KEPT_EPOCHS as usize);
+            assert!(
+                runs[nonce] == 0 || !not_run[nonce],
+                "ran and was reported as not run"
+            );
+            assert!(table.len() <= 4 * RETAINED_EPOCHS as usize);
         }
         Ok(())
     })
@@ -181,37 +196,37 @@
 }
 
 #[test]
-fn ledger_vouches_for_own_permits_only() {
+fn finish_send_not_run_for_own_permits_only() {
     let mut ledger = DispatchLedger::new(2);
     let (own, other) = (Nonce::from(1), Nonce::from(2));
-    ledger.issue(own);
-    let arrived = Reply::ArrivedUnknown(UnknownReason::PastIncarnation);
+    ledger.record_permit(own);
+    let arrived = SendResult::DispatchUnknown(UnknownReason::PastIncarnation);
     for nonce in [own, other] {
-        assert_eq!(ledger.dispatch(nonce, 1), Dispatch::Go);
+        assert_eq!(ledger.record_dispatch(nonce, 1), DispatchDecision::Allowed);
     }
     let replaced = CallOutcome::not_run(RefusalReason::Replaced);
     let unknown = CallOutcome::unknown(UnknownReason::PastIncarnation);
-    assert_eq!(ledger.conclude(other, 1, arrived.clone()), unknown);
-    assert_eq!(ledger.conclude(own, 1, arrived), replaced);
+    assert_eq!(ledger.finish_send(other, 1, arrived.clone()), unknown);
+    assert_eq!(ledger.finish_send(own, 1, arrived), replaced);
     assert_eq!(
-        ledger.dispatch(own, 1),
-        Dispatch::Closed(RefusalReason::Replaced)
+        ledger.record_dispatch(own, 1),
+        DispatchDecision::Closed(RefusalReason::Replaced)
     );
 }
 
 #[test]
-fn ledger_forgets_oldest_and_stays_bounded() {
+fn record_permit_forgets_oldest() {
     let mut ledger = DispatchLedger::new(2);
     for nonce in 0..5 {
-        ledger.issue(Nonce::from(nonce));
+        ledger.record_permit(Nonce::from(nonce));
     }
     assert_eq!(ledger.len(), 2);
-    assert_eq!(ledger.facts(Nonce::from(0), 1).dispatches, None);
-    assert_eq!(ledger.facts(Nonce::from(4), 1).dispatches, Some(0));
+    assert_eq!(ledger.send_history(Nonce::from(0), 1).dispatches, None);
+    assert_eq!(ledger.send_history(Nonce::from(4), 1).dispatches, Some(0));
 }
 
 #[test]
-fn reasons_have_distinct_codes() {
+fn refusal_reason_codes_are_distinct() {
     let mut codes: Vec<&str> = RefusalReason::ALL
         .iter()
         .map(|reason| reason.code())
@@ -222,7 +237,7 @@
 }
 
 #[test]
-fn reasons_page_lists_every_code() {
+fn refusal_reason_page_lists_every_code() {
     let page = include_str!("../../docs/CALLS.md");
     for reason in RefusalReason::ALL {
         let wait = reason
--- a/tests/calls/suspects.rs
+++ b/tests/calls/suspects.rs
@@ -1,16 +1,16 @@
 use arbtest::arbtest;
 
-use bergamotfork::calls::DeathId;
-use bergamotfork::calls::Standing;
+use bergamotfork::calls::CrashId;
 use bergamotfork::calls::SuspectSlot;
+use bergamotfork::calls::SuspectStatus;
 use bergamotfork::calls::SuspectTable;
 use bergamotfork::calls::fingerprint;
 use bergamotfork::weights::Digest;
 
 const WINDOW_MS: u64 = 1000;
 
-fn death(number: u32) -> DeathId {
-    DeathId {
+fn crash(number: u32) -> CrashId {
+    CrashId {
         endpoint: format!("desk-{number}"),
         incarnation: 1,
         crash_no: 0,
@@ -22,46 +22,49 @@
 }
 
 #[test]
-fn standing_third_death_is_refused() {
+fn request_status_refuses_after_third_crash() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
-    let poison = request(0);
-    assert_eq!(table.standing(poison, 0), Standing::Clear);
+    let suspect = request(0);
+    assert_eq!(table.request_status(suspect, 0), SuspectStatus::Clear);
     for number in 0..2 {
-        table.add_death(poison, death(number), 0);
-        table.add_death(poison, death(number), 1);
-        assert_eq!(table.standing(poison, 1), Standing::Suspect);
+        table.add_crash(suspect, crash(number), 0);
+        table.add_crash(suspect, crash(number), 1);
+        assert_eq!(table.request_status(suspect, 1), SuspectStatus::Suspect);
     }
-    table.add_death(poison, death(2), 2);
-    assert_eq!(table.standing(poison, 2), Standing::Refused);
-    assert_eq!(table.standing(request(1), 2), Standing::Clear);
-    assert_eq!(table.standing(poison, WINDOW_MS + 2), Standing::Clear);
+    table.add_crash(suspect, crash(2), 2);
+    assert_eq!(table.request_status(suspect, 2), SuspectStatus::Refused);
+    assert_eq!(table.request_status(request(1), 2), SuspectStatus::Clear);
+    assert_eq!(
+        table.request_status(suspect, WINDOW_MS + 2),
+        SuspectStatus::Clear
+    );
 }
 
 #[test]
-fn standing_bystander_is_cleared() {
+fn clear_request_ends_suspicion() {
     let mut table = SuspectTable::new(WINDOW_MS, 64);
-    table.add_death(request(1), death(0), 0);
-    table.clear(request(1));
-    assert_eq!(table.standing(request(1), 0), Standing::Clear);
+    table.add_crash(request(1), crash(0), 0);
+    table.clear_request(request(1));
+    assert_eq!(table.request_status(request(1), 0), SuspectStatus::Clear);
 }
 
 #[test]
-fn merge_any_order_agrees() {
+fn merge_records_any_order_agrees() {
     arbtest(|u| {
         let mut tables = vec![SuspectTable::new(WINDOW_MS, 64); 3];
         for _ in 0..u.int_in_range(1..=30)? {
             let at = u.int_in_range(0..=2)?;
-            let poison = request(u.int_in_range(0..=2)?);
+            let suspect = request(u.int_in_range(0..=2)?);
             if u.ratio(1, 4)? {
-                tables[at].clear(poison);
+                tables[at].clear_request(suspect);
             } else {
-                tables[at].add_death(poison, death(u.int_in_range(0..=3)?), 0);
+                tables[at].add_crash(suspect, crash(u.int_in_range(0..=3)?), 0);
             }
         }
-        let exports: Vec<_> = tables.iter().map(|table| table.export(0)).collect();
+        let exports: Vec<_> = tables.iter().map(|table| table.export_records(0)).collect();
         for (at, table) in tables.iter_mut().enumerate() {
             for step in 0..exports.len() {
-                table.merge(exports[(at + step) % exports.len()].clone(), 0);
+                table.merge_records(exports[(at + step) % exports.len()].clone(), 0);
             }
         }
         assert_eq!(tables[0], tables[1]);
@@ -73,13 +76,13 @@
 }
 
 #[test]
-fn slot_one_suspect_at_a_time() {
+fn try_acquire_one_suspect_at_a_time() {
     let mut slot = SuspectSlot::default();
-    assert!(slot.enter(request(0)));
-    assert!(slot.enter(request(0)));
-    assert!(!slot.enter(request(1)));
-    slot.leave(request(0));
-    assert!(!slot.enter(request(1)));
-    slot.leave(request(0));
-    assert!(slot.enter(request(1)));
+    assert!(slot.try_acquire(request(0)));
+    assert!(slot.try_acquire(request(0)));
+    assert!(!slot.try_acquire(request(1)));
+    slot.release(request(0));
+    assert!(!slot.try_acquire(request(1)));
+    slot.release(request(0));
+    assert!(slot.try_acquire(request(1)));
 }
--- a/tests/spec_permits/messages.rs
+++ b/tests/spec_permits/messages.rs
@@ -1,38 +1,44 @@
 use crate::fixture::answer;
 use bergamotfork::calls::CallOutcome;
 use bergamotfork::calls::RefusalReason;
-use bergamotfork::calls::Reply;
+use bergamotfork::calls::SendResult;
 use bergamotfork::calls::UnknownReason;
 
-/// Number of a handler that no longer waits; its messages may still arrive.
-pub const GONE: usize = usize::MAX;
+/// Index of a handler that no longer waits; messages to or from it may still arrive.
+pub const CLOSED_HANDLER: usize = usize::MAX;
 
+/// A message that is on its way.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
+    /// From the caller to an entry.
     Send { entry: usize, send_no: u32 },
+    /// Dispatch from an entry to the endpoint.
     Call { handler: usize },
-    Ask { handler: usize },
-    Reply { handler: usize, answer: Told },
+    /// Status query from an entry to the endpoint.
+    Query { handler: usize },
+    /// From the endpoint to an entry.
+    Reply { handler: usize, reply: ReplyKind },
 }
 
-/// Short form of a reply on its way.
+/// Short form of a [`SendResult`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Told {
+pub enum ReplyKind {
     Answer,
     NotRun(RefusalReason),
-    ArrivedUnknown(UnknownReason),
-    AskedUnknown(UnknownReason),
-    Closed(RefusalReason),
+    DispatchUnknown(UnknownReason),
+    QueryUnknown(UnknownReason),
+    NotSent(RefusalReason),
 }
 
-impl Told {
-    pub fn reply(self) -> Reply {
+impl ReplyKind {
+    /// The result that the entry derives from this reply.
+    pub fn send_result(self) -> SendResult {
         match self {
-            Self::Answer => Reply::Ended(answer()),
-            Self::NotRun(reason) => Reply::Ended(CallOutcome::not_run(reason)),
-            Self::ArrivedUnknown(reason) => Reply::ArrivedUnknown(reason),
-            Self::AskedUnknown(reason) => Reply::AskedUnknown(reason),
-            Self::Closed(reason) => Reply::NeverLeft(reason),
+            Self::Answer => SendResult::Ended(answer()),
+            Self::NotRun(reason) => SendResult::Ended(CallOutcome::not_run(reason)),
+            Self::DispatchUnknown(reason) => SendResult::DispatchUnknown(reason),
+            Self::QueryUnknown(reason) => SendResult::QueryUnknown(reason),
+            Self::NotSent(reason) => SendResult::NotSent(reason),
         }
     }
 }
