--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -20,8 +20,8 @@
 use crate::observe::Tally;
 use crate::weights::ChunkFrame;
 use crate::weights::Digest;
-use crate::weights::PeerNote;
-use crate::weights::PeerQuestion;
+use crate::weights::PeerRequest;
+use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
 
 /// Reads that may wait at a host.
@@ -131,7 +131,7 @@
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerQuestion>(&body) else {
+    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
     let known = question.known;
@@ -148,7 +148,7 @@
     }
 }
 
-fn control_bytes(question: &Bytes, note: &PeerNote) -> u64 {
+fn control_bytes(question: &Bytes, note: &PeerStatus) -> u64 {
     question.len() as u64 + note.have.encode().len() as u64
 }
 
@@ -173,7 +173,7 @@
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerQuestion>(&body) else {
+    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
     let region = question.region.clone();
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -31,8 +31,8 @@
 use crate::weights::Manifest;
 use crate::weights::PeerFailure;
 use crate::weights::PeerKey;
-use crate::weights::PeerNote;
-use crate::weights::PeerQuestion;
+use crate::weights::PeerRequest;
+use crate::weights::PeerStatus;
 use crate::weights::Probe;
 use crate::weights::ReadOutcome;
 use crate::weights::Source;
@@ -159,8 +159,8 @@
         Some(self.addresses[at].1)
     }
 
-    fn question(&self, known: u32, wait_ms: u64) -> PeerQuestion {
-        PeerQuestion {
+    fn question(&self, known: u32, wait_ms: u64) -> PeerRequest {
+        PeerRequest {
             host: self.share.host.clone(),
             region: self.share.region.clone(),
             have: self.swarm.have().clone(),
@@ -231,7 +231,7 @@
         let wait_ms = probe.wait_ms + PROBE_SLACK_MS;
         let share = Arc::clone(&self.share);
         let asking = async move {
-            let result = http.ask::<PeerNote>(&url, &question, wait_ms).await;
+            let result = http.ask::<PeerStatus>(&url, &question, wait_ms).await;
             let body_bytes = 2 * question.have.encode().len() as u64;
             share.count_control(body_bytes, "asking");
             result
@@ -362,7 +362,7 @@
 async fn read_from_peer(
     http: &HttpClient,
     url: &str,
-    question: &PeerQuestion,
+    question: &PeerRequest,
     wait_ms: u64,
 ) -> Result<ChunkFrame, LinkError> {
     let malformed = |cause: &str| LinkError::Malformed(cause.to_owned());
--- a/src/endpoint/weights_turns.rs
+++ b/src/endpoint/weights_turns.rs
@@ -4,10 +4,10 @@
 use crate::endpoint::weights_tracked::TrackedVersion;
 use crate::links::LinkError;
 use crate::weights::Ahead;
+use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
-use crate::weights::HaveMap;
-use crate::weights::PeerNote;
-use crate::weights::PeerQuestion;
+use crate::weights::PeerRequest;
+use crate::weights::PeerStatus;
 use crate::weights::may_change;
 use crate::weights::placement;
 
@@ -45,10 +45,10 @@
 
     async fn ask_ahead(&self, member: &SwarmMember, manifest: Digest) -> Ahead {
         let url = format!("http://{}/x/weights/{manifest}/have", member.address);
-        let question = PeerQuestion {
+        let question = PeerRequest {
             host: self.state.weights.host.clone(),
             region: self.state.weights.region.clone(),
-            have: HaveMap::empty(0),
+            have: ChunkBitmap::empty(0),
             known: 0,
             wait_ms: 0,
         };
@@ -56,7 +56,7 @@
             .state
             .node
             .http()
-            .ask::<PeerNote>(&url, &question, AHEAD_WAIT_MS)
+            .ask::<PeerStatus>(&url, &question, AHEAD_WAIT_MS)
             .await;
         match answer {
             Ok(note) if note.serving => Ahead::Serving,
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -8,16 +8,16 @@
 
 use super::weights_signal::Signal;
 use crate::weights::Announced;
+use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
 use crate::weights::Fetching;
-use crate::weights::HaveMap;
 use crate::weights::Inserted;
 use crate::weights::LoadCheck;
 use crate::weights::Loaded;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
-use crate::weights::PeerNote;
-use crate::weights::PeerQuestion;
+use crate::weights::PeerRequest;
+use crate::weights::PeerStatus;
 use crate::weights::RejectReason;
 use crate::weights::Replica;
 use crate::weights::Serving;
@@ -65,7 +65,7 @@
 pub struct WeightsVersion {
     digest: Digest,
     stage: Mutex<Stage>,
-    questions: Mutex<Vec<PeerQuestion>>,
+    questions: Mutex<Vec<PeerRequest>>,
     uploads: AtomicU32,
     pub(super) signal: Signal,
 }
@@ -132,7 +132,7 @@
     }
 
     /// Chunks held; None before the manifest is known.
-    pub fn have(&self) -> Option<HaveMap> {
+    pub fn have(&self) -> Option<ChunkBitmap> {
         match &*self.stage() {
             Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
             Stage::Fetching(replica) => Some(replica.have().clone()),
@@ -162,8 +162,8 @@
     }
 
     /// What this host tells of itself.
-    pub fn note(&self) -> Option<PeerNote> {
-        Some(PeerNote {
+    pub fn note(&self) -> Option<PeerStatus> {
+        Some(PeerStatus {
             have: self.have()?,
             queue: self.uploads.load(Ordering::Relaxed),
             serving: self.stage_name() == StageName::Serving,
@@ -280,7 +280,7 @@
     }
 
     /// Keeps what a peer told of itself for the transfer.
-    pub(super) fn keep_question(&self, question: PeerQuestion) {
+    pub(super) fn keep_question(&self, question: PeerRequest) {
         let mut questions = self
             .questions
             .lock()
@@ -291,7 +291,7 @@
     }
 
     /// What peers told since the last call.
-    pub(super) fn take_questions(&self) -> Vec<PeerQuestion> {
+    pub(super) fn take_questions(&self) -> Vec<PeerRequest> {
         std::mem::take(
             &mut *self
                 .questions
--- a/src/gateway/beats.rs
+++ b/src/gateway/beats.rs
@@ -18,7 +18,7 @@
 use crate::gateway::pull_records;
 use crate::observe::Event;
 use crate::observe::LogLine;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 
 /// Interval of the beats between entries.
 const BEAT_INTERVAL: Duration = Duration::from_millis(250);
@@ -42,7 +42,7 @@
     /// Version.
     pub version: u64,
     /// Pieces that are staged and were checked.
-    pub have: HaveMap,
+    pub have: ChunkBitmap,
 }
 
 /// A message between processes of the system.
--- a/src/staging/stage.rs
+++ b/src/staging/stage.rs
@@ -1,7 +1,7 @@
 use std::rc::Rc;
 
 use crate::staging::Gathering;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 use crate::weights::PieceManifest;
 
 /// Versions kept of one model: the one held and the next two.
@@ -126,8 +126,8 @@
     }
 
     /// Pieces of `version` that are held.
-    pub fn have(&self, version: u64) -> HaveMap {
-        let mut have = HaveMap::empty(u32::try_from(self.staged.len()).unwrap_or(u32::MAX));
+    pub fn have(&self, version: u64) -> ChunkBitmap {
+        let mut have = ChunkBitmap::empty(u32::try_from(self.staged.len()).unwrap_or(u32::MAX));
         for (index, staged) in (0u32..).zip(&self.staged) {
             if *staged == version || self.piece(version, index).is_some() {
                 have.insert(index);
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -27,7 +27,7 @@
 use crate::staging::goal::Goal;
 use crate::staging::goal::GoalInput;
 use crate::staging::goal::next_goal;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 
 /// Version that engines hold before any was declared.
 const FIRST_VERSION: u64 = 1;
@@ -70,7 +70,7 @@
     /// Version.
     pub version: u64,
     /// Pieces.
-    pub have: HaveMap,
+    pub have: ChunkBitmap,
     /// Steady time of the note.
     pub heard_ms: u64,
 }
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_reads.rs
@@ -4,13 +4,13 @@
 use crate::staging::transfer::Place;
 use crate::staging::transfer::Read;
 use crate::staging::transfer::Transfer;
+use crate::weights::ChunkBitmap;
+use crate::weights::ChunkRanking;
 use crate::weights::Digest;
 use crate::weights::Fetch;
-use crate::weights::HaveMap;
-use crate::weights::Homes;
-use crate::weights::Neighbour;
 use crate::weights::OriginPort;
 use crate::weights::PeerKey;
+use crate::weights::PeerState;
 use crate::weights::PieceManifest;
 use crate::weights::PlanInput;
 use crate::weights::PlanSettings;
@@ -35,7 +35,7 @@
 /// The hosts that take part, in one order for all of them.
 pub(super) struct Swarm {
     pub(super) addresses: Vec<SocketAddr>,
-    pub(super) homes: Homes,
+    pub(super) homes: ChunkRanking,
     pub(super) me: PeerKey,
 }
 
@@ -80,7 +80,7 @@
             settings.region(&origin.failure_domain).to_owned()
         });
         let digest = Digest::of(manifest.digests.as_flattened());
-        let homes = Homes::new(digest, manifest.chunks(), &hosts, &origin_region);
+        let homes = ChunkRanking::new(digest, manifest.chunks(), &hosts, &origin_region);
         let me = addresses
             .iter()
             .position(|address| *address == settings.internal)
@@ -96,7 +96,7 @@
     pub(super) fn swarm_reads(
         &self,
         swarm: &Swarm,
-        have: &HaveMap,
+        have: &ChunkBitmap,
         in_flight: &[Read],
         blocked: &[(Place, u64)],
         (started_ms, progress_ms): (u64, u64),
@@ -124,7 +124,7 @@
                 .filter(|block| block.0 == Place::Swarm(source));
             mine.map(|block| block.1).max().unwrap_or(0)
         };
-        let neighbours: Vec<Neighbour> = (0u32..)
+        let neighbours: Vec<PeerState> = (0u32..)
             .zip(&swarm.addresses)
             .map(|(index, address)| {
                 let key = PeerKey(index);
@@ -137,11 +137,11 @@
                     Some(note) => now_ms.saturating_sub(note.heard_ms) >= HOLDER_SILENT_MS,
                     None => now_ms.saturating_sub(started_ms) >= HOLDER_AWAITED_MS,
                 };
-                Neighbour {
+                PeerState {
                     key,
                     have: note
                         .filter(|note| note.have.len() == have.len())
-                        .map_or_else(|| HaveMap::empty(have.len()), |note| note.have.clone()),
+                        .map_or_else(|| ChunkBitmap::empty(have.len()), |note| note.have.clone()),
                     queue: 0,
                     blocked_until_ms: blocked_until(Source::Peer(key)),
                     lost: is_lost && key != swarm.me,
--- a/src/staging/transfer.rs
+++ b/src/staging/transfer.rs
@@ -16,7 +16,7 @@
 use crate::staging::EnginePort;
 use crate::staging::StagingState;
 use crate::staging::entries_for;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
 use crate::weights::ReadFault;
@@ -105,7 +105,7 @@
         self.state.borrow().to_gather(self.model) == Some(self.version)
     }
 
-    pub(super) fn have(&self) -> HaveMap {
+    pub(super) fn have(&self) -> ChunkBitmap {
         self.state.borrow_mut().stage(self.model).have(self.version)
     }
 
@@ -237,7 +237,7 @@
     /// when the first of them wants it, and lies ready for the others.
     fn entry_reads(
         &self,
-        have: &HaveMap,
+        have: &ChunkBitmap,
         in_flight: &[Read],
         blocked: &[(Place, u64)],
         is_slow: bool,
--- a/src/weights/have_map.rs
+++ b/src/weights/chunk_bitmap.rs
@@ -17,13 +17,13 @@
 /// Serialises as the number of chunks and one bit for each; a map that is empty
 /// or complete needs no bits.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HaveMap {
+pub struct ChunkBitmap {
     len: u32,
     count: u32,
     words: Vec<u64>,
 }
 
-impl HaveMap {
+impl ChunkBitmap {
     /// A map of `len` chunks, none held.
     pub fn empty(len: u32) -> Self {
         Self {
@@ -114,7 +114,7 @@
         bytes
     }
 
-    /// Reads the bytes written by [`HaveMap::encode`].
+    /// Reads the bytes written by [`ChunkBitmap::encode`].
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (len, rest) = bytes.split_first_chunk::<LEN_BYTES>()?;
         let len = u32::from_le_bytes(*len);
@@ -143,28 +143,28 @@
     }
 }
 
-impl Serialize for HaveMap {
+impl Serialize for ChunkBitmap {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_bytes(&self.encode())
     }
 }
 
-impl<'de> Deserialize<'de> for HaveMap {
+impl<'de> Deserialize<'de> for ChunkBitmap {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_bytes(HaveMapVisitor)
+        deserializer.deserialize_bytes(ChunkBitmapVisitor)
     }
 }
 
-struct HaveMapVisitor;
+struct ChunkBitmapVisitor;
 
-impl de::Visitor<'_> for HaveMapVisitor {
-    type Value = HaveMap;
+impl de::Visitor<'_> for ChunkBitmapVisitor {
+    type Value = ChunkBitmap;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the bytes of a map of chunks")
     }
 
-    fn visit_bytes<E: de::Error>(self, bytes: &[u8]) -> Result<HaveMap, E> {
-        HaveMap::decode(bytes).ok_or_else(|| E::invalid_length(bytes.len(), &self))
+    fn visit_bytes<E: de::Error>(self, bytes: &[u8]) -> Result<ChunkBitmap, E> {
+        ChunkBitmap::decode(bytes).ok_or_else(|| E::invalid_length(bytes.len(), &self))
     }
 }
--- a/src/weights/homes.rs
+++ b/src/weights/chunk_ranking.rs
@@ -1,7 +1,7 @@
 use crate::weights::Digest;
 
 /// Ranks kept for each chunk and region.
-pub const KEPT_RANKS: usize = 6;
+pub const RANKED_HOSTS: usize = 6;
 
 /// Index of a host in the list the plan was made from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -25,7 +25,7 @@
 /// before it on the chunk's route. Routes start in the origin's region and
 /// rotate over the others, so that every thin link carries an equal part.
 #[derive(Debug, Clone)]
-pub struct Homes {
+pub struct ChunkRanking {
     regions: Vec<String>,
     region_of: Vec<usize>,
     /// Place of each region among those on a route; the first starts it.
@@ -34,7 +34,7 @@
     manifest_seed: u64,
 }
 
-impl Homes {
+impl ChunkRanking {
     /// Ranks `hosts` for `chunks` chunks of the version `manifest`.
     pub fn new(manifest: Digest, chunks: u32, hosts: &[SwarmHost], origin_region: &str) -> Self {
         let regions = route_regions(hosts, origin_region);
@@ -48,7 +48,7 @@
             .map(|host| seed_of(host.name.as_bytes()))
             .collect();
         let manifest_seed = seed_of(manifest.as_bytes());
-        let mut ranks = Vec::with_capacity(chunks as usize * regions.len() * KEPT_RANKS);
+        let mut ranks = Vec::with_capacity(chunks as usize * regions.len() * RANKED_HOSTS);
         let mut best = Vec::new();
         for chunk in 0..chunks {
             let chunk_seed = mix(manifest_seed ^ u64::from(chunk));
@@ -61,7 +61,8 @@
                 }
                 let filler = best.last().map_or(0, |last| last.1);
                 ranks.extend(
-                    (0..KEPT_RANKS).map(|rank| key(best.get(rank).map_or(filler, |entry| entry.1))),
+                    (0..RANKED_HOSTS)
+                        .map(|rank| key(best.get(rank).map_or(filler, |entry| entry.1))),
                 );
             }
         }
@@ -91,8 +92,8 @@
 
     /// The first hosts for `chunk` in `region`, best first; the last may repeat.
     pub fn ranked(&self, chunk: u32, region: usize) -> &[PeerKey] {
-        let start = (chunk as usize * self.regions.len() + region) * KEPT_RANKS;
-        &self.ranks[start..start + KEPT_RANKS]
+        let start = (chunk as usize * self.regions.len() + region) * RANKED_HOSTS;
+        &self.ranks[start..start + RANKED_HOSTS]
     }
 
     /// Region that hands `chunk` to `region`; None when it reads the origin.
@@ -126,9 +127,9 @@
 /// Inserts `entry` into the few best, highest first.
 fn keep_best(best: &mut Vec<(u64, usize)>, entry: (u64, usize)) {
     let at = best.partition_point(|other| *other > entry);
-    if at < KEPT_RANKS {
+    if at < RANKED_HOSTS {
         best.insert(at, entry);
-        best.truncate(KEPT_RANKS);
+        best.truncate(RANKED_HOSTS);
     }
 }
 
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 
+use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
-use crate::weights::HaveMap;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
 use crate::weights::Reservation;
@@ -47,7 +47,7 @@
 pub struct ChunkStore {
     manifest: Arc<Manifest>,
     slots: Vec<Option<Bytes>>,
-    have: HaveMap,
+    have: ChunkBitmap,
     _reservation: Reservation,
 }
 
@@ -69,7 +69,7 @@
         let count = manifest.chunk_count();
         Ok(Self {
             slots: vec![None; count as usize],
-            have: HaveMap::empty(count),
+            have: ChunkBitmap::empty(count),
             manifest,
             _reservation: reservation,
         })
@@ -100,7 +100,7 @@
     }
 
     /// What is held.
-    pub fn have(&self) -> &HaveMap {
+    pub fn have(&self) -> &ChunkBitmap {
         &self.have
     }
 
--- a/src/weights/frame.rs
+++ b/src/weights/frame.rs
@@ -2,7 +2,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::weights::PeerNote;
+use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
 
 /// Bytes that carry the length of the head.
@@ -11,7 +11,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Head {
     outcome: ReadOutcome,
-    note: PeerNote,
+    note: PeerStatus,
 }
 
 /// A peer's answer to a read: outcome, note, and the chunk if it was sent.
@@ -22,14 +22,14 @@
     /// What became of the read.
     pub outcome: ReadOutcome,
     /// What the peer tells of itself.
-    pub note: PeerNote,
+    pub note: PeerStatus,
     /// The chunk; empty unless it was sent.
     pub chunk: Bytes,
 }
 
 impl ChunkFrame {
     /// Length and head, to be followed by the chunk.
-    pub fn encode_head(outcome: ReadOutcome, note: PeerNote) -> Option<Vec<u8>> {
+    pub fn encode_head(outcome: ReadOutcome, note: PeerStatus) -> Option<Vec<u8>> {
         let head = rmp_serde::to_vec_named(&Head { outcome, note }).ok()?;
         let mut bytes = u32::try_from(head.len()).ok()?.to_le_bytes().to_vec();
         bytes.extend_from_slice(&head);
--- a/src/weights/peer_note.rs
+++ b/src/weights/peer_messages.rs
@@ -1,17 +1,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 
 /// What a host asks a peer for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PeerQuestion {
+pub struct PeerRequest {
     /// Name of the asking host.
     pub host: String,
     /// Region of the asking host.
     pub region: String,
     /// Chunks the asking host holds.
-    pub have: HaveMap,
+    pub have: ChunkBitmap,
     /// Chunks it knows the peer to hold; a wait ends when there are more.
     pub known: u32,
     /// How long the peer may wait for more.
@@ -20,9 +20,9 @@
 
 /// What a peer tells of itself with each answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerNote {
+pub struct PeerStatus {
     /// Chunks it holds.
-    pub have: HaveMap,
+    pub have: ChunkBitmap,
     /// Reads that wait at it.
     pub queue: u32,
     /// Whether its engine serves the version.
--- a/src/weights/placement.rs
+++ b/src/weights/placement.rs
@@ -1,5 +1,5 @@
-use crate::weights::homes::mix;
-use crate::weights::homes::seed_of;
+use crate::weights::chunk_ranking::mix;
+use crate::weights::chunk_ranking::seed_of;
 
 /// The hosts that should serve `model`, best first: at most `replicas` of `hosts`.
 ///
--- a/src/weights/plan.rs
+++ b/src/weights/plan.rs
@@ -1,7 +1,7 @@
-use crate::weights::HaveMap;
-use crate::weights::Homes;
+use crate::weights::ChunkBitmap;
+use crate::weights::ChunkRanking;
 use crate::weights::PeerKey;
-use crate::weights::homes::mix;
+use crate::weights::chunk_ranking::mix;
 
 /// Where a chunk is read from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -23,11 +23,11 @@
 
 /// What is known of another host that wants the version.
 #[derive(Debug, Clone)]
-pub struct Neighbour {
+pub struct PeerState {
     /// Which host.
     pub key: PeerKey,
     /// Chunks it held when it last answered.
-    pub have: HaveMap,
+    pub have: ChunkBitmap,
     /// Reads that wait at it, by its last answer.
     pub queue: u32,
     /// No read is sent to it until then.
@@ -70,13 +70,13 @@
     /// This host.
     pub me: PeerKey,
     /// Ranks of all hosts for each chunk.
-    pub homes: &'a Homes,
+    pub homes: &'a ChunkRanking,
     /// Chunks held here.
-    pub have: &'a HaveMap,
+    pub have: &'a ChunkBitmap,
     /// Reads in progress.
     pub in_flight: &'a [Fetch],
     /// What is known of others, sorted by key.
-    pub neighbours: &'a [Neighbour],
+    pub neighbours: &'a [PeerState],
     /// No read is sent to the origin until then.
     pub origin_blocked_until_ms: u64,
     /// Limits.
@@ -108,7 +108,7 @@
 struct Draft<'a> {
     input: &'a PlanInput<'a>,
     region: usize,
-    busy: HaveMap,
+    busy: ChunkBitmap,
     duties: usize,
     swarm_reads: usize,
     per_peer: Vec<(PeerKey, usize)>,
@@ -120,7 +120,7 @@
         let mut draft = Self {
             input,
             region: input.homes.region_of(input.me),
-            busy: HaveMap::empty(input.homes.chunks()),
+            busy: ChunkBitmap::empty(input.homes.chunks()),
             duties: 0,
             swarm_reads: 0,
             per_peer: Vec::new(),
@@ -156,7 +156,7 @@
         !self.input.have.contains(chunk) && !self.busy.contains(chunk)
     }
 
-    fn neighbour(&self, key: PeerKey) -> Option<&'a Neighbour> {
+    fn neighbour(&self, key: PeerKey) -> Option<&'a PeerState> {
         let neighbours = self.input.neighbours;
         let at = neighbours
             .binary_search_by_key(&key, |neighbour| neighbour.key)
@@ -171,7 +171,7 @@
         }
     }
 
-    fn accepts(&self, neighbour: &Neighbour) -> bool {
+    fn accepts(&self, neighbour: &PeerState) -> bool {
         neighbour.key != self.input.me
             && !neighbour.lost
             && neighbour.blocked_until_ms <= self.input.now_ms
@@ -275,7 +275,7 @@
         wanted
     }
 
-    fn holders(&self, chunk: u32, region: usize) -> impl Iterator<Item = &'a Neighbour> {
+    fn holders(&self, chunk: u32, region: usize) -> impl Iterator<Item = &'a PeerState> {
         let homes = self.input.homes;
         self.input.neighbours.iter().filter(move |neighbour| {
             neighbour.have.contains(chunk) && homes.region_of(neighbour.key) == region
--- a/src/weights/replica.rs
+++ b/src/weights/replica.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 
+use crate::weights::ChunkBitmap;
 use crate::weights::ChunkStore;
 use crate::weights::Digest;
-use crate::weights::HaveMap;
 use crate::weights::Inserted;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
@@ -171,7 +171,7 @@
             }
 
             /// Chunks held.
-            pub fn have(&self) -> &HaveMap {
+            pub fn have(&self) -> &ChunkBitmap {
                 self.state.store.have()
             }
 
--- a/src/weights/swarm.rs
+++ b/src/weights/swarm.rs
@@ -1,17 +1,17 @@
+use crate::weights::ChunkBitmap;
+use crate::weights::ChunkRanking;
 use crate::weights::Digest;
 use crate::weights::Fetch;
-use crate::weights::HaveMap;
-use crate::weights::Homes;
-use crate::weights::Neighbour;
 use crate::weights::PeerKey;
-use crate::weights::PeerNote;
+use crate::weights::PeerState;
+use crate::weights::PeerStatus;
 use crate::weights::PlanInput;
 use crate::weights::PlanSettings;
 use crate::weights::Probe;
 use crate::weights::Source;
 use crate::weights::SwarmHost;
-use crate::weights::homes::mix;
-use crate::weights::homes::seed_of;
+use crate::weights::chunk_ranking::mix;
+use crate::weights::chunk_ranking::seed_of;
 use crate::weights::next_fetches;
 
 /// First pause after a failure; doubles with each further one.
@@ -103,9 +103,9 @@
     pub(super) origin_region: String,
     pub(super) me: PeerKey,
     pub(super) hosts: Vec<SwarmHost>,
-    pub(super) homes: Homes,
-    pub(super) have: HaveMap,
-    pub(super) neighbours: Vec<Neighbour>,
+    pub(super) homes: ChunkRanking,
+    pub(super) have: ChunkBitmap,
+    pub(super) neighbours: Vec<PeerState>,
     pub(super) standings: Vec<Standing>,
     pub(super) picked: Vec<PeerKey>,
     pub(super) in_flight: Vec<Fetch>,
@@ -125,7 +125,7 @@
     /// Panics when `hosts` lacks `me`.
     pub fn new(
         manifest: Digest,
-        have: HaveMap,
+        have: ChunkBitmap,
         hosts: Vec<SwarmHost>,
         me: &str,
         origin_region: &str,
@@ -136,7 +136,7 @@
             .iter()
             .position(|host| host.name == me)
             .expect("a host takes part in its own transfers");
-        let homes = Homes::new(manifest, have.len(), &hosts, origin_region);
+        let homes = ChunkRanking::new(manifest, have.len(), &hosts, origin_region);
         let mut swarm = Self {
             manifest,
             origin_region: origin_region.to_owned(),
@@ -176,7 +176,7 @@
             }
         }
         if changed {
-            self.homes = Homes::new(
+            self.homes = ChunkRanking::new(
                 self.manifest,
                 self.have.len(),
                 &self.hosts,
@@ -200,7 +200,7 @@
     }
 
     /// Chunks held here.
-    pub fn have(&self) -> &HaveMap {
+    pub fn have(&self) -> &ChunkBitmap {
         &self.have
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// A peer told what it holds.
-    pub fn heard(&mut self, peer: PeerKey, have: &HaveMap, queue: u32) {
+    pub fn heard(&mut self, peer: PeerKey, have: &ChunkBitmap, queue: u32) {
         if have.len() != self.have.len() || peer == self.me {
             return;
         }
@@ -247,7 +247,7 @@
     }
 
     /// A question was answered.
-    pub fn probe_answered(&mut self, peer: PeerKey, note: &PeerNote) {
+    pub fn probe_answered(&mut self, peer: PeerKey, note: &PeerStatus) {
         self.standings[peer.0 as usize].probing = false;
         self.heard(peer, &note.have, note.queue);
     }
@@ -269,7 +269,7 @@
     }
 
     /// The peer lacks a chunk it was known to hold: another process answers there.
-    pub fn replaced(&mut self, fetch: Fetch, note: &PeerNote, now_ms: u64) {
+    pub fn replaced(&mut self, fetch: Fetch, note: &PeerStatus, now_ms: u64) {
         self.deferred(fetch, now_ms);
         if let Source::Peer(peer) = fetch.source
             && note.have.len() == self.have.len()
@@ -311,14 +311,14 @@
         self.in_flight.retain(|other| *other != fetch);
     }
 
-    pub(super) fn neighbour_mut(&mut self, peer: PeerKey) -> &mut Neighbour {
+    pub(super) fn neighbour_mut(&mut self, peer: PeerKey) -> &mut PeerState {
         let at = self
             .neighbours
             .binary_search_by_key(&peer, |neighbour| neighbour.key)
             .unwrap_or_else(|at| {
-                let neighbour = Neighbour {
+                let neighbour = PeerState {
                     key: peer,
-                    have: HaveMap::empty(self.have.len()),
+                    have: ChunkBitmap::empty(self.have.len()),
                     queue: 0,
                     blocked_until_ms: 0,
                     lost: false,
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -1,8 +1,8 @@
 use crate::weights::PeerKey;
 use crate::weights::Source;
 use crate::weights::Swarm;
-use crate::weights::homes::mix;
-use crate::weights::homes::seed_of;
+use crate::weights::chunk_ranking::mix;
+use crate::weights::chunk_ranking::seed_of;
 use crate::weights::swarm::CROSSING_GAP_MS;
 use crate::weights::swarm::key;
 
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -2,9 +2,9 @@
 use bytes::Bytes;
 
 use crate::world::sample_manifest;
+use bergamotfork::weights::ChunkBitmap;
 use bergamotfork::weights::ChunkStore;
 use bergamotfork::weights::Digest;
-use bergamotfork::weights::HaveMap;
 use bergamotfork::weights::Inserted;
 use bergamotfork::weights::Manifest;
 use bergamotfork::weights::ManifestError;
@@ -58,11 +58,11 @@
 fn have_map_codec_any_map() {
     arbtest(|u| {
         let len: u32 = u.int_in_range(0..=300)?;
-        let mut map = HaveMap::empty(len);
+        let mut map = ChunkBitmap::empty(len);
         for _ in 0..u.int_in_range(0..=len * 2)? {
             map.insert(u.int_in_range(0..=len)?);
         }
-        assert_eq!(HaveMap::decode(&map.encode()), Some(map.clone()));
+        assert_eq!(ChunkBitmap::decode(&map.encode()), Some(map.clone()));
         let held = (0..len).filter(|index| map.contains(*index)).count();
         assert_eq!(held, map.count() as usize);
         Ok(())
@@ -73,7 +73,7 @@
 fn have_map_decode_any_bytes() {
     arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
-        if let Some(map) = HaveMap::decode(&bytes[..bytes.len().min(64)]) {
+        if let Some(map) = ChunkBitmap::decode(&bytes[..bytes.len().min(64)]) {
             assert!(map.count() <= map.len());
         }
         Ok(())
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -4,11 +4,11 @@
 
 use crate::world::homes;
 use crate::world::hosts;
+use bergamotfork::weights::ChunkBitmap;
+use bergamotfork::weights::ChunkRanking;
 use bergamotfork::weights::Fetch;
-use bergamotfork::weights::HaveMap;
-use bergamotfork::weights::Homes;
-use bergamotfork::weights::Neighbour;
 use bergamotfork::weights::PeerKey;
+use bergamotfork::weights::PeerState;
 use bergamotfork::weights::PlanInput;
 use bergamotfork::weights::PlanSettings;
 use bergamotfork::weights::Source;
@@ -18,11 +18,11 @@
 
 /// Everything a plan refers to.
 struct Case {
-    homes: Homes,
+    homes: ChunkRanking,
     me: PeerKey,
-    have: HaveMap,
+    have: ChunkBitmap,
     in_flight: Vec<Fetch>,
-    neighbours: Vec<Neighbour>,
+    neighbours: Vec<PeerState>,
     settings: PlanSettings,
     now_ms: u64,
     origin_blocked_until_ms: u64,
@@ -34,7 +34,7 @@
         Self {
             homes: homes(CHUNKS, &hosts(count, regions)),
             me: PeerKey(me),
-            have: HaveMap::empty(CHUNKS),
+            have: ChunkBitmap::empty(CHUNKS),
             in_flight: Vec::new(),
             neighbours: Vec::new(),
             settings: PlanSettings::default(),
@@ -53,7 +53,7 @@
         case.seed = u.arbitrary()?;
         for key in 0..count {
             if key != case.me.0 && u.arbitrary()? {
-                case.neighbours.push(Neighbour {
+                case.neighbours.push(PeerState {
                     key: PeerKey(key),
                     have: some_chunks(u)?,
                     queue: u.int_in_range(0..=5)?,
@@ -95,9 +95,9 @@
             .map(PeerKey)
             .filter(|key| self.homes.region_of(*key) != region);
         self.neighbours = others
-            .map(|key| Neighbour {
+            .map(|key| PeerState {
                 key,
-                have: HaveMap::complete(CHUNKS),
+                have: ChunkBitmap::complete(CHUNKS),
                 queue: 0,
                 blocked_until_ms: 0,
                 lost: false,
@@ -105,15 +105,15 @@
             .collect();
     }
 
-    fn neighbour(&self, key: PeerKey) -> Option<&Neighbour> {
+    fn neighbour(&self, key: PeerKey) -> Option<&PeerState> {
         self.neighbours
             .iter()
             .find(|neighbour| neighbour.key == key)
     }
 }
 
-fn some_chunks(u: &mut Unstructured<'_>) -> Result<HaveMap> {
-    let mut map = HaveMap::empty(CHUNKS);
+fn some_chunks(u: &mut Unstructured<'_>) -> Result<ChunkBitmap> {
+    let mut map = ChunkBitmap::empty(CHUNKS);
     for index in 0..CHUNKS {
         if u.arbitrary()? {
             map.insert(index);
@@ -215,9 +215,9 @@
         source: Source::Origin,
     };
     assert!(!case.plan().contains(&duty));
-    case.neighbours.push(Neighbour {
+    case.neighbours.push(PeerState {
         key: ranked[0],
-        have: HaveMap::empty(CHUNKS),
+        have: ChunkBitmap::empty(CHUNKS),
         queue: 0,
         blocked_until_ms: 0,
         lost: true,
@@ -243,12 +243,12 @@
     case.settings.max_duties = 0;
     case.settings.max_fetches = 1;
     for key in 1..4 {
-        let mut have = HaveMap::empty(CHUNKS);
+        let mut have = ChunkBitmap::empty(CHUNKS);
         have.insert(1);
         if key == 2 {
             have.insert(9);
         }
-        case.neighbours.push(Neighbour {
+        case.neighbours.push(PeerState {
             key: PeerKey(key),
             have,
             queue: 0,
@@ -282,9 +282,9 @@
     lost.sort_unstable();
     case.neighbours = lost
         .into_iter()
-        .map(|key| Neighbour {
+        .map(|key| PeerState {
             key,
-            have: HaveMap::empty(CHUNKS),
+            have: ChunkBitmap::empty(CHUNKS),
             queue: 0,
             blocked_until_ms: 0,
             lost: true,
--- a/tests/weights/world.rs
+++ b/tests/weights/world.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
+use bergamotfork::weights::ChunkRanking;
 use bergamotfork::weights::Digest;
-use bergamotfork::weights::Homes;
 use bergamotfork::weights::Manifest;
 use bergamotfork::weights::SwarmHost;
 
@@ -26,6 +26,6 @@
         .collect()
 }
 
-pub fn homes(chunks: u32, hosts: &[SwarmHost]) -> Homes {
-    Homes::new(Digest::of(b"a version"), chunks, hosts, "region-0")
+pub fn homes(chunks: u32, hosts: &[SwarmHost]) -> ChunkRanking {
+    ChunkRanking::new(Digest::of(b"a version"), chunks, hosts, "region-0")
 }
--- a/tests/weights_transfer/peers.rs
+++ b/tests/weights_transfer/peers.rs
@@ -15,14 +15,14 @@
 use bergamotfork::links::rmp_response;
 use bergamotfork::links::serve;
 use bergamotfork::standin::Handle;
+use bergamotfork::weights::ChunkBitmap;
 use bergamotfork::weights::ChunkFrame;
-use bergamotfork::weights::HaveMap;
-use bergamotfork::weights::PeerNote;
+use bergamotfork::weights::PeerStatus;
 use bergamotfork::weights::ReadOutcome;
 
-fn note() -> PeerNote {
-    PeerNote {
-        have: HaveMap::complete(CHUNKS),
+fn note() -> PeerStatus {
+    PeerStatus {
+        have: ChunkBitmap::complete(CHUNKS),
         queue: 0,
         serving: false,
     }
