--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -16,10 +16,10 @@
 use crate::observe::LogLine;
 use crate::observe::Metrics;
 use crate::observe::Tally;
+use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
-use crate::weights::ReadFault;
-use crate::weights::agreed_manifest;
+use crate::weights::fetch_confirmed_manifest;
 
 /// Path of a piece, before `MODEL/VERSION/INDEX`.
 pub const PIECE_PATH: &str = "/piece/";
@@ -125,7 +125,7 @@
         let index = parts.next()?.parse().ok()?;
         let piece = if held.is_some() {
             self.held(model, version, index)
-                .ok_or(ReadFault::Refused(404))
+                .ok_or(ExternalCallError::Refused(404))
         } else {
             let cached = self.version(model, version);
             self.piece(&cached, index, home.is_some()).await
@@ -174,23 +174,23 @@
         cached
     }
 
-    fn origin_address(&self) -> Result<SocketAddr, ReadFault> {
+    fn origin_address(&self) -> Result<SocketAddr, ExternalCallError> {
         let state = self.state.borrow();
         let services = state.catalog.iter().flat_map(|catalog| catalog.services());
         services
             .filter_map(|service| service.origin.as_ref())
             .map(|origin| origin.address)
             .next()
-            .ok_or_else(|| ReadFault::Unreachable("no origin is configured".to_owned()))
+            .ok_or_else(|| ExternalCallError::Unreachable("no origin is configured".to_owned()))
     }
 
     pub(super) async fn manifest(
         &self,
         cached: &CachedVersion,
-    ) -> Result<Rc<PieceManifest>, ReadFault> {
+    ) -> Result<Rc<PieceManifest>, ExternalCallError> {
         let read = async || {
             let origin = self.origin_address()?;
-            agreed_manifest(&self.origin, origin, &cached.model, cached.version)
+            fetch_confirmed_manifest(&self.origin, origin, &cached.model, cached.version)
                 .await
                 .map(Rc::new)
         };
@@ -203,14 +203,14 @@
         cached: &CachedVersion,
         index: u32,
         as_home: bool,
-    ) -> Result<Rc<Vec<u8>>, ReadFault> {
+    ) -> Result<Rc<Vec<u8>>, ExternalCallError> {
         let manifest = self.manifest(cached).await?;
         let cell = {
             let mut pieces = cached.pieces.borrow_mut();
             pieces.resize_with(manifest.digests.len(), Rc::default);
             match pieces.get(index as usize) {
                 Some(cell) => cell.clone(),
-                None => return Err(ReadFault::Refused(404)),
+                None => return Err(ExternalCallError::Refused(404)),
             }
         };
         let read = async || {
@@ -228,7 +228,7 @@
         manifest: &PieceManifest,
         index: u32,
         as_home: bool,
-    ) -> Result<Vec<u8>, ReadFault> {
+    ) -> Result<Vec<u8>, ExternalCallError> {
         let homes = self.homes(index);
         let home = homes.first().copied().flatten().filter(|_| !as_home);
         let Some(home) = home else {
@@ -322,8 +322,8 @@
         cached: &CachedVersion,
         manifest: &PieceManifest,
         index: u32,
-    ) -> Result<Vec<u8>, ReadFault> {
-        let mut fault = ReadFault::Spoilt;
+    ) -> Result<Vec<u8>, ExternalCallError> {
+        let mut fault = ExternalCallError::Corrupt;
         for _ in 0..ORIGIN_TRIES {
             let origin = self.origin_address()?;
             let read = self
@@ -346,7 +346,7 @@
                         .number("piece", index)
                         .text("from", "origin")
                         .write();
-                    fault = ReadFault::Spoilt;
+                    fault = ExternalCallError::Corrupt;
                 }
                 Err(error) => fault = error,
             }
@@ -365,7 +365,7 @@
     }
 }
 
-fn unavailable(error: &ReadFault) -> InternalReply {
+fn unavailable(error: &ExternalCallError) -> InternalReply {
     log::debug!("weights are not at hand: {error}");
     InternalReply::status(503)
 }
--- a/src/gateway/read_ahead.rs
+++ b/src/gateway/read_ahead.rs
@@ -7,8 +7,8 @@
 use crate::gateway::piece_cache::PieceCache;
 use crate::observe::Event;
 use crate::observe::LogLine;
+use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
-use crate::weights::ReadFault;
 
 /// Pause before reading ahead goes on after a failure.
 const AHEAD_PAUSE: Duration = Duration::from_millis(300);
@@ -47,7 +47,7 @@
 
     /// Reads the pieces whose home is here, each when its turn on the origin's
     /// link comes, so that they arrive in the order in which hosts ask.
-    async fn read_home_pieces(&self, cached: &CachedVersion) -> Result<(), ReadFault> {
+    async fn read_home_pieces(&self, cached: &CachedVersion) -> Result<(), ExternalCallError> {
         let manifest = self.manifest(cached).await?;
         let began = Instant::now();
         let turn = self.origin_turn();
--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -10,7 +10,7 @@
 use crate::staging::transfer::Transfer;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
-use crate::weights::agreed_manifest;
+use crate::weights::fetch_confirmed_manifest;
 
 /// Time for a manifest from another host.
 const MANIFEST_TIMEOUT: Duration = Duration::from_millis(500);
@@ -102,7 +102,7 @@
 
     async fn manifest_from_origin(&self) -> Option<PieceManifest> {
         let origin = self.state.borrow().origin()?.address;
-        match agreed_manifest(self.origin, origin, self.model, self.version).await {
+        match fetch_confirmed_manifest(self.origin, origin, self.model, self.version).await {
             Ok(manifest) => Some(manifest),
             Err(error) => {
                 log::debug!("the origin gave no manifest: {error}");
--- a/src/staging/ports.rs
+++ b/src/staging/ports.rs
@@ -1,6 +1,6 @@
 use std::future::Future;
 
-use crate::weights::ReadFault;
+use crate::weights::ExternalCallError;
 
 /// What an engine says of itself.
 #[derive(Debug, Clone, PartialEq)]
@@ -36,20 +36,24 @@
 /// The engine on the own host, with its staging area.
 pub trait EnginePort: Clone + 'static {
     /// Reads its state.
-    fn report(&mut self) -> impl Future<Output = Result<EngineReport, ReadFault>>;
+    fn report(&mut self) -> impl Future<Output = Result<EngineReport, ExternalCallError>>;
     /// Reads one staged piece; None when there is none.
     fn read_piece(
         &mut self,
         model: &str,
         index: u32,
-    ) -> impl Future<Output = Result<Option<Vec<u8>>, ReadFault>>;
+    ) -> impl Future<Output = Result<Option<Vec<u8>>, ExternalCallError>>;
     /// Stages one piece.
     fn write_piece(
         &mut self,
         model: &str,
         index: u32,
         bytes: &[u8],
-    ) -> impl Future<Output = Result<(), ReadFault>>;
+    ) -> impl Future<Output = Result<(), ExternalCallError>>;
     /// Orders the staged version to be loaded once what runs has ended.
-    fn load(&mut self, model: &str, version: u64) -> impl Future<Output = Result<(), ReadFault>>;
+    fn load(
+        &mut self,
+        model: &str,
+        version: u64,
+    ) -> impl Future<Output = Result<(), ExternalCallError>>;
 }
--- a/src/staging/transfer.rs
+++ b/src/staging/transfer.rs
@@ -17,9 +17,9 @@
 use crate::staging::StagingState;
 use crate::staging::entries_for;
 use crate::weights::ChunkBitmap;
+use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
-use crate::weights::ReadFault;
 use crate::weights::Source;
 
 /// Longest time between two looks at the plan.
@@ -270,11 +270,17 @@
     }
 
     /// Reads one piece from another host, or from the origin.
-    async fn read(&self, index: u32, address: Option<SocketAddr>) -> Result<Vec<u8>, ReadFault> {
+    async fn read(
+        &self,
+        index: u32,
+        address: Option<SocketAddr>,
+    ) -> Result<Vec<u8>, ExternalCallError> {
         let Some(address) = address else {
             let origin = self.state.borrow().origin().map(|origin| origin.address);
             let Some(origin) = origin else {
-                return Err(ReadFault::Unreachable("no origin is configured".to_owned()));
+                return Err(ExternalCallError::Unreachable(
+                    "no origin is configured".to_owned(),
+                ));
             };
             let read = self.origin.piece(origin, self.model, self.version, index);
             return read.await;
@@ -283,8 +289,8 @@
         let mut client = Client::new(address, Duration::ZERO);
         match client.ask(&Ask::get(&target, PIECE_TIMEOUT)).await {
             Ok(reply) if reply.status == 200 => Ok(reply.body),
-            Ok(reply) => Err(ReadFault::Refused(reply.status)),
-            Err(error) => Err(ReadFault::Unreachable(error.to_string())),
+            Ok(reply) => Err(ExternalCallError::Refused(reply.status)),
+            Err(error) => Err(ExternalCallError::Unreachable(error.to_string())),
         }
     }
 
@@ -293,7 +299,7 @@
         &self,
         manifest: &PieceManifest,
         read: Read,
-        result: Result<Vec<u8>, ReadFault>,
+        result: Result<Vec<u8>, ExternalCallError>,
         engine: &mut E,
     ) -> bool {
         let bytes = match result {
--- a/src/weights/pieces.rs
+++ b/src/weights/piece_origin.rs
@@ -9,26 +9,26 @@
 
 /// Why a call to an engine, an origin or another process failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ReadFault {
+pub enum ExternalCallError {
     /// No answer, or none that can be read.
     Unreachable(String),
     /// It refused with that status.
     Refused(u16),
     /// The bytes are not those of the piece.
-    Spoilt,
+    Corrupt,
 }
 
-impl fmt::Display for ReadFault {
+impl fmt::Display for ExternalCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(why) => write!(f, "no answer: {why}"),
             Self::Refused(status) => write!(f, "refused with status {status}"),
-            Self::Spoilt => f.write_str("the bytes do not match their digest"),
+            Self::Corrupt => f.write_str("the bytes do not match their digest"),
         }
     }
 }
 
-impl std::error::Error for ReadFault {}
+impl std::error::Error for ExternalCallError {}
 
 /// Digests of the pieces of one version of weights.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
         origin: SocketAddr,
         model: &str,
         version: u64,
-    ) -> impl Future<Output = Result<PieceManifest, ReadFault>>;
+    ) -> impl Future<Output = Result<PieceManifest, ExternalCallError>>;
     /// Reads one piece.
     fn piece(
         &self,
@@ -69,27 +69,27 @@
         model: &str,
         version: u64,
         index: u32,
-    ) -> impl Future<Output = Result<Vec<u8>, ReadFault>>;
+    ) -> impl Future<Output = Result<Vec<u8>, ExternalCallError>>;
 }
 
 /// Reads of a manifest until two must have agreed.
-const MANIFEST_READS: u32 = 4;
+const MAX_MANIFEST_READS: u32 = 4;
 
 /// Reads a manifest until two answers agree: what an origin sends may be spoilt
 /// on the way, and nothing else shows a wrong digest.
-pub async fn agreed_manifest(
+pub async fn fetch_confirmed_manifest(
     port: &impl OriginPort,
     origin: SocketAddr,
     model: &str,
     version: u64,
-) -> Result<PieceManifest, ReadFault> {
+) -> Result<PieceManifest, ExternalCallError> {
     let mut last: Option<PieceManifest> = None;
-    for _ in 0..MANIFEST_READS {
+    for _ in 0..MAX_MANIFEST_READS {
         let manifest = port.manifest(origin, model, version).await?;
         if last.as_ref() == Some(&manifest) {
             return Ok(manifest);
         }
         last = Some(manifest);
     }
-    Err(ReadFault::Spoilt)
+    Err(ExternalCallError::Corrupt)
 }
