--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -30,7 +30,7 @@
 use crate::weights::SwarmHost;
 use crate::weights::SwarmSettings;
 use crate::weights::WeightsHeld;
-use crate::weights::placement;
+use crate::weights::replica_hosts;
 
 /// How often the document is compared with what is here.
 const ROUND: Duration = Duration::from_millis(250);
@@ -137,7 +137,7 @@
             // An adapter is placed as its base, so that they meet.
             let placed_as = model.base.clone().unwrap_or_else(|| model.name.clone());
             let names = members.iter().map(|member| member.host.name.as_str());
-            let chosen = placement(&placed_as, model.replicas, names);
+            let chosen = replica_hosts(&placed_as, model.replicas, names);
             let Some(rank) = chosen.iter().position(|name| *name == node.name()) else {
                 continue;
             };
--- a/src/endpoint/weights_turns.rs
+++ b/src/endpoint/weights_turns.rs
@@ -3,13 +3,13 @@
 use crate::endpoint::weights_keeper::Want;
 use crate::endpoint::weights_tracked::TrackedVersion;
 use crate::links::LinkError;
-use crate::weights::Ahead;
 use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
 use crate::weights::PeerRequest;
 use crate::weights::PeerStatus;
-use crate::weights::may_change;
-use crate::weights::placement;
+use crate::weights::PredecessorState;
+use crate::weights::may_switch_version;
+use crate::weights::replica_hosts;
 
 /// Time between the last report of an old version and the order to drop it.
 const UNLOAD_GRACE_MS: u64 = 5000;
@@ -29,21 +29,21 @@
     /// Whether the hosts ahead in the order of the rollout have changed.
     pub(super) async fn is_turn(&self, want: &Want) -> bool {
         let step = want.model.step_replicas.max(1) as usize;
-        let mut answers = vec![Ahead::Skipped; want.rank];
+        let mut answers = vec![PredecessorState::Skipped; want.rank];
         let mut at = want.rank;
         while let Some(before) = at.checked_sub(step) {
             answers[before] = self
                 .ask_ahead(&want.members[before], want.model.manifest)
                 .await;
-            if answers[before] != Ahead::Skipped {
+            if answers[before] != PredecessorState::Skipped {
                 break;
             }
             at = before;
         }
-        may_change(want.rank, want.model.step_replicas, |rank| answers[rank])
+        may_switch_version(want.rank, want.model.step_replicas, |rank| answers[rank])
     }
 
-    async fn ask_ahead(&self, member: &SwarmMember, manifest: Digest) -> Ahead {
+    async fn ask_ahead(&self, member: &SwarmMember, manifest: Digest) -> PredecessorState {
         let url = format!("http://{}/x/weights/{manifest}/have", member.address);
         let question = PeerRequest {
             host: self.state.weights.host.clone(),
@@ -59,9 +59,9 @@
             .ask::<PeerStatus>(&url, &question, AHEAD_WAIT_MS)
             .await;
         match answer {
-            Ok(note) if note.serving => Ahead::Serving,
-            Ok(_) | Err(LinkError::Status { status: 404, .. }) => Ahead::Pending,
-            Err(_) => Ahead::Skipped,
+            Ok(note) if note.serving => PredecessorState::Serving,
+            Ok(_) | Err(LinkError::Status { status: 404, .. }) => PredecessorState::Pending,
+            Err(_) => PredecessorState::Skipped,
         }
     }
 
@@ -106,10 +106,10 @@
         let members = self.members();
         let placed_as = model.base.as_ref().unwrap_or(&model.name);
         let names = members.iter().map(|member| member.host.name.as_str());
-        for name in placement(placed_as, model.replicas, names) {
+        for name in replica_hosts(placed_as, model.replicas, names) {
             let member = members.iter().find(|member| member.host.name == name);
             let Some(member) = member else { continue };
-            if self.ask_ahead(member, model.manifest).await != Ahead::Serving {
+            if self.ask_ahead(member, model.manifest).await != PredecessorState::Serving {
                 return false;
             }
         }
--- a/src/weights/placement.rs
+++ b/src/weights/placement.rs
@@ -5,7 +5,7 @@
 ///
 /// Rendezvous hashing by name: a host that comes or goes moves only its own
 /// replicas, and every process that knows the same hosts finds the same ones.
-pub fn placement<'a>(
+pub fn replica_hosts<'a>(
     model: &str,
     replicas: u32,
     hosts: impl Iterator<Item = &'a str>,
@@ -21,7 +21,7 @@
 
 /// What a host ahead in the order of a rollout told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ahead {
+pub enum PredecessorState {
     /// It serves the new version.
     Serving,
     /// It has not come so far.
@@ -34,14 +34,18 @@
 ///
 /// A host follows the one `step_replicas` ahead of it, so each of
 /// `step_replicas` chains changes one host at a time.
-pub fn may_change(rank: usize, step_replicas: u32, ahead: impl Fn(usize) -> Ahead) -> bool {
+pub fn may_switch_version(
+    rank: usize,
+    step_replicas: u32,
+    ahead: impl Fn(usize) -> PredecessorState,
+) -> bool {
     let step = step_replicas.max(1) as usize;
     let mut at = rank;
     while let Some(before) = at.checked_sub(step) {
         match ahead(before) {
-            Ahead::Serving => return true,
-            Ahead::Pending => return false,
-            Ahead::Skipped => at = before,
+            PredecessorState::Serving => return true,
+            PredecessorState::Pending => return false,
+            PredecessorState::Skipped => at = before,
         }
     }
     true
