--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -8,7 +8,7 @@
 use crate::endpoint::EndpointState;
 use crate::endpoint::weights_tracked::TrackedVersion;
 use crate::weights::Digest;
-use crate::weights::WeightsHeld;
+use crate::weights::HoldReason;
 
 /// What became of an order to load.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// The engine gave no answer, and its state doesn't show the version.
     Unknown,
     /// The engine refused.
-    Refused(WeightsHeld),
+    Refused(HoldReason),
 }
 
 /// Gives orders to this host's engine; nobody else does.
@@ -106,10 +106,10 @@
     Some(found.whole)
 }
 
-fn held_by(fault: EngineFault, tracked: &TrackedVersion) -> WeightsHeld {
+fn held_by(fault: EngineFault, tracked: &TrackedVersion) -> HoldReason {
     match (fault, tracked.base) {
-        (EngineFault::BaseNotLoaded, Some(base)) => WeightsHeld::BaseNotLoaded { base },
-        _ => WeightsHeld::EngineRefused {
+        (EngineFault::BaseNotLoaded, Some(base)) => HoldReason::BaseNotLoaded { base },
+        _ => HoldReason::EngineRefused {
             reason: fault.name().to_owned(),
         },
     }
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -25,11 +25,11 @@
 use crate::observe::Event;
 use crate::observe::emit;
 use crate::weights::Digest;
+use crate::weights::HoldReason;
 use crate::weights::Manifest;
 use crate::weights::PlanSettings;
 use crate::weights::SwarmHost;
 use crate::weights::SwarmSettings;
-use crate::weights::WeightsHeld;
 use crate::weights::replica_hosts;
 
 /// How often the document is compared with what is here.
@@ -239,7 +239,7 @@
         match manifest {
             Ok(manifest) => self.start_transfer(at, manifest, want),
             Err(OriginError::Missing) => {
-                tracked.failed(Some(WeightsHeld::ManifestMissing), 0, now_ms)
+                tracked.failed(Some(HoldReason::ManifestMissing), 0, now_ms)
             }
             Err(OriginError::Limited { retry_after_ms }) => {
                 tracked.failed(None, retry_after_ms, now_ms)
@@ -318,7 +318,7 @@
                 .any(|other| other.digest() == base && other.serves())
         {
             let now_ms = self.state.node.now_ms();
-            self.tracked[at].failed(Some(WeightsHeld::BaseNotLoaded { base }), 0, now_ms);
+            self.tracked[at].failed(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
             return;
         }
         if self.serves_old(want) && !self.is_turn(want).await {
@@ -366,7 +366,7 @@
             .version
             .manifest()
             .map_or(whole, |manifest| manifest.whole);
-        let held = WeightsHeld::EngineMismatch {
+        let held = HoldReason::EngineMismatch {
             expected,
             found: whole,
         };
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -10,7 +10,7 @@
 use crate::hosts::Progress;
 use crate::hosts::Served;
 use crate::weights::Digest;
-use crate::weights::WeightsHeld;
+use crate::weights::HoldReason;
 
 /// First pause after a failure; doubles with each further one.
 const FIRST_PAUSE_MS: u64 = 250;
@@ -30,7 +30,7 @@
     /// Manifest of the base; adapters only, once known.
     pub(super) base: Option<Digest>,
     /// Why it waits, though not for good.
-    pub(super) waiting: Option<WeightsHeld>,
+    pub(super) waiting: Option<HoldReason>,
     /// When it left the report; its engine drops it some time later.
     pub(super) retired_ms: Option<u64>,
     failures: u32,
@@ -66,7 +66,7 @@
     }
 
     /// Notes a failure: the next try waits, and at least `wait_ms`.
-    pub(super) fn failed(&mut self, cause: Option<WeightsHeld>, wait_ms: u64, now_ms: u64) {
+    pub(super) fn failed(&mut self, cause: Option<HoldReason>, wait_ms: u64, now_ms: u64) {
         self.failures += 1;
         let own_ms = FIRST_PAUSE_MS << (self.failures - 1).min(8);
         self.retry_ms = now_ms + own_ms.min(MAX_PAUSE_MS).max(wait_ms);
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -11,6 +11,7 @@
 use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
 use crate::weights::Fetching;
+use crate::weights::HoldReason;
 use crate::weights::Inserted;
 use crate::weights::LoadCheck;
 use crate::weights::Loaded;
@@ -23,7 +24,6 @@
 use crate::weights::Serving;
 use crate::weights::Verification;
 use crate::weights::Verified;
-use crate::weights::WeightsHeld;
 
 /// Questions kept until the transfer reads them.
 const MAX_QUESTIONS: usize = 64;
@@ -40,7 +40,7 @@
     Resident {
         whole: Digest,
     },
-    Held(WeightsHeld),
+    Held(HoldReason),
 }
 
 /// Name of a [`Stage`], for reports.
@@ -104,7 +104,7 @@
     }
 
     /// Why the version can't proceed, if so.
-    pub fn held(&self) -> Option<WeightsHeld> {
+    pub fn held(&self) -> Option<HoldReason> {
         match &*self.stage() {
             Stage::Held(held) => Some(held.clone()),
             _ => None,
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -4,10 +4,10 @@
 
 use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
+use crate::weights::HoldReason;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
 use crate::weights::Reservation;
-use crate::weights::WeightsHeld;
 
 /// Why a chunk was not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,12 +56,12 @@
     ///
     /// # Errors
     ///
-    /// Returns [`WeightsHeld::OverBudget`] when the version doesn't fit.
-    pub fn new(manifest: Arc<Manifest>, budget: &Arc<MemoryBudget>) -> Result<Self, WeightsHeld> {
+    /// Returns [`HoldReason::OverBudget`] when the version doesn't fit.
+    pub fn new(manifest: Arc<Manifest>, budget: &Arc<MemoryBudget>) -> Result<Self, HoldReason> {
         let size_bytes = manifest.size_bytes;
         let reservation = budget
             .reserve(size_bytes)
-            .ok_or_else(|| WeightsHeld::OverBudget {
+            .ok_or_else(|| HoldReason::OverBudget {
                 size_bytes,
                 used_bytes: budget.used_bytes(),
                 limit_bytes: budget.limit_bytes(),
--- a/src/weights/errors.rs
+++ b/src/weights/hold_reason.rs
@@ -5,7 +5,7 @@
 
 /// Why a version can't proceed on a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum WeightsHeld {
+pub enum HoldReason {
     /// The version doesn't fit into the memory set aside for weights.
     OverBudget {
         /// Size of the version.
@@ -22,14 +22,14 @@
     /// The base model of an adapter is not loaded.
     BaseNotLoaded { base: Digest },
     /// The chunks are correct, but the whole is not what the manifest names.
-    WrongWhole { expected: Digest, found: Digest },
+    ContentMismatch { expected: Digest, found: Digest },
     /// The engine reports other bytes than it was given.
     EngineMismatch { expected: Digest, found: Digest },
     /// The engine doesn't take the order.
     EngineRefused { reason: String },
 }
 
-impl WeightsHeld {
+impl HoldReason {
     /// Label in counters and reports.
     pub fn label(&self) -> &'static str {
         match self {
@@ -37,14 +37,14 @@
             Self::Manifest(_) => "manifest_invalid",
             Self::ManifestMissing => "manifest_missing",
             Self::BaseNotLoaded { .. } => "base_not_loaded",
-            Self::WrongWhole { .. } => "wrong_whole",
+            Self::ContentMismatch { .. } => "wrong_whole",
             Self::EngineMismatch { .. } => "engine_mismatch",
             Self::EngineRefused { .. } => "engine_refused",
         }
     }
 }
 
-impl fmt::Display for WeightsHeld {
+impl fmt::Display for HoldReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::OverBudget {
@@ -58,7 +58,7 @@
             Self::Manifest(error) => error.fmt(f),
             Self::ManifestMissing => f.write_str("the origin has no such manifest"),
             Self::BaseNotLoaded { base } => write!(f, "base {} is not loaded", base.short()),
-            Self::WrongWhole { expected, found } => {
+            Self::ContentMismatch { expected, found } => {
                 write!(f, "all chunks together have digest {found}, not {expected}")
             }
             Self::EngineMismatch { expected, found } => {
@@ -69,9 +69,9 @@
     }
 }
 
-impl std::error::Error for WeightsHeld {}
+impl std::error::Error for HoldReason {}
 
-impl From<ManifestError> for WeightsHeld {
+impl From<ManifestError> for HoldReason {
     fn from(error: ManifestError) -> Self {
         Self::Manifest(error)
     }
--- a/src/weights/replica.rs
+++ b/src/weights/replica.rs
@@ -5,10 +5,10 @@
 use crate::weights::ChunkBitmap;
 use crate::weights::ChunkStore;
 use crate::weights::Digest;
+use crate::weights::HoldReason;
 use crate::weights::Inserted;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
-use crate::weights::WeightsHeld;
 
 /// The version is wanted; nothing is known but its manifest's digest.
 #[derive(Debug)]
@@ -63,12 +63,12 @@
     ///
     /// # Errors
     ///
-    /// Returns [`WeightsHeld`] when the manifest is wrong or doesn't fit.
+    /// Returns [`HoldReason`] when the manifest is wrong or doesn't fit.
     pub fn fetch(
         &self,
         manifest: Arc<Manifest>,
         budget: &Arc<MemoryBudget>,
-    ) -> Result<Replica<Fetching>, WeightsHeld> {
+    ) -> Result<Replica<Fetching>, HoldReason> {
         manifest.validate_as(self.state.digest)?;
         let store = ChunkStore::new(manifest, budget)?;
         Ok(Replica {
@@ -89,7 +89,7 @@
         match self.state.store.whole_digest() {
             None => Verification::Incomplete(self),
             Some(found) if found != expected => {
-                Verification::Held(WeightsHeld::WrongWhole { expected, found })
+                Verification::Held(HoldReason::ContentMismatch { expected, found })
             }
             Some(_) => Verification::Verified(Replica {
                 state: Verified {
@@ -108,7 +108,7 @@
     /// Everything matches.
     Verified(Replica<Verified>),
     /// The manifest contradicts itself; the chunks are given up.
-    Held(WeightsHeld),
+    Held(HoldReason),
 }
 
 impl Replica<Verified> {
@@ -121,7 +121,7 @@
     pub fn loaded(self, found: Digest) -> LoadCheck {
         let expected = self.state.store.manifest().whole;
         if found != expected {
-            return LoadCheck::Held(self, WeightsHeld::EngineMismatch { expected, found });
+            return LoadCheck::Held(self, HoldReason::EngineMismatch { expected, found });
         }
         LoadCheck::Loaded(Replica {
             state: Loaded {
@@ -137,7 +137,7 @@
     /// The engine holds the version.
     Loaded(Replica<Loaded>),
     /// The engine holds something else.
-    Held(Replica<Verified>, WeightsHeld),
+    Held(Replica<Verified>, HoldReason),
 }
 
 impl Replica<Loaded> {
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -5,12 +5,12 @@
 use bergamotfork::weights::ChunkBitmap;
 use bergamotfork::weights::ChunkStore;
 use bergamotfork::weights::Digest;
+use bergamotfork::weights::HoldReason;
 use bergamotfork::weights::Inserted;
 use bergamotfork::weights::Manifest;
 use bergamotfork::weights::ManifestError;
 use bergamotfork::weights::MemoryBudget;
 use bergamotfork::weights::RejectReason;
-use bergamotfork::weights::WeightsHeld;
 
 #[test]
 fn manifest_digest_depends_on_every_field() {
@@ -135,7 +135,7 @@
     let held = ChunkStore::new(manifest.clone(), &budget).expect_err("the second does not fit");
     assert_eq!(
         held,
-        WeightsHeld::OverBudget {
+        HoldReason::OverBudget {
             size_bytes: 1000,
             used_bytes: 1000,
             limit_bytes: 1500
--- a/tests/weights/life.rs
+++ b/tests/weights/life.rs
@@ -3,13 +3,13 @@
 use crate::world::sample_manifest;
 use bergamotfork::weights::Digest;
 use bergamotfork::weights::Fetching;
+use bergamotfork::weights::HoldReason;
 use bergamotfork::weights::Inserted;
 use bergamotfork::weights::LoadCheck;
 use bergamotfork::weights::ManifestError;
 use bergamotfork::weights::MemoryBudget;
 use bergamotfork::weights::Replica;
 use bergamotfork::weights::Verification;
-use bergamotfork::weights::WeightsHeld;
 
 fn fetched(except: Option<u32>) -> (Replica<Fetching>, Vec<u8>) {
     let (manifest, bytes) = sample_manifest(1000, 100);
@@ -62,7 +62,7 @@
     }
     assert!(matches!(
         replica.verify(),
-        Verification::Held(WeightsHeld::WrongWhole { .. })
+        Verification::Held(HoldReason::ContentMismatch { .. })
     ));
 }
 
@@ -74,7 +74,7 @@
     };
     assert!(matches!(
         verified.loaded(Digest::of(b"partial")),
-        LoadCheck::Held(_, WeightsHeld::EngineMismatch { .. })
+        LoadCheck::Held(_, HoldReason::EngineMismatch { .. })
     ));
 }
 
@@ -85,6 +85,6 @@
     let held = announced.fetch(manifest, &MemoryBudget::new(1000));
     assert!(matches!(
         held,
-        Err(WeightsHeld::Manifest(ManifestError::WrongDigest { .. }))
+        Err(HoldReason::Manifest(ManifestError::WrongDigest { .. }))
     ));
 }
--- a/tests/weights_transfer/faults.rs
+++ b/tests/weights_transfer/faults.rs
@@ -15,7 +15,7 @@
 use crate::fleet::world;
 use bergamotfork::endpoint::SetMembers;
 use bergamotfork::endpoint::StopTransfer;
-use bergamotfork::weights::WeightsHeld;
+use bergamotfork::weights::HoldReason;
 
 #[actix_rt::test]
 async fn transfer_without_faults_reads_one_copy() {
@@ -119,7 +119,7 @@
     );
     assert_eq!(
         host.version(&world.manifest).held(),
-        Some(WeightsHeld::OverBudget {
+        Some(HoldReason::OverBudget {
             size_bytes: SIZE_BYTES,
             used_bytes: 0,
             limit_bytes: SIZE_BYTES - 1,
