--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -25,17 +25,17 @@
 use crate::observe::Event;
 use crate::observe::Tally;
 use crate::observe::emit;
+use crate::weights::ChunkFetch;
 use crate::weights::ChunkFrame;
-use crate::weights::Fetch;
-use crate::weights::Inserted;
+use crate::weights::ChunkSource;
+use crate::weights::InsertOutcome;
 use crate::weights::Manifest;
 use crate::weights::PeerFailure;
 use crate::weights::PeerKey;
+use crate::weights::PeerProbe;
 use crate::weights::PeerRequest;
 use crate::weights::PeerStatus;
-use crate::weights::Probe;
 use crate::weights::ReadOutcome;
-use crate::weights::Source;
 use crate::weights::Swarm;
 use crate::weights::SwarmHost;
 use crate::weights::SwarmSettings;
@@ -169,11 +169,11 @@
         }
     }
 
-    fn start_fetch(&mut self, fetch: Fetch, ctx: &mut Context<Self>) {
+    fn start_fetch(&mut self, fetch: ChunkFetch, ctx: &mut Context<Self>) {
         let digest = self.version.digest();
         let share = Arc::clone(&self.share);
         match fetch.source {
-            Source::Origin => {
+            ChunkSource::Origin => {
                 let origin = self.options.origin.clone();
                 let wait_ms = self.options.origin_wait_ms;
                 let reading = async move {
@@ -189,7 +189,7 @@
                         .map(move |result, act, ctx| act.finish(fetch, result, ctx)),
                 );
             }
-            Source::Peer(peer) => {
+            ChunkSource::Peer(peer) => {
                 let Some(address) = self.address(peer) else {
                     let now_ms = self.now_ms();
                     self.swarm
@@ -218,7 +218,7 @@
         }
     }
 
-    fn start_probe(&mut self, probe: Probe, ctx: &mut Context<Self>) {
+    fn start_probe(&mut self, probe: PeerProbe, ctx: &mut Context<Self>) {
         let Some(address) = self.address(probe.peer) else {
             let now_ms = self.now_ms();
             self.swarm
@@ -249,7 +249,7 @@
         }));
     }
 
-    fn finish(&mut self, fetch: Fetch, result: ReadResult, ctx: &mut Context<Self>) {
+    fn finish(&mut self, fetch: ChunkFetch, result: ReadResult, ctx: &mut Context<Self>) {
         let now_ms = self.now_ms();
         match (result, fetch.source) {
             (ReadResult::Origin(Ok(bytes)), _) => self.take_chunk(fetch, bytes, "origin"),
@@ -261,7 +261,7 @@
                 self.share.metrics.retried(error.label());
                 self.swarm.origin_failed(fetch, retry_after_ms, now_ms);
             }
-            (ReadResult::Peer(Ok(frame)), Source::Peer(peer)) => {
+            (ReadResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
                 self.swarm.heard(peer, &frame.note.have, frame.note.queue);
                 match frame.outcome {
                     ReadOutcome::Sent => self.take_chunk(fetch, frame.chunk, "peer"),
@@ -276,25 +276,25 @@
                 self.share.metrics.retried("peer_unavailable");
                 self.swarm.peer_failed(fetch, failure(&error), now_ms);
             }
-            (ReadResult::Peer(Ok(_)), Source::Origin) => {}
+            (ReadResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
         self.drive(ctx);
     }
 
-    fn defer(&mut self, fetch: Fetch, reason: &'static str) {
+    fn defer(&mut self, fetch: ChunkFetch, reason: &'static str) {
         self.share.metrics.retried(reason);
         let now_ms = self.now_ms();
         self.swarm.deferred(fetch, now_ms);
     }
 
-    fn take_chunk(&mut self, fetch: Fetch, bytes: Bytes, from: &'static str) {
+    fn take_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
         let now_ms = self.now_ms();
         self.share
             .metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
         match self.version.insert(fetch.chunk, bytes) {
-            Inserted::Stored | Inserted::Duplicate => self.swarm.stored(fetch, now_ms),
-            Inserted::Rejected(reason) => {
+            InsertOutcome::Stored | InsertOutcome::Duplicate => self.swarm.stored(fetch, now_ms),
+            InsertOutcome::Rejected(reason) => {
                 self.share
                     .metrics
                     .add(Tally::ChunksRejected, 1, "reason", reason.label());
@@ -307,8 +307,8 @@
                     ],
                 );
                 match fetch.source {
-                    Source::Origin => self.swarm.origin_failed(fetch, None, now_ms),
-                    Source::Peer(_) => {
+                    ChunkSource::Origin => self.swarm.origin_failed(fetch, None, now_ms),
+                    ChunkSource::Peer(_) => {
                         self.swarm
                             .peer_failed(fetch, PeerFailure::WrongChunk, now_ms)
                     }
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -12,7 +12,7 @@
 use crate::weights::Digest;
 use crate::weights::Fetching;
 use crate::weights::HoldReason;
-use crate::weights::Inserted;
+use crate::weights::InsertOutcome;
 use crate::weights::LoadCheck;
 use crate::weights::Loaded;
 use crate::weights::Manifest;
@@ -198,12 +198,12 @@
     }
 
     /// Stores a chunk if it is correct.
-    pub(super) fn insert(&self, index: u32, bytes: Bytes) -> Inserted {
+    pub(super) fn insert(&self, index: u32, bytes: Bytes) -> InsertOutcome {
         let inserted = match &mut *self.stage() {
             Stage::Fetching(replica) => replica.insert(index, bytes),
-            _ => Inserted::Rejected(RejectReason::UnknownIndex),
+            _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
-        if inserted == Inserted::Stored {
+        if inserted == InsertOutcome::Stored {
             self.signal.raise();
         }
         inserted
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_reads.rs
@@ -5,16 +5,16 @@
 use crate::staging::transfer::Read;
 use crate::staging::transfer::Transfer;
 use crate::weights::ChunkBitmap;
+use crate::weights::ChunkFetch;
 use crate::weights::ChunkRanking;
+use crate::weights::ChunkSource;
 use crate::weights::Digest;
-use crate::weights::Fetch;
 use crate::weights::OriginPort;
 use crate::weights::PeerKey;
 use crate::weights::PeerState;
 use crate::weights::PieceManifest;
 use crate::weights::PlanInput;
 use crate::weights::PlanSettings;
-use crate::weights::Source;
 use crate::weights::SwarmHost;
 use crate::weights::next_fetches;
 
@@ -110,7 +110,7 @@
                 Place::Entry(_) => {
                     held.insert(read.chunk);
                 }
-                Place::Swarm(source) => planned.push(Fetch {
+                Place::Swarm(source) => planned.push(ChunkFetch {
                     chunk: read.chunk,
                     source,
                 }),
@@ -118,7 +118,7 @@
         }
         let state = self.state.borrow();
         let now_ms = state.now_ms();
-        let blocked_until = |source: Source| {
+        let blocked_until = |source: ChunkSource| {
             let mine = blocked
                 .iter()
                 .filter(|block| block.0 == Place::Swarm(source));
@@ -143,7 +143,7 @@
                         .filter(|note| note.have.len() == have.len())
                         .map_or_else(|| ChunkBitmap::empty(have.len()), |note| note.have.clone()),
                     queue: 0,
-                    blocked_until_ms: blocked_until(Source::Peer(key)),
+                    blocked_until_ms: blocked_until(ChunkSource::Peer(key)),
                     lost: is_lost && key != swarm.me,
                 }
             })
@@ -158,7 +158,7 @@
             neighbours: &neighbours,
             // While entries live, they alone read the origin.
             origin_blocked_until_ms: if state.near_entries().is_empty() {
-                blocked_until(Source::Origin)
+                blocked_until(ChunkSource::Origin)
             } else {
                 u64::MAX
             },
--- a/src/staging/transfer.rs
+++ b/src/staging/transfer.rs
@@ -17,10 +17,10 @@
 use crate::staging::StagingState;
 use crate::staging::entries_for;
 use crate::weights::ChunkBitmap;
+use crate::weights::ChunkSource;
 use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
-use crate::weights::Source;
 
 /// Longest time between two looks at the plan.
 const PLAN_INTERVAL: Duration = Duration::from_millis(60);
@@ -48,7 +48,7 @@
     /// From an entry that it passes through.
     Entry(SocketAddr),
     /// From another host or the origin.
-    Swarm(Source),
+    Swarm(ChunkSource),
 }
 
 impl Place {
@@ -210,8 +210,8 @@
                 in_flight.push(read);
                 let address = match read.place {
                     Place::Entry(address) => Some(address),
-                    Place::Swarm(Source::Origin) => None,
-                    Place::Swarm(Source::Peer(key)) => Some(swarm.addresses[key.0 as usize]),
+                    Place::Swarm(ChunkSource::Origin) => None,
+                    Place::Swarm(ChunkSource::Peer(key)) => Some(swarm.addresses[key.0 as usize]),
                 };
                 reads.push(async move { (read, now_ms, self.read(read.chunk, address).await) });
             }
@@ -311,8 +311,8 @@
         };
         let from = match read.place {
             Place::Entry(_) => "entry",
-            Place::Swarm(Source::Origin) => "origin",
-            Place::Swarm(Source::Peer(_)) => "host",
+            Place::Swarm(ChunkSource::Origin) => "origin",
+            Place::Swarm(ChunkSource::Peer(_)) => "host",
         };
         self.metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -33,7 +33,7 @@
 
 /// What became of a chunk given to a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Inserted {
+pub enum InsertOutcome {
     /// It is new and correct.
     Stored,
     /// It was there already.
@@ -76,22 +76,22 @@
     }
 
     /// Stores `bytes` as chunk `index` if length and digest match.
-    pub fn insert(&mut self, index: u32, bytes: Bytes) -> Inserted {
+    pub fn insert(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
         let Some(len) = self.manifest.chunk_len(index) else {
-            return Inserted::Rejected(RejectReason::UnknownIndex);
+            return InsertOutcome::Rejected(RejectReason::UnknownIndex);
         };
         if self.have.contains(index) {
-            return Inserted::Duplicate;
+            return InsertOutcome::Duplicate;
         }
         if bytes.len() != len as usize {
-            return Inserted::Rejected(RejectReason::WrongLength);
+            return InsertOutcome::Rejected(RejectReason::WrongLength);
         }
         if Digest::of(&bytes) != self.manifest.chunks[index as usize] {
-            return Inserted::Rejected(RejectReason::WrongDigest);
+            return InsertOutcome::Rejected(RejectReason::WrongDigest);
         }
         self.slots[index as usize] = Some(bytes);
         self.have.insert(index);
-        Inserted::Stored
+        InsertOutcome::Stored
     }
 
     /// Chunk `index`, if held.
--- a/src/weights/plan.rs
+++ b/src/weights/plan.rs
@@ -5,7 +5,7 @@
 
 /// Where a chunk is read from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Source {
+pub enum ChunkSource {
     /// The origin of weights.
     Origin,
     /// Another host.
@@ -14,11 +14,11 @@
 
 /// One read of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Fetch {
+pub struct ChunkFetch {
     /// Index of the chunk.
     pub chunk: u32,
     /// Where to read it.
-    pub source: Source,
+    pub source: ChunkSource,
 }
 
 /// What is known of another host that wants the version.
@@ -74,7 +74,7 @@
     /// Chunks held here.
     pub have: &'a ChunkBitmap,
     /// Reads in progress.
-    pub in_flight: &'a [Fetch],
+    pub in_flight: &'a [ChunkFetch],
     /// What is known of others, sorted by key.
     pub neighbours: &'a [PeerState],
     /// No read is sent to the origin until then.
@@ -91,7 +91,7 @@
 /// or another region. Then chunks that neighbours of the region hold, rarest
 /// first, each from its least loaded holder. A chunk already in flight is not
 /// read twice.
-pub fn next_fetches(input: &PlanInput<'_>) -> Vec<Fetch> {
+pub fn next_fetches(input: &PlanInput<'_>) -> Vec<ChunkFetch> {
     let mut draft = Draft::new(input);
     draft.add_duties();
     draft.add_swarm_reads();
@@ -112,7 +112,7 @@
     duties: usize,
     swarm_reads: usize,
     per_peer: Vec<(PeerKey, usize)>,
-    fetches: Vec<Fetch>,
+    fetches: Vec<ChunkFetch>,
 }
 
 impl<'a> Draft<'a> {
@@ -132,9 +132,9 @@
         draft
     }
 
-    fn count(&mut self, fetch: &Fetch) {
+    fn count(&mut self, fetch: &ChunkFetch) {
         self.busy.insert(fetch.chunk);
-        if let Source::Peer(peer) = fetch.source {
+        if let ChunkSource::Peer(peer) = fetch.source {
             match self.per_peer.binary_search_by_key(&peer, |entry| entry.0) {
                 Ok(at) => self.per_peer[at].1 += 1,
                 Err(at) => self.per_peer.insert(at, (peer, 1)),
@@ -147,7 +147,7 @@
         self.duties += 1;
     }
 
-    fn push(&mut self, fetch: Fetch) {
+    fn push(&mut self, fetch: ChunkFetch) {
         self.count(&fetch);
         self.fetches.push(fetch);
     }
@@ -193,7 +193,7 @@
                 continue;
             }
             if let Some(source) = self.duty_source(chunk) {
-                self.push(Fetch { chunk, source });
+                self.push(ChunkFetch { chunk, source });
             }
         }
     }
@@ -222,12 +222,12 @@
     }
 
     /// Where a duty is read: the origin, or a holder in the feeding region.
-    fn duty_source(&self, chunk: u32) -> Option<Source> {
+    fn duty_source(&self, chunk: u32) -> Option<ChunkSource> {
         let Some(feeder) = self.input.homes.feeder(chunk, self.region) else {
             let open = self.input.origin_blocked_until_ms <= self.input.now_ms;
-            return open.then_some(Source::Origin);
+            return open.then_some(ChunkSource::Origin);
         };
-        self.best_holder(chunk, feeder).map(Source::Peer)
+        self.best_holder(chunk, feeder).map(ChunkSource::Peer)
     }
 
     fn add_swarm_reads(&mut self) {
@@ -244,9 +244,9 @@
                 return;
             }
             if let Some(peer) = self.best_holder(chunk, self.region) {
-                self.push(Fetch {
+                self.push(ChunkFetch {
                     chunk,
-                    source: Source::Peer(peer),
+                    source: ChunkSource::Peer(peer),
                 });
             }
         }
--- a/src/weights/replica.rs
+++ b/src/weights/replica.rs
@@ -6,7 +6,7 @@
 use crate::weights::ChunkStore;
 use crate::weights::Digest;
 use crate::weights::HoldReason;
-use crate::weights::Inserted;
+use crate::weights::InsertOutcome;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
 
@@ -79,7 +79,7 @@
 
 impl Replica<Fetching> {
     /// Stores one chunk if it is correct.
-    pub fn insert(&mut self, index: u32, bytes: Bytes) -> Inserted {
+    pub fn insert(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
         self.state.store.insert(index, bytes)
     }
 
--- a/src/weights/swarm.rs
+++ b/src/weights/swarm.rs
@@ -1,14 +1,14 @@
 use crate::weights::ChunkBitmap;
+use crate::weights::ChunkFetch;
 use crate::weights::ChunkRanking;
+use crate::weights::ChunkSource;
 use crate::weights::Digest;
-use crate::weights::Fetch;
 use crate::weights::PeerKey;
+use crate::weights::PeerProbe;
 use crate::weights::PeerState;
 use crate::weights::PeerStatus;
 use crate::weights::PlanInput;
 use crate::weights::PlanSettings;
-use crate::weights::Probe;
-use crate::weights::Source;
 use crate::weights::SwarmHost;
 use crate::weights::chunk_ranking::mix;
 use crate::weights::chunk_ranking::seed_of;
@@ -68,11 +68,11 @@
 
 /// What to do now.
 #[derive(Debug, Clone, Default)]
-pub struct Actions {
+pub struct SwarmActions {
     /// Reads to start.
-    pub fetches: Vec<Fetch>,
+    pub fetches: Vec<ChunkFetch>,
     /// Questions to send.
-    pub probes: Vec<Probe>,
+    pub probes: Vec<PeerProbe>,
 }
 
 /// What is known of a peer beside its chunks.
@@ -108,7 +108,7 @@
     pub(super) neighbours: Vec<PeerState>,
     pub(super) standings: Vec<Standing>,
     pub(super) picked: Vec<PeerKey>,
-    pub(super) in_flight: Vec<Fetch>,
+    pub(super) in_flight: Vec<ChunkFetch>,
     pub(super) origin_failures: u32,
     pub(super) origin_blocked_until_ms: u64,
     pub(super) progress_ms: u64,
@@ -205,12 +205,12 @@
     }
 
     /// Reads in progress.
-    pub fn in_flight(&self) -> &[Fetch] {
+    pub fn in_flight(&self) -> &[ChunkFetch] {
         &self.in_flight
     }
 
     /// What to do at `now_ms`; taken as started.
-    pub fn next(&mut self, now_ms: u64) -> Actions {
+    pub fn next(&mut self, now_ms: u64) -> SwarmActions {
         self.refresh(now_ms);
         self.seed = mix(self.seed);
         let fetches = next_fetches(&PlanInput {
@@ -227,7 +227,7 @@
         });
         self.in_flight.extend(&fetches);
         let probes = self.next_probes(now_ms);
-        Actions { fetches, probes }
+        SwarmActions { fetches, probes }
     }
 
     /// A peer told what it holds.
@@ -259,19 +259,19 @@
     }
 
     /// The chunk of `fetch` arrived and is correct.
-    pub fn stored(&mut self, fetch: Fetch, now_ms: u64) {
+    pub fn stored(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.finish(fetch);
         self.have.insert(fetch.chunk);
         self.progress_ms = now_ms;
-        if fetch.source == Source::Origin {
+        if fetch.source == ChunkSource::Origin {
             self.origin_failures = 0;
         }
     }
 
     /// The peer lacks a chunk it was known to hold: another process answers there.
-    pub fn replaced(&mut self, fetch: Fetch, note: &PeerStatus, now_ms: u64) {
+    pub fn replaced(&mut self, fetch: ChunkFetch, note: &PeerStatus, now_ms: u64) {
         self.deferred(fetch, now_ms);
-        if let Source::Peer(peer) = fetch.source
+        if let ChunkSource::Peer(peer) = fetch.source
             && note.have.len() == self.have.len()
         {
             self.neighbour_mut(peer).have = note.have.clone();
@@ -279,9 +279,9 @@
     }
 
     /// The peer had no room for the read.
-    pub fn deferred(&mut self, fetch: Fetch, now_ms: u64) {
+    pub fn deferred(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.finish(fetch);
-        if let Source::Peer(peer) = fetch.source {
+        if let ChunkSource::Peer(peer) = fetch.source {
             let same = self.homes.region_of(peer) == self.homes.region_of(self.me);
             let pause_ms = if same { BUSY_BLOCK_MS } else { CROSSING_GAP_MS };
             self.neighbour_mut(peer).blocked_until_ms = now_ms + pause_ms;
@@ -289,15 +289,15 @@
     }
 
     /// A read at a peer failed.
-    pub fn peer_failed(&mut self, fetch: Fetch, failure: PeerFailure, now_ms: u64) {
+    pub fn peer_failed(&mut self, fetch: ChunkFetch, failure: PeerFailure, now_ms: u64) {
         self.finish(fetch);
-        if let Source::Peer(peer) = fetch.source {
+        if let ChunkSource::Peer(peer) = fetch.source {
             self.penalise(peer, failure, now_ms);
         }
     }
 
     /// A read at the origin failed; it may have named a time to wait.
-    pub fn origin_failed(&mut self, fetch: Fetch, retry_after_ms: Option<u64>, now_ms: u64) {
+    pub fn origin_failed(&mut self, fetch: ChunkFetch, retry_after_ms: Option<u64>, now_ms: u64) {
         self.finish(fetch);
         self.origin_failures += 1;
         let own_ms = pause_ms(self.origin_failures);
@@ -307,7 +307,7 @@
         self.origin_blocked_until_ms = self.origin_blocked_until_ms.max(now_ms + pause_ms);
     }
 
-    fn finish(&mut self, fetch: Fetch) {
+    fn finish(&mut self, fetch: ChunkFetch) {
         self.in_flight.retain(|other| *other != fetch);
     }
 
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -1,5 +1,5 @@
+use crate::weights::ChunkSource;
 use crate::weights::PeerKey;
-use crate::weights::Source;
 use crate::weights::Swarm;
 use crate::weights::chunk_ranking::mix;
 use crate::weights::chunk_ranking::seed_of;
@@ -17,7 +17,7 @@
 
 /// A question to a peer for its chunks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Probe {
+pub struct PeerProbe {
     /// Whom to ask.
     pub peer: PeerKey,
     /// Chunks it is known to hold.
@@ -46,7 +46,7 @@
         self.picked.sort_unstable();
     }
 
-    pub(super) fn next_probes(&mut self, now_ms: u64) -> Vec<Probe> {
+    pub(super) fn next_probes(&mut self, now_ms: u64) -> Vec<PeerProbe> {
         if self.have.is_complete() {
             return Vec::new();
         }
@@ -71,8 +71,8 @@
     fn swarm_reads(&self) -> usize {
         let region = self.homes.region_of(self.me);
         let reads = self.in_flight.iter().filter(|fetch| match fetch.source {
-            Source::Origin => false,
-            Source::Peer(peer) => self.homes.region_of(peer) == region,
+            ChunkSource::Origin => false,
+            ChunkSource::Peer(peer) => self.homes.region_of(peer) == region,
         });
         reads.count()
     }
@@ -83,7 +83,7 @@
         gap_ms: u64,
         wait_ms: u64,
         now_ms: u64,
-        probes: &mut Vec<Probe>,
+        probes: &mut Vec<PeerProbe>,
     ) {
         let standing = &mut self.standings[peer.0 as usize];
         let recent = standing
@@ -96,7 +96,7 @@
         standing.probing = true;
         standing.probed_ms = Some(now_ms);
         let known = self.neighbour_mut(peer).have.count();
-        probes.push(Probe {
+        probes.push(PeerProbe {
             peer,
             known,
             wait_ms,
--- a/tests/spec_weights/world.rs
+++ b/tests/spec_weights/world.rs
@@ -5,7 +5,7 @@
 
 use bergamotfork::weights::Digest;
 use bergamotfork::weights::Fetching;
-use bergamotfork::weights::Inserted;
+use bergamotfork::weights::InsertOutcome;
 use bergamotfork::weights::LoadCheck;
 use bergamotfork::weights::Manifest;
 use bergamotfork::weights::MemoryBudget;
@@ -215,7 +215,7 @@
         let bytes = bytes_of(content, index).expect("a chunk that arrives has bytes");
         let kept = match self.lacks(Rule::CheckChunks) {
             true => self.chunks[version][index] == Content::Missing,
-            false => replica.insert(index as u32, bytes) == Inserted::Stored,
+            false => replica.insert(index as u32, bytes) == InsertOutcome::Stored,
         };
         if kept {
             world.chunks[version][index] = content;
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -6,7 +6,7 @@
 use bergamotfork::weights::ChunkStore;
 use bergamotfork::weights::Digest;
 use bergamotfork::weights::HoldReason;
-use bergamotfork::weights::Inserted;
+use bergamotfork::weights::InsertOutcome;
 use bergamotfork::weights::Manifest;
 use bergamotfork::weights::ManifestError;
 use bergamotfork::weights::MemoryBudget;
@@ -97,10 +97,10 @@
             }
             let known = store.have().contains(index);
             let expected = match (index, known, spoiled) {
-                (11, ..) => Inserted::Rejected(RejectReason::UnknownIndex),
-                (_, true, _) => Inserted::Duplicate,
-                (_, _, true) => Inserted::Rejected(RejectReason::WrongDigest),
-                _ => Inserted::Stored,
+                (11, ..) => InsertOutcome::Rejected(RejectReason::UnknownIndex),
+                (_, true, _) => InsertOutcome::Duplicate,
+                (_, _, true) => InsertOutcome::Rejected(RejectReason::WrongDigest),
+                _ => InsertOutcome::Stored,
             };
             assert_eq!(store.insert(index, Bytes::from(chunk)), expected);
         }
@@ -123,7 +123,7 @@
     let half = Bytes::copy_from_slice(&bytes[..50]);
     assert_eq!(
         store.insert(0, half),
-        Inserted::Rejected(RejectReason::WrongLength)
+        InsertOutcome::Rejected(RejectReason::WrongLength)
     );
 }
 
--- a/tests/weights/life.rs
+++ b/tests/weights/life.rs
@@ -4,7 +4,7 @@
 use bergamotfork::weights::Digest;
 use bergamotfork::weights::Fetching;
 use bergamotfork::weights::HoldReason;
-use bergamotfork::weights::Inserted;
+use bergamotfork::weights::InsertOutcome;
 use bergamotfork::weights::LoadCheck;
 use bergamotfork::weights::ManifestError;
 use bergamotfork::weights::MemoryBudget;
@@ -21,7 +21,7 @@
         if Some(index) != except {
             assert_eq!(
                 replica.insert(index, Bytes::copy_from_slice(chunk)),
-                Inserted::Stored
+                InsertOutcome::Stored
             );
         }
     }
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -5,13 +5,13 @@
 use crate::world::homes;
 use crate::world::hosts;
 use bergamotfork::weights::ChunkBitmap;
+use bergamotfork::weights::ChunkFetch;
 use bergamotfork::weights::ChunkRanking;
-use bergamotfork::weights::Fetch;
+use bergamotfork::weights::ChunkSource;
 use bergamotfork::weights::PeerKey;
 use bergamotfork::weights::PeerState;
 use bergamotfork::weights::PlanInput;
 use bergamotfork::weights::PlanSettings;
-use bergamotfork::weights::Source;
 use bergamotfork::weights::next_fetches;
 
 const CHUNKS: u32 = 24;
@@ -21,7 +21,7 @@
     homes: ChunkRanking,
     me: PeerKey,
     have: ChunkBitmap,
-    in_flight: Vec<Fetch>,
+    in_flight: Vec<ChunkFetch>,
     neighbours: Vec<PeerState>,
     settings: PlanSettings,
     now_ms: u64,
@@ -64,16 +64,16 @@
         }
         for chunk in 0..u.int_in_range(0..=3)? {
             if !case.have.contains(chunk) {
-                case.in_flight.push(Fetch {
+                case.in_flight.push(ChunkFetch {
                     chunk,
-                    source: Source::Origin,
+                    source: ChunkSource::Origin,
                 });
             }
         }
         Ok(case)
     }
 
-    fn plan(&self) -> Vec<Fetch> {
+    fn plan(&self) -> Vec<ChunkFetch> {
         next_fetches(&PlanInput {
             now_ms: self.now_ms,
             progress_ms: 0,
@@ -144,7 +144,7 @@
         let plan = case.plan();
         let region = case.homes.region_of(case.me);
         for fetch in &plan {
-            let Source::Peer(key) = fetch.source else {
+            let ChunkSource::Peer(key) = fetch.source else {
                 continue;
             };
             assert_ne!(key, case.me);
@@ -171,12 +171,12 @@
         let region = case.homes.region_of(case.me);
         for fetch in case.plan() {
             match fetch.source {
-                Source::Origin => assert_eq!(case.homes.feeder(fetch.chunk, region), None),
-                Source::Peer(key) if case.homes.region_of(key) != region => {
+                ChunkSource::Origin => assert_eq!(case.homes.feeder(fetch.chunk, region), None),
+                ChunkSource::Peer(key) if case.homes.region_of(key) != region => {
                     let feeder = case.homes.feeder(fetch.chunk, region);
                     assert_eq!(feeder, Some(case.homes.region_of(key)));
                 }
-                Source::Peer(_) => {}
+                ChunkSource::Peer(_) => {}
             }
         }
         Ok(())
@@ -210,9 +210,9 @@
     let ranked = case.homes.ranked(5, 0).to_vec();
     case.me = ranked[1];
     case.settings.max_duties = CHUNKS as usize;
-    let duty = Fetch {
+    let duty = ChunkFetch {
         chunk: 5,
-        source: Source::Origin,
+        source: ChunkSource::Origin,
     };
     assert!(!case.plan().contains(&duty));
     case.neighbours.push(PeerState {
@@ -256,9 +256,9 @@
             lost: false,
         });
     }
-    let expected = Fetch {
+    let expected = ChunkFetch {
         chunk: 9,
-        source: Source::Peer(PeerKey(2)),
+        source: ChunkSource::Peer(PeerKey(2)),
     };
     assert_eq!(case.plan(), vec![expected]);
 }
