--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -36,9 +36,9 @@
 use crate::weights::PeerRequest;
 use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
-use crate::weights::Swarm;
 use crate::weights::SwarmHost;
 use crate::weights::SwarmSettings;
+use crate::weights::SwarmState;
 
 /// Time between two looks at the plan when nothing happens.
 const TICK_MS: u64 = 100;
@@ -85,7 +85,7 @@
     share: Arc<WeightsShare>,
     version: Arc<WeightsVersion>,
     options: TransferOptions,
-    swarm: Swarm,
+    swarm: SwarmState,
     addresses: Vec<(String, SocketAddr)>,
     started: Instant,
 }
@@ -107,7 +107,7 @@
         }
         let have = version.have()?;
         let hosts = members.iter().map(|member| member.host.clone()).collect();
-        let swarm = Swarm::new(
+        let swarm = SwarmState::new(
             digest,
             have,
             hosts,
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -20,10 +20,10 @@
 use crate::weights::PeerRequest;
 use crate::weights::PeerStatus;
 use crate::weights::RejectReason;
-use crate::weights::Replica;
 use crate::weights::Serving;
 use crate::weights::Verification;
 use crate::weights::Verified;
+use crate::weights::WeightsReplica;
 
 /// Questions kept until the transfer reads them.
 const MAX_QUESTIONS: usize = 64;
@@ -31,11 +31,11 @@
 /// How far a version has come on this host.
 #[derive(Debug)]
 pub(super) enum Stage {
-    Announced(Replica<Announced>),
-    Fetching(Replica<Fetching>),
-    Verified(Replica<Verified>),
-    Loaded(Replica<Loaded>),
-    Serving(Replica<Serving>),
+    Announced(WeightsReplica<Announced>),
+    Fetching(WeightsReplica<Fetching>),
+    Verified(WeightsReplica<Verified>),
+    Loaded(WeightsReplica<Loaded>),
+    Serving(WeightsReplica<Serving>),
     /// The engine serves the version; its bytes were given up here.
     Resident {
         whole: Digest,
@@ -75,7 +75,7 @@
     pub fn announced(digest: Digest) -> Arc<Self> {
         Arc::new(Self {
             digest,
-            stage: Mutex::new(Stage::Announced(Replica::announced(digest))),
+            stage: Mutex::new(Stage::Announced(WeightsReplica::announced(digest))),
             questions: Mutex::default(),
             uploads: AtomicU32::new(0),
             signal: Signal::default(),
@@ -244,7 +244,7 @@
     pub(super) fn reload(&self) -> StageName {
         self.advance(|stage| match stage {
             Stage::Serving(replica) => Stage::Verified(replica.reload()),
-            Stage::Resident { .. } => Stage::Announced(Replica::announced(self.digest)),
+            Stage::Resident { .. } => Stage::Announced(WeightsReplica::announced(self.digest)),
             other => other,
         })
     }
@@ -262,7 +262,7 @@
     /// Starts over after the version was held.
     pub(super) fn retry(&self) {
         self.advance(|stage| match stage {
-            Stage::Held(_) => Stage::Announced(Replica::announced(self.digest)),
+            Stage::Held(_) => Stage::Announced(WeightsReplica::announced(self.digest)),
             other => other,
         });
     }
@@ -271,7 +271,7 @@
     fn advance(&self, step: impl FnOnce(Stage) -> Stage) -> StageName {
         {
             let mut stage = self.stage();
-            let placeholder = Stage::Announced(Replica::announced(self.digest));
+            let placeholder = Stage::Announced(WeightsReplica::announced(self.digest));
             let before = std::mem::replace(&mut *stage, placeholder);
             *stage = step(before);
         }
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -1,7 +1,7 @@
 //! Weights: digests, manifests, chunks, the transfer plan and life cycle.
 //!
 //! A version is named by the digest of its manifest, and chunks by that digest
-//! and an index, so that versions never mix. A [`Replica`] walks through the
+//! and an index, so that versions never mix. A [`WeightsReplica`] walks through the
 //! states of its life cycle; only [`Verified`] gives out the whole bytes. The
 //! plan ([`next_fetches`]) is a pure function of what a host knows.
 
@@ -17,9 +17,9 @@
 mod piece_origin;
 mod placement;
 mod plan;
-mod replica;
-mod swarm;
 mod swarm_probes;
+mod swarm_state;
+mod weights_replica;
 
 pub use chunk_bitmap::ChunkBitmap;
 pub use chunk_ranking::ChunkRanking;
@@ -53,16 +53,16 @@
 pub use plan::PlanInput;
 pub use plan::PlanSettings;
 pub use plan::next_fetches;
-pub use replica::Announced;
-pub use replica::Fetching;
-pub use replica::LoadCheck;
-pub use replica::Loaded;
-pub use replica::Replica;
-pub use replica::Serving;
-pub use replica::Verification;
-pub use replica::Verified;
-pub use swarm::PeerFailure;
-pub use swarm::Swarm;
-pub use swarm::SwarmActions;
-pub use swarm::SwarmSettings;
 pub use swarm_probes::PeerProbe;
+pub use swarm_state::PeerFailure;
+pub use swarm_state::SwarmActions;
+pub use swarm_state::SwarmSettings;
+pub use swarm_state::SwarmState;
+pub use weights_replica::Announced;
+pub use weights_replica::Fetching;
+pub use weights_replica::LoadCheck;
+pub use weights_replica::Loaded;
+pub use weights_replica::Serving;
+pub use weights_replica::Verification;
+pub use weights_replica::Verified;
+pub use weights_replica::WeightsReplica;
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -1,10 +1,10 @@
 use crate::weights::ChunkSource;
 use crate::weights::PeerKey;
-use crate::weights::Swarm;
+use crate::weights::SwarmState;
 use crate::weights::chunk_ranking::mix;
 use crate::weights::chunk_ranking::seed_of;
-use crate::weights::swarm::CROSSING_GAP_MS;
-use crate::weights::swarm::key;
+use crate::weights::swarm_state::CROSSING_GAP_MS;
+use crate::weights::swarm_state::key;
 
 /// Shortest time between two questions to one peer.
 const PROBE_GAP_MS: u64 = 50;
@@ -26,7 +26,7 @@
     pub wait_ms: u64,
 }
 
-impl Swarm {
+impl SwarmState {
     /// Chooses the peers that are asked for news, another choice on each host.
     pub(super) fn pick_neighbours(&mut self) {
         let region = self.homes.region_of(self.me);
@@ -85,16 +85,16 @@
         now_ms: u64,
         probes: &mut Vec<PeerProbe>,
     ) {
-        let standing = &mut self.standings[peer.0 as usize];
-        let recent = standing
+        let health = &mut self.peer_health[peer.0 as usize];
+        let recent = health
             .probed_ms
             .is_some_and(|probed_ms| now_ms < probed_ms + gap_ms);
-        let paused = standing.paused_until_ms > now_ms;
-        if standing.probing || recent || paused {
+        let paused = health.paused_until_ms > now_ms;
+        if health.probing || recent || paused {
             return;
         }
-        standing.probing = true;
-        standing.probed_ms = Some(now_ms);
+        health.probing = true;
+        health.probed_ms = Some(now_ms);
         let known = self.neighbour_mut(peer).have.count();
         probes.push(PeerProbe {
             peer,
--- a/src/weights/swarm.rs
+++ b/src/weights/swarm_state.rs
@@ -77,7 +77,7 @@
 
 /// What is known of a peer beside its chunks.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Standing {
+pub(super) struct PeerHealth {
     pub(super) failures: u32,
     pub(super) declined_since_ms: Option<u64>,
     pub(super) lost_until_ms: u64,
@@ -88,7 +88,7 @@
     pub(super) probing: bool,
 }
 
-impl Standing {
+impl PeerHealth {
     /// Whether a host that declined may still learn of the version.
     fn may_join(&self, now_ms: u64) -> bool {
         self.declined_since_ms
@@ -98,7 +98,7 @@
 
 /// The state of one transfer: hosts, what they hold, what is in flight.
 #[derive(Debug)]
-pub struct Swarm {
+pub struct SwarmState {
     pub(super) manifest: Digest,
     pub(super) origin_region: String,
     pub(super) me: PeerKey,
@@ -106,7 +106,7 @@
     pub(super) homes: ChunkRanking,
     pub(super) have: ChunkBitmap,
     pub(super) neighbours: Vec<PeerState>,
-    pub(super) standings: Vec<Standing>,
+    pub(super) peer_health: Vec<PeerHealth>,
     pub(super) picked: Vec<PeerKey>,
     pub(super) in_flight: Vec<ChunkFetch>,
     pub(super) origin_failures: u32,
@@ -117,7 +117,7 @@
     pub(super) seed: u64,
 }
 
-impl Swarm {
+impl SwarmState {
     /// A transfer of `manifest` to the host called `me`, one of `hosts`.
     ///
     /// # Panics
@@ -142,7 +142,7 @@
             origin_region: origin_region.to_owned(),
             me: key(at),
             neighbours: Vec::new(),
-            standings: vec![Standing::default(); hosts.len()],
+            peer_health: vec![PeerHealth::default(); hosts.len()],
             picked: Vec::new(),
             in_flight: Vec::new(),
             origin_failures: 0,
@@ -171,7 +171,7 @@
         for host in listed {
             if self.key_of(&host.name).is_none() {
                 self.hosts.push(host.clone());
-                self.standings.push(Standing::default());
+                self.peer_health.push(PeerHealth::default());
                 changed = true;
             }
         }
@@ -235,11 +235,11 @@
         if have.len() != self.have.len() || peer == self.me {
             return;
         }
-        let standing = &mut self.standings[peer.0 as usize];
-        standing.failures = 0;
-        standing.declined_since_ms = None;
-        standing.lost_until_ms = 0;
-        standing.paused_until_ms = 0;
+        let health = &mut self.peer_health[peer.0 as usize];
+        health.failures = 0;
+        health.declined_since_ms = None;
+        health.lost_until_ms = 0;
+        health.paused_until_ms = 0;
         let neighbour = self.neighbour_mut(peer);
         neighbour.have.merge(have);
         neighbour.queue = queue;
@@ -248,13 +248,13 @@
 
     /// A question was answered.
     pub fn probe_answered(&mut self, peer: PeerKey, note: &PeerStatus) {
-        self.standings[peer.0 as usize].probing = false;
+        self.peer_health[peer.0 as usize].probing = false;
         self.heard(peer, &note.have, note.queue);
     }
 
     /// A question got no answer.
     pub fn probe_failed(&mut self, peer: PeerKey, failure: PeerFailure, now_ms: u64) {
-        self.standings[peer.0 as usize].probing = false;
+        self.peer_health[peer.0 as usize].probing = false;
         self.penalise(peer, failure, now_ms);
     }
 
@@ -330,24 +330,24 @@
     }
 
     fn penalise(&mut self, peer: PeerKey, failure: PeerFailure, now_ms: u64) {
-        let standing = &mut self.standings[peer.0 as usize];
-        standing.failures += 1;
+        let health = &mut self.peer_health[peer.0 as usize];
+        health.failures += 1;
         if failure == PeerFailure::Declined {
-            standing.declined_since_ms.get_or_insert(now_ms);
+            health.declined_since_ms.get_or_insert(now_ms);
         }
-        let pause_ms = pause_ms(standing.failures);
+        let pause_ms = pause_ms(health.failures);
         let blocked_ms = match failure {
             PeerFailure::WrongChunk => PENALTY_MS,
-            PeerFailure::Broken if standing.failures < BROKEN_LIMIT => BUSY_BLOCK_MS,
-            PeerFailure::Declined if standing.may_join(now_ms) => DECLINE_PAUSE_MS,
+            PeerFailure::Broken if health.failures < BROKEN_LIMIT => BUSY_BLOCK_MS,
+            PeerFailure::Declined if health.may_join(now_ms) => DECLINE_PAUSE_MS,
             _ => pause_ms.max(LOST_MS),
         };
-        standing.paused_until_ms = now_ms + blocked_ms;
+        health.paused_until_ms = now_ms + blocked_ms;
         if failure == PeerFailure::WrongChunk {
-            standing.distrusted_until_ms = now_ms + blocked_ms;
+            health.distrusted_until_ms = now_ms + blocked_ms;
         }
         if blocked_ms >= LOST_MS && failure != PeerFailure::WrongChunk {
-            standing.lost_until_ms = now_ms + blocked_ms;
+            health.lost_until_ms = now_ms + blocked_ms;
         }
         self.neighbour_mut(peer).blocked_until_ms = now_ms + blocked_ms;
     }
@@ -356,8 +356,8 @@
     fn refresh(&mut self, now_ms: u64) {
         for neighbour in &mut self.neighbours {
             let index = neighbour.key.0 as usize;
-            let standing = &self.standings[index];
-            let until_ms = standing.lost_until_ms.max(standing.distrusted_until_ms);
+            let health = &self.peer_health[index];
+            let until_ms = health.lost_until_ms.max(health.distrusted_until_ms);
             neighbour.lost = !self.hosts[index].present || until_ms > now_ms;
         }
     }
--- a/src/weights/replica.rs
+++ b/src/weights/weights_replica.rs
@@ -42,11 +42,11 @@
 
 /// One version on one host, in the state `S` of its life cycle.
 #[derive(Debug)]
-pub struct Replica<S> {
+pub struct WeightsReplica<S> {
     state: S,
 }
 
-impl Replica<Announced> {
+impl WeightsReplica<Announced> {
     /// A version that is wanted here.
     pub fn announced(digest: Digest) -> Self {
         Self {
@@ -68,16 +68,16 @@
         &self,
         manifest: Arc<Manifest>,
         budget: &Arc<MemoryBudget>,
-    ) -> Result<Replica<Fetching>, HoldReason> {
+    ) -> Result<WeightsReplica<Fetching>, HoldReason> {
         manifest.validate_as(self.state.digest)?;
         let store = ChunkStore::new(manifest, budget)?;
-        Ok(Replica {
+        Ok(WeightsReplica {
             state: Fetching { store },
         })
     }
 }
 
-impl Replica<Fetching> {
+impl WeightsReplica<Fetching> {
     /// Stores one chunk if it is correct.
     pub fn insert(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
         self.state.store.insert(index, bytes)
@@ -91,7 +91,7 @@
             Some(found) if found != expected => {
                 Verification::Held(HoldReason::ContentMismatch { expected, found })
             }
-            Some(_) => Verification::Verified(Replica {
+            Some(_) => Verification::Verified(WeightsReplica {
                 state: Verified {
                     store: self.state.store,
                 },
@@ -104,14 +104,14 @@
 #[derive(Debug)]
 pub enum Verification {
     /// Chunks are missing.
-    Incomplete(Replica<Fetching>),
+    Incomplete(WeightsReplica<Fetching>),
     /// Everything matches.
-    Verified(Replica<Verified>),
+    Verified(WeightsReplica<Verified>),
     /// The manifest contradicts itself; the chunks are given up.
     Held(HoldReason),
 }
 
-impl Replica<Verified> {
+impl WeightsReplica<Verified> {
     /// All bytes in order, for the engine of this host.
     pub fn whole(&self) -> impl Iterator<Item = Bytes> {
         self.state.store.chunks()
@@ -123,7 +123,7 @@
         if found != expected {
             return LoadCheck::Held(self, HoldReason::EngineMismatch { expected, found });
         }
-        LoadCheck::Loaded(Replica {
+        LoadCheck::Loaded(WeightsReplica {
             state: Loaded {
                 store: self.state.store,
             },
@@ -135,15 +135,15 @@
 #[derive(Debug)]
 pub enum LoadCheck {
     /// The engine holds the version.
-    Loaded(Replica<Loaded>),
+    Loaded(WeightsReplica<Loaded>),
     /// The engine holds something else.
-    Held(Replica<Verified>, HoldReason),
+    Held(WeightsReplica<Verified>, HoldReason),
 }
 
-impl Replica<Loaded> {
+impl WeightsReplica<Loaded> {
     /// Opens the replica for requests.
-    pub fn serve(self) -> Replica<Serving> {
-        Replica {
+    pub fn serve(self) -> WeightsReplica<Serving> {
+        WeightsReplica {
             state: Serving {
                 store: self.state.store,
             },
@@ -151,10 +151,10 @@
     }
 }
 
-impl Replica<Serving> {
+impl WeightsReplica<Serving> {
     /// Goes back to where the engine must load again, after it lost its state.
-    pub fn reload(self) -> Replica<Verified> {
-        Replica {
+    pub fn reload(self) -> WeightsReplica<Verified> {
+        WeightsReplica {
             state: Verified {
                 store: self.state.store,
             },
@@ -164,7 +164,7 @@
 
 macro_rules! with_chunks {
     ($($state:ident)*) => {
-        $(impl Replica<$state> {
+        $(impl WeightsReplica<$state> {
             /// One verified chunk, for a peer.
             pub fn chunk(&self, index: u32) -> Option<Bytes> {
                 self.state.store.chunk(index)
--- a/tests/spec_weights/world.rs
+++ b/tests/spec_weights/world.rs
@@ -9,8 +9,8 @@
 use bergamotfork::weights::LoadCheck;
 use bergamotfork::weights::Manifest;
 use bergamotfork::weights::MemoryBudget;
-use bergamotfork::weights::Replica;
 use bergamotfork::weights::Verification;
+use bergamotfork::weights::WeightsReplica;
 
 const CHUNKS: usize = 2;
 const CHUNK_BYTES: u32 = 4;
@@ -92,10 +92,10 @@
 }
 
 /// The product's replica with the chunks that it would keep.
-fn replica(version: usize, contents: &Contents) -> Replica<Fetching> {
+fn replica(version: usize, contents: &Contents) -> WeightsReplica<Fetching> {
     let manifest = Arc::clone(&MANIFESTS[version]);
     let budget = MemoryBudget::new(manifest.size_bytes);
-    let announced = Replica::announced(manifest.digest());
+    let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
         .fetch(manifest, &budget)
         .expect("the manifest is right and fits");
--- a/tests/weights/life.rs
+++ b/tests/weights/life.rs
@@ -8,12 +8,12 @@
 use bergamotfork::weights::LoadCheck;
 use bergamotfork::weights::ManifestError;
 use bergamotfork::weights::MemoryBudget;
-use bergamotfork::weights::Replica;
 use bergamotfork::weights::Verification;
+use bergamotfork::weights::WeightsReplica;
 
-fn fetched(except: Option<u32>) -> (Replica<Fetching>, Vec<u8>) {
+fn fetched(except: Option<u32>) -> (WeightsReplica<Fetching>, Vec<u8>) {
     let (manifest, bytes) = sample_manifest(1000, 100);
-    let announced = Replica::announced(manifest.digest());
+    let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
         .fetch(manifest, &MemoryBudget::new(1000))
         .expect("the manifest is right and fits");
@@ -53,7 +53,7 @@
     let (manifest, bytes) = sample_manifest(1000, 100);
     let mut manifest = (*manifest).clone();
     manifest.whole = Digest::of(b"another whole");
-    let announced = Replica::announced(manifest.digest());
+    let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
         .fetch(manifest.into(), &MemoryBudget::new(1000))
         .expect("the manifest is consistent");
@@ -81,7 +81,7 @@
 #[test]
 fn fetch_other_manifest() {
     let (manifest, _) = sample_manifest(1000, 100);
-    let announced = Replica::announced(Digest::of(b"another manifest"));
+    let announced = WeightsReplica::announced(Digest::of(b"another manifest"));
     let held = announced.fetch(manifest, &MemoryBudget::new(1000));
     assert!(matches!(
         held,
