--- a/src/bench/weights_trace.rs
+++ b/src/bench/weights_trace.rs
@@ -43,7 +43,10 @@
             version.and_then(|version| version.note())
         });
         let notes: Vec<_> = held.flatten().collect();
-        let chunks: u64 = notes.iter().map(|note| u64::from(note.have.count())).sum();
+        let chunks: u64 = notes
+            .iter()
+            .map(|note| u64::from(note.have.held_count()))
+            .sum();
         let idle = notes.iter().filter(|note| note.queue == 0).count();
         let complete = notes.iter().filter(|note| note.have.is_complete()).count();
         let used = (chunks - self.before_chunks) as f64 / self.chunks_per_step;
@@ -52,8 +55,8 @@
             used * 100.0,
             self.hosts
         );
-        if let Some(note) = notes.iter().max_by_key(|note| note.have.count()) {
-            let missing: Vec<u32> = (0..note.have.len())
+        if let Some(note) = notes.iter().max_by_key(|note| note.have.held_count()) {
+            let missing: Vec<u32> = (0..note.have.chunk_count())
                 .filter(|chunk| !note.have.contains(*chunk))
                 .collect();
             if !missing.is_empty() && missing.len() <= SHOWN_CHUNKS {
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -155,7 +155,7 @@
 async fn wait_for_news(version: &WeightsVersion, known: u32) {
     loop {
         let generation = version.signal.generation();
-        if version.have().is_some_and(|have| have.count() > known) {
+        if version.have().is_some_and(|have| have.held_count() > known) {
             return;
         }
         version.signal.changed_since(generation).await;
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -107,7 +107,8 @@
             return 100;
         }
         let percent = self.version.have().map_or(0, |have| {
-            let steps = u64::from(have.count()) * PERCENT_STEPS / u64::from(have.len().max(1));
+            let steps =
+                u64::from(have.held_count()) * PERCENT_STEPS / u64::from(have.chunk_count().max(1));
             steps * 100 / PERCENT_STEPS
         });
         u8::try_from(percent).unwrap_or(100)
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_reads.rs
@@ -140,8 +140,11 @@
                 PeerState {
                     key,
                     have: note
-                        .filter(|note| note.have.len() == have.len())
-                        .map_or_else(|| ChunkBitmap::empty(have.len()), |note| note.have.clone()),
+                        .filter(|note| note.have.chunk_count() == have.chunk_count())
+                        .map_or_else(
+                            || ChunkBitmap::empty(have.chunk_count()),
+                            |note| note.have.clone(),
+                        ),
                     queue: 0,
                     blocked_until_ms: blocked_until(ChunkSource::Peer(key)),
                     lost: is_lost && key != swarm.me,
--- a/src/staging/transfer.rs
+++ b/src/staging/transfer.rs
@@ -95,7 +95,7 @@
         LogLine::new(Event::TransferStarted)
             .text("model", self.model)
             .number("version", self.version)
-            .number("held", self.have().count())
+            .number("held", self.have().held_count())
             .number("pieces", manifest.chunks())
             .write();
         self.fetch_missing(&manifest).await;
@@ -254,11 +254,11 @@
         if room == 0 {
             return Some(Vec::new());
         }
-        let carriers = entries_for(have.len(), &entries);
+        let carriers = entries_for(have.chunk_count(), &entries);
         let is_free = |chunk: &u32| {
             !have.contains(*chunk) && in_flight.iter().all(|read| read.chunk != *chunk)
         };
-        let reads = (0..have.len()).filter(is_free).take(room);
+        let reads = (0..have.chunk_count()).filter(is_free).take(room);
         Some(
             reads
                 .filter_map(|chunk| {
--- a/src/weights/chunk_bitmap.rs
+++ b/src/weights/chunk_bitmap.rs
@@ -18,57 +18,58 @@
 /// or complete needs no bits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkBitmap {
-    len: u32,
-    count: u32,
+    chunk_count: u32,
+    held_count: u32,
     words: Vec<u64>,
 }
 
 impl ChunkBitmap {
-    /// A map of `len` chunks, none held.
-    pub fn empty(len: u32) -> Self {
+    /// A map of `chunk_count` chunks, none held.
+    pub fn empty(chunk_count: u32) -> Self {
         Self {
-            len,
-            count: 0,
-            words: vec![0; len.div_ceil(WORD_BITS) as usize],
+            chunk_count,
+            held_count: 0,
+            words: vec![0; chunk_count.div_ceil(WORD_BITS) as usize],
         }
     }
 
-    /// A map of `len` chunks, all held.
-    pub fn complete(len: u32) -> Self {
-        let mut map = Self::empty(len);
-        for index in 0..len {
+    /// A map of `chunk_count` chunks, all held.
+    pub fn complete(chunk_count: u32) -> Self {
+        let mut map = Self::empty(chunk_count);
+        for index in 0..chunk_count {
             map.insert(index);
         }
         map
     }
 
     /// Number of chunks in the version.
-    pub fn len(&self) -> u32 {
-        self.len
+    pub fn chunk_count(&self) -> u32 {
+        self.chunk_count
     }
 
     /// Whether no chunk is held.
-    pub fn is_empty(&self) -> bool {
-        self.count == 0
+    pub fn holds_none(&self) -> bool {
+        self.held_count == 0
     }
 
     /// Number of chunks held.
-    pub fn count(&self) -> u32 {
-        self.count
+    pub fn held_count(&self) -> u32 {
+        self.held_count
     }
 
     /// Whether every chunk is held.
     pub fn is_complete(&self) -> bool {
-        self.count == self.len
+        self.held_count == self.chunk_count
     }
 
     /// Whether chunk `index` is held.
     pub fn contains(&self, index: u32) -> bool {
-        index < self.len && self.words[(index / WORD_BITS) as usize] >> (index % WORD_BITS) & 1 == 1
+        index < self.chunk_count
+            && self.words[(index / WORD_BITS) as usize] >> (index % WORD_BITS) & 1 == 1
     }
 
     /// Chunks that `other` holds and this map doesn't.
-    pub fn missing_from<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = u32> + 'a {
+    pub fn missing_held_by<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = u32> + 'a {
         let words = self.words.iter().zip(&other.words);
         (0..).zip(words).flat_map(|(at, (mine, theirs))| {
             let mut rest = theirs & !mine;
@@ -82,63 +83,63 @@
 
     /// Marks chunk `index` as held; false when it was, or is out of range.
     pub fn insert(&mut self, index: u32) -> bool {
-        if index >= self.len || self.contains(index) {
+        if index >= self.chunk_count || self.contains(index) {
             return false;
         }
         self.words[(index / WORD_BITS) as usize] |= 1 << (index % WORD_BITS);
-        self.count += 1;
+        self.held_count += 1;
         true
     }
 
     /// Adds all that `other` holds; maps of other lengths are ignored.
     pub fn merge(&mut self, other: &Self) {
-        if other.len != self.len {
+        if other.chunk_count != self.chunk_count {
             return;
         }
         for (word, more) in self.words.iter_mut().zip(&other.words) {
             *word |= more;
         }
-        self.count = self.words.iter().map(|word| word.count_ones()).sum();
+        self.held_count = self.words.iter().map(|word| word.count_ones()).sum();
     }
 
     /// Compact bytes of the map.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = self.len.to_le_bytes().to_vec();
+        let mut bytes = self.chunk_count.to_le_bytes().to_vec();
         if self.is_complete() {
             bytes.push(1);
-        } else if !self.is_empty() {
+        } else if !self.holds_none() {
             bytes.push(0);
             let bits = self.words.iter().flat_map(|word| word.to_le_bytes());
-            bytes.extend(bits.take(self.len.div_ceil(u8::BITS) as usize));
+            bytes.extend(bits.take(self.chunk_count.div_ceil(u8::BITS) as usize));
         }
         bytes
     }
 
     /// Reads the bytes written by [`ChunkBitmap::encode`].
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (len, rest) = bytes.split_first_chunk::<LEN_BYTES>()?;
-        let len = u32::from_le_bytes(*len);
+        let (chunk_count, rest) = bytes.split_first_chunk::<LEN_BYTES>()?;
+        let chunk_count = u32::from_le_bytes(*chunk_count);
         match rest.split_first() {
-            None => Some(Self::empty(len)),
-            Some((1, [])) => Some(Self::complete(len)),
-            Some((0, bits)) if bits.len() == len.div_ceil(u8::BITS) as usize => {
-                Some(Self::from_bits(len, bits))
+            None => Some(Self::empty(chunk_count)),
+            Some((1, [])) => Some(Self::complete(chunk_count)),
+            Some((0, bits)) if bits.len() == chunk_count.div_ceil(u8::BITS) as usize => {
+                Some(Self::from_bits(chunk_count, bits))
             }
             Some(_) => None,
         }
     }
 
-    fn from_bits(len: u32, bits: &[u8]) -> Self {
-        let mut map = Self::empty(len);
+    fn from_bits(chunk_count: u32, bits: &[u8]) -> Self {
+        let mut map = Self::empty(chunk_count);
         for (at, byte) in bits.iter().enumerate() {
             map.words[at / 8] |= u64::from(*byte) << (8 * (at % 8));
         }
         if let Some(last) = map.words.last_mut()
-            && !len.is_multiple_of(WORD_BITS)
+            && !chunk_count.is_multiple_of(WORD_BITS)
         {
-            *last &= (1 << (len % WORD_BITS)) - 1;
+            *last &= (1 << (chunk_count % WORD_BITS)) - 1;
         }
-        map.count = map.words.iter().map(|word| word.count_ones()).sum();
+        map.held_count = map.words.iter().map(|word| word.count_ones()).sum();
         map
     }
 }
--- a/src/weights/plan.rs
+++ b/src/weights/plan.rs
@@ -262,7 +262,7 @@
             if neighbour.lost || self.input.homes.region_of(neighbour.key) != self.region {
                 continue;
             }
-            for chunk in not_wanted.missing_from(&neighbour.have) {
+            for chunk in not_wanted.missing_held_by(&neighbour.have) {
                 holders[chunk as usize] += 1;
             }
         }
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -95,7 +95,7 @@
         }
         health.probing = true;
         health.probed_ms = Some(now_ms);
-        let known = self.neighbour_mut(peer).have.count();
+        let known = self.neighbour_mut(peer).have.held_count();
         probes.push(PeerProbe {
             peer,
             known,
@@ -158,7 +158,7 @@
     }
 
     fn missing(&self) -> impl Iterator<Item = u32> {
-        (0..self.have.len()).filter(|chunk| !self.have.contains(*chunk))
+        (0..self.have.chunk_count()).filter(|chunk| !self.have.contains(*chunk))
     }
 
     fn first_living(&self, chunk: u32, region: usize) -> Option<PeerKey> {
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -136,7 +136,7 @@
             .iter()
             .position(|host| host.name == me)
             .expect("a host takes part in its own transfers");
-        let homes = ChunkRanking::new(manifest, have.len(), &hosts, origin_region);
+        let homes = ChunkRanking::new(manifest, have.chunk_count(), &hosts, origin_region);
         let mut swarm = Self {
             manifest,
             origin_region: origin_region.to_owned(),
@@ -178,7 +178,7 @@
         if changed {
             self.homes = ChunkRanking::new(
                 self.manifest,
-                self.have.len(),
+                self.have.chunk_count(),
                 &self.hosts,
                 &self.origin_region,
             );
@@ -232,7 +232,7 @@
 
     /// A peer told what it holds.
     pub fn heard(&mut self, peer: PeerKey, have: &ChunkBitmap, queue: u32) {
-        if have.len() != self.have.len() || peer == self.me {
+        if have.chunk_count() != self.have.chunk_count() || peer == self.me {
             return;
         }
         let health = &mut self.peer_health[peer.0 as usize];
@@ -272,7 +272,7 @@
     pub fn replaced(&mut self, fetch: ChunkFetch, note: &PeerStatus, now_ms: u64) {
         self.deferred(fetch, now_ms);
         if let ChunkSource::Peer(peer) = fetch.source
-            && note.have.len() == self.have.len()
+            && note.have.chunk_count() == self.have.chunk_count()
         {
             self.neighbour_mut(peer).have = note.have.clone();
         }
@@ -318,7 +318,7 @@
             .unwrap_or_else(|at| {
                 let neighbour = PeerState {
                     key: peer,
-                    have: ChunkBitmap::empty(self.have.len()),
+                    have: ChunkBitmap::empty(self.have.chunk_count()),
                     queue: 0,
                     blocked_until_ms: 0,
                     lost: false,
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -151,7 +151,7 @@
     stage.keep_piece(3, 0, vec![1], 20);
     assert!(stage.is_whole(2));
     assert!(!stage.is_whole(3));
-    assert_eq!(stage.have(3).count(), 1);
+    assert_eq!(stage.have(3).held_count(), 1);
     stage.keep_piece(3, 1, vec![1], 20);
     stage.keep_piece(3, 2, vec![1], 20);
     assert!(stage.is_whole(2) && stage.is_whole(3));
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -64,7 +64,7 @@
         }
         assert_eq!(ChunkBitmap::decode(&map.encode()), Some(map.clone()));
         let held = (0..len).filter(|index| map.contains(*index)).count();
-        assert_eq!(held, map.count() as usize);
+        assert_eq!(held, map.held_count() as usize);
         Ok(())
     });
 }
@@ -74,7 +74,7 @@
     arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         if let Some(map) = ChunkBitmap::decode(&bytes[..bytes.len().min(64)]) {
-            assert!(map.count() <= map.len());
+            assert!(map.held_count() <= map.chunk_count());
         }
         Ok(())
     });
--- a/tests/weights_transfer/faults.rs
+++ b/tests/weights_transfer/faults.rs
@@ -140,7 +140,7 @@
     while host
         .version(&world.manifest)
         .have()
-        .is_none_or(|have| have.is_empty())
+        .is_none_or(|have| have.holds_none())
     {
         sleep(Duration::from_millis(10)).await;
     }
@@ -176,7 +176,7 @@
     while hosts[3]
         .version(&world.manifest)
         .have()
-        .is_none_or(|have| have.count() < 4)
+        .is_none_or(|have| have.held_count() < 4)
     {
         sleep(Duration::from_millis(10)).await;
     }
