--- a/src/bench/requests_document.rs
+++ b/src/bench/requests_document.rs
@@ -58,7 +58,7 @@
         "version = 1\nmanifest = {}\nreplicas = {ENDPOINTS}\n",
         manifest()
     );
-    let token = Digest::of(TOKEN.as_bytes());
+    let token = Digest::of_bytes(TOKEN.as_bytes());
     let share = 100 / BRANCHES.len();
     let branch = format!(
         "token_digest = {token}\nweight = 1\nshare_percent = {share}\nburst_percent = 100\nmodels = {MODEL}\n"
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -119,12 +119,12 @@
 
 /// Manifest of the model, which the bench only names.
 pub(super) fn manifest() -> Digest {
-    Digest::of(b"manifest of a small model")
+    Digest::of_bytes(b"manifest of a small model")
 }
 
 /// Whole digest of the model's weights.
 pub(super) fn whole() -> Digest {
-    Digest::of(WEIGHTS)
+    Digest::of_bytes(WEIGHTS)
 }
 
 impl Fleet {
--- a/src/calls/permit.rs
+++ b/src/calls/permit.rs
@@ -76,7 +76,7 @@
             nonce,
             branch: branch.to_owned(),
             service: service.to_owned(),
-            seal: Digest::of(&[]),
+            seal: Digest::of_bytes(&[]),
         };
         permit.seal = permit.seal_with(key);
         permit
--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -146,7 +146,7 @@
         let mut settings = EntrySettings::new(process, self.platform_settings(), cluster());
         settings.teams.push(TeamSettings {
             name: "demo".to_owned(),
-            token_digest: Digest::of(TEAM_TOKEN.as_bytes()),
+            token_digest: Digest::of_bytes(TEAM_TOKEN.as_bytes()),
             sections: vec!["*".to_owned()],
         });
         let machine = Machine::start(move || entry::start(settings))?;
--- a/src/cli/demo/operator.rs
+++ b/src/cli/demo/operator.rs
@@ -103,7 +103,7 @@
     }
 
     async fn edit_document(&self, manifest: Digest, replicas: u32) -> Result<(), CliError> {
-        let token_digest = Digest::of(BRANCH_TOKEN.as_bytes());
+        let token_digest = Digest::of_bytes(BRANCH_TOKEN.as_bytes());
         let sections = [
             (
                 format!("model {MODEL}"),
--- a/src/cli/model.rs
+++ b/src/cli/model.rs
@@ -84,7 +84,7 @@
 async fn list(client: &AdminClient) -> Result<(), CliError> {
     for model in models(client).await? {
         let ModelView { name, version, .. } = &model;
-        let manifest = model.manifest.short();
+        let manifest = model.manifest.short_hex();
         println!("{name}\t{version}\t{manifest}\t{}", progress(&model));
     }
     Ok(())
--- a/src/cli/token.rs
+++ b/src/cli/token.rs
@@ -39,6 +39,6 @@
         let reason = "standard input holds no token";
         return Err(CliError::Invalid(reason.to_owned()));
     }
-    println!("{}", Digest::of(token.as_bytes()));
+    println!("{}", Digest::of_bytes(token.as_bytes()));
     Ok(())
 }
--- a/src/document/checkpoint.rs
+++ b/src/document/checkpoint.rs
@@ -57,5 +57,5 @@
 pub(super) fn state_digest(as_of: u64, document: &Document, edits: &[EditEntry]) -> Digest {
     let state = (as_of, document.sections(), document.tombstones(), edits);
     let bytes = rmp_serde::to_vec(&state).expect("strings, numbers and digests always encode");
-    Digest::of(&bytes)
+    Digest::of_bytes(&bytes)
 }
--- a/src/document/edit.rs
+++ b/src/document/edit.rs
@@ -54,7 +54,7 @@
             &self.body,
         );
         let bytes = rmp_serde::to_vec(&fields).expect("strings and numbers always encode");
-        Digest::of(&bytes)
+        Digest::of_bytes(&bytes)
     }
 }
 
--- a/src/document/section_reader.rs
+++ b/src/document/section_reader.rs
@@ -59,7 +59,7 @@
 
     /// A required digest.
     pub fn digest(&mut self, key: &str) -> Digest {
-        let missing = Digest::of(&[]);
+        let missing = Digest::of_bytes(&[]);
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
             self.fault(key, FaultReason::MissingKey);
             return missing;
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -270,7 +270,7 @@
                 let cause = held.as_ref().map_or_else(String::new, ToString::to_string);
                 emit(
                     Event::WeightsHeld,
-                    &[("manifest", &digest.short()), ("cause", &cause)],
+                    &[("manifest", &digest.short_hex()), ("cause", &cause)],
                 );
                 self.tracked[at].failed(held, 0, now_ms);
             }
@@ -377,7 +377,7 @@
     tracked.succeeded();
     emit(
         Event::WeightsServing,
-        &[("manifest", &tracked.digest().short())],
+        &[("manifest", &tracked.digest().short_hex())],
     );
 }
 
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -317,7 +317,7 @@
         }
         if self.swarm.have().is_complete() && self.version.verify() == StageName::Verified {
             let digest = self.version.digest();
-            emit(Event::WeightsVerified, &[("manifest", &digest.short())]);
+            emit(Event::WeightsVerified, &[("manifest", &digest.short_hex())]);
         }
     }
 }
--- a/src/entry/auth.rs
+++ b/src/entry/auth.rs
@@ -18,7 +18,7 @@
         .get(AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "))
-        .map(|token| Digest::of(token.as_bytes()))
+        .map(|token| Digest::of_bytes(token.as_bytes()))
         .ok_or_else(|| {
             let message = "the header Authorization: Bearer TOKEN is missing";
             ApiError::new(ErrorCode::MissingToken, message)
--- a/src/hosts/beat.rs
+++ b/src/hosts/beat.rs
@@ -36,7 +36,7 @@
 impl NameTag {
     /// Tag of `name`.
     pub fn of(name: &str) -> Self {
-        Self(leading_number(&Digest::of(name.as_bytes())))
+        Self(leading_number(&Digest::of_bytes(name.as_bytes())))
     }
 }
 
@@ -47,7 +47,7 @@
 impl StateTag {
     /// Tag of an encoded state.
     pub fn of(encoded: &[u8]) -> Self {
-        Self(leading_number(&Digest::of(encoded)))
+        Self(leading_number(&Digest::of_bytes(encoded)))
     }
 }
 
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_reads.rs
@@ -79,7 +79,7 @@
         let origin_region = state.origin().map_or_else(String::new, |origin| {
             settings.region(&origin.failure_domain).to_owned()
         });
-        let digest = Digest::of(manifest.digests.as_flattened());
+        let digest = Digest::of_bytes(manifest.digests.as_flattened());
         let homes = ChunkRanking::new(digest, manifest.chunks(), &hosts, &origin_region);
         let me = addresses
             .iter()
--- a/src/standin/engine/generation.rs
+++ b/src/standin/engine/generation.rs
@@ -29,7 +29,7 @@
 /// Text of a token, which a checker can recompute.
 pub fn token_text(whole: &Digest, prompt: &str, seed: u64, index: u32) -> String {
     let text = format!("{whole}{prompt}{seed}{index}");
-    Digest::of(text.as_bytes()).to_string()[..8].to_owned()
+    Digest::of_bytes(text.as_bytes()).to_string()[..8].to_owned()
 }
 
 /// One token stream; dropping it frees its slot.
--- a/src/standin/origin_library.rs
+++ b/src/standin/origin_library.rs
@@ -151,7 +151,7 @@
             .find(|title| title.manifest.model == model && title.manifest.version == version)?;
         let mut manifest = found.manifest.clone();
         if self.faults.manifest_wrong {
-            manifest.whole = Digest::of(b"another whole");
+            manifest.whole = Digest::of_bytes(b"another whole");
         }
         self.stats.manifests_sent += 1;
         Some(manifest)
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -86,7 +86,7 @@
         if bytes.len() != len as usize {
             return InsertOutcome::Rejected(RejectReason::WrongLength);
         }
-        if Digest::of(&bytes) != self.manifest.chunks[index as usize] {
+        if Digest::of_bytes(&bytes) != self.manifest.chunks[index as usize] {
             return InsertOutcome::Rejected(RejectReason::WrongDigest);
         }
         self.slots[index as usize] = Some(bytes);
--- a/src/weights/digest.rs
+++ b/src/weights/digest.rs
@@ -22,7 +22,7 @@
 
 impl Digest {
     /// Digest of `bytes`.
-    pub fn of(bytes: &[u8]) -> Self {
+    pub fn of_bytes(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// Leading digits, for logs.
-    pub fn short(&self) -> String {
+    pub fn short_hex(&self) -> String {
         self.to_string()[..SHORT_DIGITS].to_owned()
     }
 }
--- a/src/weights/hold_reason.rs
+++ b/src/weights/hold_reason.rs
@@ -57,7 +57,7 @@
             ),
             Self::Manifest(error) => error.fmt(f),
             Self::ManifestMissing => f.write_str("the origin has no such manifest"),
-            Self::BaseNotLoaded { base } => write!(f, "base {} is not loaded", base.short()),
+            Self::BaseNotLoaded { base } => write!(f, "base {} is not loaded", base.short_hex()),
             Self::ContentMismatch { expected, found } => {
                 write!(f, "all chunks together have digest {found}, not {expected}")
             }
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -89,7 +89,10 @@
         chunk_bytes: u32,
         bytes: &[u8],
     ) -> Self {
-        let chunks = bytes.chunks(chunk_bytes as usize).map(Digest::of).collect();
+        let chunks = bytes
+            .chunks(chunk_bytes as usize)
+            .map(Digest::of_bytes)
+            .collect();
         Self {
             model: model.to_owned(),
             version: version.to_owned(),
@@ -97,7 +100,7 @@
             size_bytes: bytes.len() as u64,
             chunk_bytes,
             chunks,
-            whole: Digest::of(bytes),
+            whole: Digest::of_bytes(bytes),
         }
     }
 
--- a/tests/api_input/main.rs
+++ b/tests/api_input/main.rs
@@ -29,7 +29,7 @@
     let url = cluster.entry("entry-1", "or-north", &settings).await;
     let model = format!(
         "version = v1\nmanifest = {}\nreplicas = 1\n",
-        Digest::of(b"no weights")
+        Digest::of_bytes(b"no weights")
     );
     cluster.edit("model chat", 0, &model).await;
     cluster.edit("model secret", 0, &model).await;
@@ -38,7 +38,7 @@
     let branch = format!(
         "token_digest = {}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n",
-        Digest::of(TOKEN.as_bytes())
+        Digest::of_bytes(TOKEN.as_bytes())
     );
     cluster.edit("branch seaside", 0, &branch).await;
     let address = url.strip_prefix("http://").expect("a URL of an entry");
--- a/tests/api_stop/main.rs
+++ b/tests/api_stop/main.rs
@@ -47,7 +47,7 @@
     let branch = format!(
         "token_digest = {}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n",
-        Digest::of(TOKEN.as_bytes())
+        Digest::of_bytes(TOKEN.as_bytes())
     );
     cluster.edit("branch seaside", 0, &branch).await;
     let stage = Stage {
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -50,7 +50,7 @@
 }
 
 fn request() -> Digest {
-    Digest::of(b"book hut 12")
+    Digest::of_bytes(b"book hut 12")
 }
 
 #[test]
@@ -98,7 +98,7 @@
     let mut table = table(8);
     let permit = permit(1, 1);
     table.begin(&permit, request(), 0);
-    let other = table.begin(&permit, Digest::of(b"book hut 13"), 0);
+    let other = table.begin(&permit, Digest::of_bytes(b"book hut 13"), 0);
     let refused = matches!(
         other,
         Begin::Refused {
--- a/tests/calls_faults/desk.rs
+++ b/tests/calls_faults/desk.rs
@@ -36,7 +36,7 @@
                 .await;
             desk_endpoints.push(address);
         }
-        let digest = Digest::of(TOKEN.as_bytes());
+        let digest = Digest::of_bytes(TOKEN.as_bytes());
         let branch = format!(
             "token_digest = {digest}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
              models =\nservices = bookdesk\n"
--- a/tests/config_api/main.rs
+++ b/tests/config_api/main.rs
@@ -25,7 +25,7 @@
     let mut cluster = Cluster::new().await;
     let desk = format!(
         "[team desk]\ntoken_digest = {}\nsections = service desk-*\n",
-        Digest::of(DESK_TOKEN.as_bytes())
+        Digest::of_bytes(DESK_TOKEN.as_bytes())
     );
     let one = cluster.entry("entry-1", "or-north", &desk).await;
     let two = cluster.entry("entry-2", "wa-coast", &desk).await;
--- a/tests/document/support.rs
+++ b/tests/document/support.rs
@@ -27,11 +27,11 @@
 }
 
 pub fn model_body(replicas: u32) -> String {
-    let manifest = Digest::of(b"weights");
+    let manifest = Digest::of_bytes(b"weights");
     format!("version = v1\nmanifest = {manifest}\nreplicas = {replicas}")
 }
 
 pub fn branch_body(share_percent: u32) -> String {
-    let token = Digest::of(b"token");
+    let token = Digest::of_bytes(b"token");
     format!("token_digest = {token}\nshare_percent = {share_percent}\nmodels = chat, draft")
 }
--- a/tests/domain_loss/main.rs
+++ b/tests/domain_loss/main.rs
@@ -46,7 +46,7 @@
     let manifest = cluster.publish("chat", "v1", 1 << 18).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 4\n");
     cluster.edit("model chat", 0, &model).await;
-    let digest = Digest::of(TOKEN.as_bytes());
+    let digest = Digest::of_bytes(TOKEN.as_bytes());
     let branch = format!(
         "token_digest = {digest}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices =\n"
--- a/tests/generate_engine/fixture.rs
+++ b/tests/generate_engine/fixture.rs
@@ -62,11 +62,11 @@
     }
 
     pub fn whole(&self) -> Digest {
-        Digest::of(WEIGHTS)
+        Digest::of_bytes(WEIGHTS)
     }
 
     pub fn manifest(&self) -> Digest {
-        Digest::of(b"manifest")
+        Digest::of_bytes(b"manifest")
     }
 
     pub async fn load(&self, offset: u64) -> Result<LoadAnswer, EngineError> {
--- a/tests/generate_path/world.rs
+++ b/tests/generate_path/world.rs
@@ -39,7 +39,7 @@
         let replicas = replicas.max(1);
         let model = format!("version = v1\nmanifest = {manifest}\nreplicas = {replicas}\n");
         cluster.edit("model chat", 0, &model).await;
-        let digest = Digest::of(TOKEN.as_bytes());
+        let digest = Digest::of_bytes(TOKEN.as_bytes());
         let branch = format!("token_digest = {digest}\nshare_percent = 50\nmodels = chat\n");
         cluster.edit("branch seaside", 0, &branch).await;
         let world = Self {
--- a/tests/hosts/beat.rs
+++ b/tests/hosts/beat.rs
@@ -80,7 +80,7 @@
     told.served.push(Served {
         model: "chat".to_owned(),
         version: "v1".to_owned(),
-        manifest: Digest::of(b"v1"),
+        manifest: Digest::of_bytes(b"v1"),
         progress: Progress::Serving,
         present_percent: 100,
         held: None,
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -57,7 +57,7 @@
         leaving: false,
         config: ConfigMark {
             offset: 0,
-            digest: Digest::of(b""),
+            digest: Digest::of_bytes(b""),
         },
         load: Load::default(),
         served: Vec::new(),
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -27,7 +27,7 @@
     for (name, region) in [("a", "wa-coast"), ("b", "or-north"), ("c", "or-south")] {
         urls.push(cluster.entry(name, region, "").await);
     }
-    let digest = Digest::of(TOKEN.as_bytes());
+    let digest = Digest::of_bytes(TOKEN.as_bytes());
     cluster
         .edit(
             "branch seaside",
--- a/tests/path/main.rs
+++ b/tests/path/main.rs
@@ -18,7 +18,7 @@
 /// Text of token `index` as any engine must give it.
 fn token(whole: Digest, prompt: &str, seed: u64, index: u32) -> String {
     let text = format!("{whole}{prompt}{seed}{index}");
-    Digest::of(text.as_bytes()).to_string()[..8].to_owned()
+    Digest::of_bytes(text.as_bytes()).to_string()[..8].to_owned()
 }
 
 fn events(body: &[u8]) -> Vec<StreamEvent> {
@@ -38,7 +38,7 @@
     let manifest = cluster.publish("chat", "v1", MODEL_BYTES).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 2\n");
     cluster.edit("model chat", 0, &model).await;
-    let digest = Digest::of(TOKEN.as_bytes());
+    let digest = Digest::of_bytes(TOKEN.as_bytes());
     let branch = format!(
         "token_digest = {digest}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n"
--- a/tests/rollout_history/main.rs
+++ b/tests/rollout_history/main.rs
@@ -121,7 +121,7 @@
         format!("version = {version}\nmanifest = {manifest}\nreplicas = 3\nstep_replicas = 1\n")
     };
     let mut offset = cluster.edit("model chat", 0, &model("v1", &first)).await;
-    let digest = Digest::of(TOKEN.as_bytes());
+    let digest = Digest::of_bytes(TOKEN.as_bytes());
     let branch = format!("token_digest = {digest}\nshare_percent = 50\nmodels = chat\n");
     cluster.edit("branch seaside", 0, &branch).await;
     until("all replicas serve v1", 60, async || {
@@ -170,7 +170,7 @@
 #[test]
 #[should_panic(expected = "an answer of mixed weights")]
 fn check_finds_mixed_weights() {
-    let wholes = [Digest::of(b"v1"), Digest::of(b"v2")];
+    let wholes = [Digest::of_bytes(b"v1"), Digest::of_bytes(b"v2")];
     let mut body = Vec::new();
     for index in 0..TOKENS {
         let whole = &wholes[usize::from(index >= TOKENS / 2)];
--- a/tests/spec_permits/world.rs
+++ b/tests/spec_permits/world.rs
@@ -222,7 +222,7 @@
         if self.lacks(Rule::Epoch) {
             permit.epoch = self.table.epoch();
         }
-        let request = Digest::of(b"request");
+        let request = Digest::of_bytes(b"request");
         let told = match self.table.begin(&permit, request, self.now_ms) {
             Begin::Run => {
                 self.running = true;
--- a/tests/spec_weights/world.rs
+++ b/tests/spec_weights/world.rs
@@ -88,7 +88,7 @@
 
 fn digest_of(contents: &Contents) -> Digest {
     let chunks = (0..CHUNKS).filter_map(|index| bytes_of(contents[index], index));
-    Digest::of(&chunks.collect::<Vec<_>>().concat())
+    Digest::of_bytes(&chunks.collect::<Vec<_>>().concat())
 }
 
 /// The product's replica with the chunks that it would keep.
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -119,7 +119,7 @@
         let body = format!(
             "[entry]\naddress_lifetime_ms = 500\ndrain_ms = 10000\n{settings}\n\
              [team platform]\ntoken_digest = {}\nsections = model *, branch *, service *\n",
-            Digest::of(TOKEN.as_bytes())
+            Digest::of_bytes(TOKEN.as_bytes())
         );
         self.role("entry", name, region, &address, &body, None)
             .await;
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -18,11 +18,11 @@
     let mut others = vec![Manifest::clone(&manifest); 7];
     others[0].model = "chat2".to_owned();
     others[1].version = "v2".to_owned();
-    others[2].base = Some(Digest::of(b"base"));
+    others[2].base = Some(Digest::of_bytes(b"base"));
     others[3].size_bytes = 999;
     others[4].chunk_bytes = 101;
     others[5].chunks.swap(0, 1);
-    others[6].whole = Digest::of(b"whole");
+    others[6].whole = Digest::of_bytes(b"whole");
     for other in &others {
         assert_ne!(other.digest(), manifest.digest(), "{other:?}");
     }
@@ -105,7 +105,7 @@
             assert_eq!(store.insert(index, Bytes::from(chunk)), expected);
         }
         for index in 0..11 {
-            let held = store.chunk(index).map(|chunk| Digest::of(&chunk));
+            let held = store.chunk(index).map(|chunk| Digest::of_bytes(&chunk));
             let correct = store
                 .have()
                 .contains(index)
--- a/tests/weights/life.rs
+++ b/tests/weights/life.rs
@@ -35,7 +35,7 @@
         panic!("all chunks are correct");
     };
     assert_eq!(verified.whole().collect::<Vec<_>>().concat(), bytes);
-    let LoadCheck::Loaded(loaded) = verified.loaded(Digest::of(&bytes)) else {
+    let LoadCheck::Loaded(loaded) = verified.loaded(Digest::of_bytes(&bytes)) else {
         panic!("the engine holds the whole");
     };
     let serving = loaded.serve();
@@ -52,7 +52,7 @@
 fn verify_whole_contradicts_chunks() {
     let (manifest, bytes) = sample_manifest(1000, 100);
     let mut manifest = (*manifest).clone();
-    manifest.whole = Digest::of(b"another whole");
+    manifest.whole = Digest::of_bytes(b"another whole");
     let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
         .fetch(manifest.into(), &MemoryBudget::new(1000))
@@ -73,7 +73,7 @@
         panic!("all chunks are correct");
     };
     assert!(matches!(
-        verified.loaded(Digest::of(b"partial")),
+        verified.loaded(Digest::of_bytes(b"partial")),
         LoadCheck::Held(_, HoldReason::EngineMismatch { .. })
     ));
 }
@@ -81,7 +81,7 @@
 #[test]
 fn fetch_other_manifest() {
     let (manifest, _) = sample_manifest(1000, 100);
-    let announced = WeightsReplica::announced(Digest::of(b"another manifest"));
+    let announced = WeightsReplica::announced(Digest::of_bytes(b"another manifest"));
     let held = announced.fetch(manifest, &MemoryBudget::new(1000));
     assert!(matches!(
         held,
--- a/tests/weights/origin.rs
+++ b/tests/weights/origin.rs
@@ -58,7 +58,7 @@
             .chunk(digest, index, WAIT_MS)
             .await
             .expect("it is there");
-        assert_eq!(Digest::of(&chunk), manifest.chunks[index as usize]);
+        assert_eq!(Digest::of_bytes(&chunk), manifest.chunks[index as usize]);
     }
     let stats: OriginStats = HttpClient::to_platform()
         .get_json(&format!("{}/stats", handle.url()), WAIT_MS)
--- a/tests/weights/world.rs
+++ b/tests/weights/world.rs
@@ -27,5 +27,5 @@
 }
 
 pub fn homes(chunks: u32, hosts: &[SwarmHost]) -> ChunkRanking {
-    ChunkRanking::new(Digest::of(b"a version"), chunks, hosts, "region-0")
+    ChunkRanking::new(Digest::of_bytes(b"a version"), chunks, hosts, "region-0")
 }
--- a/tests/weights_transfer/faults.rs
+++ b/tests/weights_transfer/faults.rs
@@ -159,7 +159,7 @@
         .whole()
         .expect("it is verified")
         .concat();
-    assert_eq!(bergamotfork::weights::Digest::of(&whole), newer.whole);
+    assert_eq!(bergamotfork::weights::Digest::of_bytes(&whole), newer.whole);
     assert!(host.share.version(world.manifest.digest()).is_none());
 }
 
