--- a/src/bench/weights.rs
+++ b/src/bench/weights.rs
@@ -28,7 +28,7 @@
 use crate::standin::origin::Publication;
 use crate::weights::Digest;
 use crate::weights::Manifest;
-use crate::weights::mix;
+use crate::weights::mix64;
 
 /// Copies the origin's link carries in the allowed time.
 const ORIGIN_COPIES: u64 = 4;
@@ -169,7 +169,7 @@
     pub(super) fn is_doomed(&self, index: usize) -> bool {
         let doomed = self.hosts * usize::try_from(self.kill_percent).unwrap_or(0) / 100;
         // Hosts in an order that the seed decides.
-        let rank = |host: usize| (mix(self.seed ^ host as u64), host);
+        let rank = |host: usize| (mix64(self.seed ^ host as u64), host);
         (0..self.hosts)
             .filter(|other| rank(*other) < rank(index))
             .count()
@@ -178,7 +178,7 @@
 
     /// Whether the list of `index` lacks `other`.
     pub(super) fn is_unlisted(&self, index: usize, other: usize) -> bool {
-        let draw = mix(self.seed ^ (index as u64) << 32 ^ other as u64);
+        let draw = mix64(self.seed ^ (index as u64) << 32 ^ other as u64);
         self.kill_percent > 0 && draw % 100 < UNLISTED_PERCENT
     }
 
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -208,6 +208,6 @@
 
 /// A number from 0 to 1.
 fn noise(seed: u64, index: usize) -> f64 {
-    let bits = crate::weights::mix(seed ^ (index as u64).rotate_left(32));
+    let bits = crate::weights::mix64(seed ^ (index as u64).rotate_left(32));
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/src/fleet/rotation.rs
+++ b/src/fleet/rotation.rs
@@ -1,4 +1,4 @@
-use crate::weights::mix;
+use crate::weights::mix64;
 
 /// Place of `name` among `names` in an order that differs for each `seed`.
 ///
@@ -38,6 +38,6 @@
 fn rank_of(name: &str, seed: u64) -> (u64, &str) {
     let hash = name
         .bytes()
-        .fold(seed, |hash, byte| mix(hash ^ u64::from(byte)));
+        .fold(seed, |hash, byte| mix64(hash ^ u64::from(byte)));
     (hash, name)
 }
--- a/src/weights/chunk_ranking.rs
+++ b/src/weights/chunk_ranking.rs
@@ -14,7 +14,7 @@
     pub name: String,
     /// Region it stands in.
     pub region: String,
-    /// Whether it takes part; hosts that don't are not ranked.
+    /// Whether it takes part; hosts that don't are not ranked_hosts.
     pub present: bool,
 }
 
@@ -30,14 +30,19 @@
     region_of: Vec<usize>,
     /// Place of each region among those on a route; the first starts it.
     ranks: Vec<PeerKey>,
-    chunks: u32,
+    chunk_count: u32,
     manifest_seed: u64,
 }
 
 impl ChunkRanking {
     /// Ranks `hosts` for `chunks` chunks of the version `manifest`.
-    pub fn new(manifest: Digest, chunks: u32, hosts: &[SwarmHost], origin_region: &str) -> Self {
-        let regions = route_regions(hosts, origin_region);
+    pub fn new(
+        manifest: Digest,
+        chunk_count: u32,
+        hosts: &[SwarmHost],
+        origin_region: &str,
+    ) -> Self {
+        let regions = regions_by_route(hosts, origin_region);
         let region_of: Vec<usize> = hosts
             .iter()
             .map(|host| regions.iter().position(|region| *region == host.region))
@@ -45,18 +50,18 @@
             .collect();
         let seeds: Vec<u64> = hosts
             .iter()
-            .map(|host| seed_of(host.name.as_bytes()))
+            .map(|host| hash64(host.name.as_bytes()))
             .collect();
-        let manifest_seed = seed_of(manifest.as_bytes());
-        let mut ranks = Vec::with_capacity(chunks as usize * regions.len() * RANKED_HOSTS);
+        let manifest_seed = hash64(manifest.as_bytes());
+        let mut ranks = Vec::with_capacity(chunk_count as usize * regions.len() * RANKED_HOSTS);
         let mut best = Vec::new();
-        for chunk in 0..chunks {
-            let chunk_seed = mix(manifest_seed ^ u64::from(chunk));
+        for chunk in 0..chunk_count {
+            let chunk_seed = mix64(manifest_seed ^ u64::from(chunk));
             for region in 0..regions.len() {
                 best.clear();
                 for (host, seed) in seeds.iter().enumerate() {
                     if region_of[host] == region && hosts[host].present {
-                        keep_best(&mut best, (mix(chunk_seed ^ seed), host));
+                        keep_best(&mut best, (mix64(chunk_seed ^ seed), host));
                     }
                 }
                 let filler = best.last().map_or(0, |last| last.1);
@@ -70,14 +75,14 @@
             regions,
             region_of,
             ranks,
-            chunks,
+            chunk_count,
             manifest_seed,
         }
     }
 
-    /// Number of chunks ranked.
-    pub fn chunks(&self) -> u32 {
-        self.chunks
+    /// Number of chunks ranked_hosts.
+    pub fn chunk_count(&self) -> u32 {
+        self.chunk_count
     }
 
     /// Number of regions that hold hosts.
@@ -91,19 +96,19 @@
     }
 
     /// The first hosts for `chunk` in `region`, best first; the last may repeat.
-    pub fn ranked(&self, chunk: u32, region: usize) -> &[PeerKey] {
+    pub fn ranked_hosts(&self, chunk: u32, region: usize) -> &[PeerKey] {
         let start = (chunk as usize * self.regions.len() + region) * RANKED_HOSTS;
         &self.ranks[start..start + RANKED_HOSTS]
     }
 
     /// Region that hands `chunk` to `region`; None when it reads the origin.
-    pub fn feeder(&self, chunk: u32, region: usize) -> Option<usize> {
+    pub fn upstream_region(&self, chunk: u32, region: usize) -> Option<usize> {
         if region == 0 {
             return None;
         }
         let others = self.regions.len() - 1;
         let first =
-            (mix(self.manifest_seed.rotate_left(17) ^ u64::from(chunk)) % others as u64) as usize;
+            (mix64(self.manifest_seed.rotate_left(17) ^ u64::from(chunk)) % others as u64) as usize;
         if region - 1 == first {
             return Some(0);
         }
@@ -112,7 +117,7 @@
 }
 
 /// Regions with hosts: the origin's first, the others by name.
-fn route_regions(hosts: &[SwarmHost], origin_region: &str) -> Vec<String> {
+fn regions_by_route(hosts: &[SwarmHost], origin_region: &str) -> Vec<String> {
     let present = hosts.iter().filter(|host| host.present);
     let mut regions: Vec<String> = present.map(|host| host.region.clone()).collect();
     regions.sort_unstable_by(|a, b| (a != origin_region, a).cmp(&(b != origin_region, b)));
@@ -133,7 +138,7 @@
     }
 }
 
-pub(crate) fn seed_of(bytes: &[u8]) -> u64 {
+pub(crate) fn hash64(bytes: &[u8]) -> u64 {
     let hash = blake3::hash(bytes);
     let (head, _) = hash
         .as_bytes()
@@ -143,7 +148,7 @@
 }
 
 /// The finaliser of SplitMix64: spreads each input bit over the whole word.
-pub(crate) fn mix(value: u64) -> u64 {
+pub(crate) fn mix64(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -1,7 +1,7 @@
 //! Weights: digests, manifests, chunks, the transfer plan and life cycle.
 //!
 //! A version is named by the digest of its manifest, and chunks by that digest
-//! and an index, so that versions never mix. A [`WeightsReplica`] walks through the
+//! and an index, so that versions never mix64. A [`WeightsReplica`] walks through the
 //! states of its life cycle; only [`Verified`] gives out the whole bytes. The
 //! plan ([`next_fetches`]) is a pure function of what a host knows.
 
@@ -25,7 +25,7 @@
 pub use chunk_ranking::ChunkRanking;
 pub use chunk_ranking::PeerKey;
 pub use chunk_ranking::SwarmHost;
-pub(crate) use chunk_ranking::mix;
+pub(crate) use chunk_ranking::mix64;
 pub use chunk_store::ChunkStore;
 pub use chunk_store::InsertOutcome;
 pub use chunk_store::RejectReason;
--- a/src/weights/placement.rs
+++ b/src/weights/placement.rs
@@ -1,5 +1,5 @@
-use crate::weights::chunk_ranking::mix;
-use crate::weights::chunk_ranking::seed_of;
+use crate::weights::chunk_ranking::hash64;
+use crate::weights::chunk_ranking::mix64;
 
 /// The hosts that should serve `model`, best first: at most `replicas` of `hosts`.
 ///
@@ -10,9 +10,9 @@
     replicas: u32,
     hosts: impl Iterator<Item = &'a str>,
 ) -> Vec<&'a str> {
-    let model_seed = seed_of(model.as_bytes());
+    let model_seed = hash64(model.as_bytes());
     let mut ranked: Vec<(u64, &str)> = hosts
-        .map(|host| (mix(model_seed ^ seed_of(host.as_bytes())), host))
+        .map(|host| (mix64(model_seed ^ hash64(host.as_bytes())), host))
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.truncate(replicas as usize);
--- a/src/weights/plan.rs
+++ b/src/weights/plan.rs
@@ -1,7 +1,7 @@
 use crate::weights::ChunkBitmap;
 use crate::weights::ChunkRanking;
 use crate::weights::PeerKey;
-use crate::weights::chunk_ranking::mix;
+use crate::weights::chunk_ranking::mix64;
 
 /// Where a chunk is read from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -101,7 +101,7 @@
 /// When rank `rank` may take over the duty for `chunk`, after no progress.
 fn takeover_delay_ms(input: &PlanInput<'_>, chunk: u32, rank: usize) -> u64 {
     let wait_ms = input.settings.takeover_wait_ms;
-    let jitter_ms = mix(u64::from(chunk) << 32 | u64::from(input.me.0)) % (wait_ms / 2 + 1);
+    let jitter_ms = mix64(u64::from(chunk) << 32 | u64::from(input.me.0)) % (wait_ms / 2 + 1);
     rank as u64 * (wait_ms + jitter_ms)
 }
 
@@ -120,7 +120,7 @@
         let mut draft = Self {
             input,
             region: input.homes.region_of(input.me),
-            busy: ChunkBitmap::empty(input.homes.chunks()),
+            busy: ChunkBitmap::empty(input.homes.chunk_count()),
             duties: 0,
             swarm_reads: 0,
             per_peer: Vec::new(),
@@ -179,7 +179,7 @@
     }
 
     fn add_duties(&mut self) {
-        let chunks = self.input.homes.chunks();
+        let chunks = self.input.homes.chunk_count();
         let start = if chunks == 0 {
             0
         } else {
@@ -200,7 +200,7 @@
 
     /// Whether this host brings `chunk` into its region now.
     fn is_duty(&self, chunk: u32) -> bool {
-        let ranked = self.input.homes.ranked(chunk, self.region);
+        let ranked = self.input.homes.ranked_hosts(chunk, self.region);
         let mut living = ranked.iter().filter(|key| {
             !self
                 .neighbour(**key)
@@ -223,7 +223,7 @@
 
     /// Where a duty is read: the origin, or a holder in the feeding region.
     fn duty_source(&self, chunk: u32) -> Option<ChunkSource> {
-        let Some(feeder) = self.input.homes.feeder(chunk, self.region) else {
+        let Some(feeder) = self.input.homes.upstream_region(chunk, self.region) else {
             let open = self.input.origin_blocked_until_ms <= self.input.now_ms;
             return open.then_some(ChunkSource::Origin);
         };
@@ -257,7 +257,7 @@
     fn wanted_by_rarity(&self) -> Vec<(u32, u64, u32)> {
         let mut not_wanted = self.busy.clone();
         not_wanted.merge(self.input.have);
-        let mut holders = vec![0u32; self.input.homes.chunks() as usize];
+        let mut holders = vec![0u32; self.input.homes.chunk_count() as usize];
         for neighbour in self.input.neighbours {
             if neighbour.lost || self.input.homes.region_of(neighbour.key) != self.region {
                 continue;
@@ -269,7 +269,7 @@
         let mut wanted: Vec<(u32, u64, u32)> = (0..)
             .zip(holders)
             .filter(|(_, count)| *count > 0)
-            .map(|(chunk, count)| (count, mix(self.input.seed ^ u64::from(chunk)), chunk))
+            .map(|(chunk, count)| (count, mix64(self.input.seed ^ u64::from(chunk)), chunk))
             .collect();
         wanted.sort_unstable();
         wanted
@@ -287,7 +287,7 @@
             .filter(|neighbour| self.accepts(neighbour))
             .min_by_key(|neighbour| {
                 let order =
-                    mix(self.input.seed ^ u64::from(neighbour.key.0) << 20 ^ u64::from(chunk));
+                    mix64(self.input.seed ^ u64::from(neighbour.key.0) << 20 ^ u64::from(chunk));
                 (self.load(neighbour.key), neighbour.queue, order)
             })
             .map(|neighbour| neighbour.key)
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -1,8 +1,8 @@
 use crate::weights::ChunkSource;
 use crate::weights::PeerKey;
 use crate::weights::SwarmState;
-use crate::weights::chunk_ranking::mix;
-use crate::weights::chunk_ranking::seed_of;
+use crate::weights::chunk_ranking::hash64;
+use crate::weights::chunk_ranking::mix64;
 use crate::weights::swarm_state::CROSSING_GAP_MS;
 use crate::weights::swarm_state::key;
 
@@ -36,8 +36,8 @@
             .filter(|peer| *peer != self.me && self.homes.region_of(*peer) == region)
             .filter(|peer| self.hosts[peer.0 as usize].present)
             .map(|peer| {
-                let other = seed_of(self.hosts[peer.0 as usize].name.as_bytes());
-                (mix(mine ^ other.rotate_left(23)), peer)
+                let other = hash64(self.hosts[peer.0 as usize].name.as_bytes());
+                (mix64(mine ^ other.rotate_left(23)), peer)
             })
             .collect();
         others.sort_unstable();
@@ -113,7 +113,9 @@
             .missing()
             .filter(|chunk| self.first_living(*chunk, region) == Some(self.me));
         let mut homes: Vec<PeerKey> = missing
-            .filter_map(|chunk| self.first_living(chunk, self.homes.feeder(chunk, region)?))
+            .filter_map(|chunk| {
+                self.first_living(chunk, self.homes.upstream_region(chunk, region)?)
+            })
             .collect();
         homes.sort_unstable();
         homes.dedup();
@@ -142,7 +144,7 @@
         let mut ahead = Vec::new();
         for chunk in self.missing() {
             let mut before = None;
-            for peer in self.homes.ranked(chunk, region) {
+            for peer in self.homes.ranked_hosts(chunk, region) {
                 if *peer == self.me {
                     ahead.extend(before);
                     break;
@@ -162,7 +164,7 @@
     }
 
     fn first_living(&self, chunk: u32, region: usize) -> Option<PeerKey> {
-        let ranked = self.homes.ranked(chunk, region);
+        let ranked = self.homes.ranked_hosts(chunk, region);
         ranked.iter().copied().find(|peer| !self.is_lost(*peer))
     }
 
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -10,8 +10,8 @@
 use crate::weights::PlanInput;
 use crate::weights::PlanSettings;
 use crate::weights::SwarmHost;
-use crate::weights::chunk_ranking::mix;
-use crate::weights::chunk_ranking::seed_of;
+use crate::weights::chunk_ranking::hash64;
+use crate::weights::chunk_ranking::mix64;
 use crate::weights::next_fetches;
 
 /// First pause after a failure; doubles with each further one.
@@ -149,7 +149,7 @@
             origin_blocked_until_ms: 0,
             progress_ms: now_ms,
             homes_probed_ms: now_ms,
-            seed: seed_of(me.as_bytes()),
+            seed: hash64(me.as_bytes()),
             homes,
             have,
             hosts,
@@ -212,7 +212,7 @@
     /// What to do at `now_ms`; taken as started.
     pub fn next(&mut self, now_ms: u64) -> SwarmActions {
         self.refresh(now_ms);
-        self.seed = mix(self.seed);
+        self.seed = mix64(self.seed);
         let fetches = next_fetches(&PlanInput {
             now_ms,
             progress_ms: self.progress_ms,
@@ -302,7 +302,7 @@
         self.origin_failures += 1;
         let own_ms = pause_ms(self.origin_failures);
         // The jitter keeps hosts that were refused together from returning together.
-        let jitter_ms = mix(self.seed ^ now_ms) % (own_ms / 2 + 1);
+        let jitter_ms = mix64(self.seed ^ now_ms) % (own_ms / 2 + 1);
         let pause_ms = retry_after_ms.unwrap_or(0).max(own_ms) + jitter_ms;
         self.origin_blocked_until_ms = self.origin_blocked_until_ms.max(now_ms + pause_ms);
     }
--- a/tests/weights/homes.rs
+++ b/tests/weights/homes.rs
@@ -22,8 +22,8 @@
                         .collect::<Vec<_>>()
                 };
                 assert_eq!(
-                    names(one.ranked(chunk, region), &sorted),
-                    names(other.ranked(chunk, region), &shuffled)
+                    names(one.ranked_hosts(chunk, region), &sorted),
+                    names(other.ranked_hosts(chunk, region), &shuffled)
                 );
             }
         }
@@ -39,7 +39,7 @@
             for region in 0..regions {
                 let mut at = region;
                 let mut steps = 0;
-                while let Some(feeder) = homes.feeder(chunk, at) {
+                while let Some(feeder) = homes.upstream_region(chunk, at) {
                     at = feeder;
                     steps += 1;
                 }
@@ -54,7 +54,7 @@
 fn feeder_splits_three_regions_in_halves() {
     let homes = homes(400, &hosts(12, 3));
     let direct = (0..400)
-        .filter(|chunk| homes.feeder(*chunk, 1) == Some(0))
+        .filter(|chunk| homes.upstream_region(*chunk, 1) == Some(0))
         .count();
     assert!(
         (160..240).contains(&direct),
@@ -62,8 +62,8 @@
     );
     for chunk in 0..400 {
         assert_ne!(
-            homes.feeder(chunk, 1) == Some(0),
-            homes.feeder(chunk, 2) == Some(0)
+            homes.upstream_region(chunk, 1) == Some(0),
+            homes.upstream_region(chunk, 2) == Some(0)
         );
     }
 }
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -171,9 +171,11 @@
         let region = case.homes.region_of(case.me);
         for fetch in case.plan() {
             match fetch.source {
-                ChunkSource::Origin => assert_eq!(case.homes.feeder(fetch.chunk, region), None),
+                ChunkSource::Origin => {
+                    assert_eq!(case.homes.upstream_region(fetch.chunk, region), None)
+                }
                 ChunkSource::Peer(key) if case.homes.region_of(key) != region => {
-                    let feeder = case.homes.feeder(fetch.chunk, region);
+                    let feeder = case.homes.upstream_region(fetch.chunk, region);
                     assert_eq!(feeder, Some(case.homes.region_of(key)));
                 }
                 ChunkSource::Peer(_) => {}
@@ -207,7 +209,7 @@
 #[test]
 fn next_fetches_second_rank_takes_over_when_first_is_lost() {
     let mut case = Case::new(12, 1, 0);
-    let ranked = case.homes.ranked(5, 0).to_vec();
+    let ranked = case.homes.ranked_hosts(5, 0).to_vec();
     case.me = ranked[1];
     case.settings.max_duties = CHUNKS as usize;
     let duty = ChunkFetch {
@@ -228,7 +230,7 @@
 #[test]
 fn next_fetches_second_rank_takes_over_after_silence() {
     let mut case = Case::new(12, 1, 0);
-    case.me = case.homes.ranked(5, 0)[1];
+    case.me = case.homes.ranked_hosts(5, 0)[1];
     case.settings.max_duties = CHUNKS as usize;
     let reads_origin = |case: &Case| case.plan().iter().any(|fetch| fetch.chunk == 5);
     case.now_ms = case.settings.takeover_wait_ms - 1;
@@ -275,7 +277,7 @@
 #[test]
 fn next_fetches_fourth_rank_takes_over_when_three_are_lost() {
     let mut case = Case::new(12, 1, 0);
-    let ranked = case.homes.ranked(5, 0).to_vec();
+    let ranked = case.homes.ranked_hosts(5, 0).to_vec();
     case.me = ranked[3];
     case.settings.max_duties = CHUNKS as usize;
     let mut lost = ranked[..3].to_vec();
