--- a/src/bench/weights.rs
+++ b/src/bench/weights.rs
@@ -251,7 +251,7 @@
             .manifest("bench", "v1")
             .await
             .map_err(|error| LinkError::Malformed(error.to_string()))?;
-        match manifest.validate_as(published.manifest) {
+        match manifest.validate_with_digest(published.manifest) {
             Ok(()) => Ok(manifest),
             Err(error) => Err(LinkError::Malformed(error.to_string())),
         }
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -251,7 +251,7 @@
     fn start_transfer(&mut self, at: usize, manifest: Manifest, want: &Want) {
         let now_ms = self.state.node.now_ms();
         let digest = self.tracked[at].digest();
-        if let Err(error) = manifest.validate_as(digest) {
+        if let Err(error) = manifest.validate_with_digest(digest) {
             self.tracked[at].failed(Some(error.into()), 0, now_ms);
             return;
         }
--- a/src/gateway/read_ahead.rs
+++ b/src/gateway/read_ahead.rs
@@ -51,7 +51,7 @@
         let manifest = self.manifest(cached).await?;
         let began = Instant::now();
         let turn = self.origin_turn();
-        for index in 0..manifest.chunks() {
+        for index in 0..manifest.piece_count() {
             if self.homes(index).first() == Some(&None) {
                 tokio::time::sleep_until(began + turn * index).await;
                 self.piece(cached, index, true).await?;
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_reads.rs
@@ -80,7 +80,7 @@
             settings.region(&origin.failure_domain).to_owned()
         });
         let digest = Digest::of_bytes(manifest.digests.as_flattened());
-        let homes = ChunkRanking::new(digest, manifest.chunks(), &hosts, &origin_region);
+        let homes = ChunkRanking::new(digest, manifest.piece_count(), &hosts, &origin_region);
         let me = addresses
             .iter()
             .position(|address| *address == settings.internal)
--- a/src/staging/transfer.rs
+++ b/src/staging/transfer.rs
@@ -96,7 +96,7 @@
             .text("model", self.model)
             .number("version", self.version)
             .number("held", self.have().held_count())
-            .number("pieces", manifest.chunks())
+            .number("pieces", manifest.piece_count())
             .write();
         self.fetch_missing(&manifest).await;
     }
@@ -112,7 +112,7 @@
     /// Checks the staged pieces whose version is not known.
     async fn take_inventory(&self, manifest: &PieceManifest) {
         let mut engine = self.engine.clone();
-        for index in 0..manifest.chunks() {
+        for index in 0..manifest.piece_count() {
             let staged = self.state.borrow_mut().stage(self.model).staged(index);
             if staged == 0 {
                 self.check_piece(&mut engine, manifest, index).await;
@@ -128,7 +128,7 @@
         };
         let mut engine = self.engine.clone();
         let mut is_whole = true;
-        for index in 0..manifest.chunks() {
+        for index in 0..manifest.piece_count() {
             let (staged, bytes) = {
                 let mut state = self.state.borrow_mut();
                 let stage = state.stage(self.model);
--- a/src/standin/origin_library.rs
+++ b/src/standin/origin_library.rs
@@ -118,7 +118,7 @@
         }
         let mut bytes = vec![0; len];
         Pcg64Mcg::seed_from_u64(publication.seed).fill_bytes(&mut bytes);
-        let manifest = Manifest::describe(
+        let manifest = Manifest::for_content(
             &publication.model,
             &publication.version,
             publication.base,
@@ -172,7 +172,7 @@
             return ChunkAnswer::Missing;
         };
         let title = &self.titles[at];
-        let Some(len) = title.manifest.chunk_len(index) else {
+        let Some(len) = title.manifest.chunk_len_bytes(index) else {
             return ChunkAnswer::Missing;
         };
         let start = index as usize * title.manifest.chunk_bytes as usize;
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -77,7 +77,7 @@
 
     /// Stores `bytes` as chunk `index` if length and digest match.
     pub fn insert(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
-        let Some(len) = self.manifest.chunk_len(index) else {
+        let Some(len) = self.manifest.chunk_len_bytes(index) else {
             return InsertOutcome::Rejected(RejectReason::UnknownIndex);
         };
         if self.have.contains(index) {
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -82,7 +82,7 @@
     /// # Panics
     ///
     /// Panics when `chunk_bytes` is zero.
-    pub fn describe(
+    pub fn for_content(
         model: &str,
         version: &str,
         base: Option<Digest>,
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// Returns [`ManifestError`] when it is another or inconsistent.
-    pub fn validate_as(&self, expected: Digest) -> Result<(), ManifestError> {
+    pub fn validate_with_digest(&self, expected: Digest) -> Result<(), ManifestError> {
         let found = self.digest();
         if found != expected {
             return Err(ManifestError::WrongDigest { expected, found });
@@ -167,7 +167,7 @@
     }
 
     /// Length of chunk `index`, if there is one.
-    pub fn chunk_len(&self, index: u32) -> Option<u32> {
+    pub fn chunk_len_bytes(&self, index: u32) -> Option<u32> {
         if index >= self.chunk_count() {
             return None;
         }
--- a/src/weights/piece_origin.rs
+++ b/src/weights/piece_origin.rs
@@ -48,7 +48,7 @@
     }
 
     /// Number of pieces.
-    pub fn chunks(&self) -> u32 {
+    pub fn piece_count(&self) -> u32 {
         u32::try_from(self.digests.len()).unwrap_or(u32::MAX)
     }
 }
--- a/src/weights/weights_replica.rs
+++ b/src/weights/weights_replica.rs
@@ -69,7 +69,7 @@
         manifest: Arc<Manifest>,
         budget: &Arc<MemoryBudget>,
     ) -> Result<WeightsReplica<Fetching>, HoldReason> {
-        manifest.validate_as(self.state.digest)?;
+        manifest.validate_with_digest(self.state.digest)?;
         let store = ChunkStore::new(manifest, budget)?;
         Ok(WeightsReplica {
             state: Fetching { store },
--- a/tests/spec_weights/world.rs
+++ b/tests/spec_weights/world.rs
@@ -66,12 +66,13 @@
 static VERSION_BYTES: [&[u8]; VERSIONS] = [b"aaaabbbb", b"ccccdddd"];
 
 static MANIFESTS: LazyLock<Vec<Arc<Manifest>>> = LazyLock::new(|| {
-    let describe =
-        |(name, bytes): (&str, &&[u8])| Manifest::describe("chat", name, None, CHUNK_BYTES, bytes);
+    let build = |(name, bytes): (&str, &&[u8])| {
+        Manifest::for_content("chat", name, None, CHUNK_BYTES, bytes)
+    };
     ["v1", "v2"]
         .into_iter()
         .zip(&VERSION_BYTES)
-        .map(describe)
+        .map(build)
         .map(Arc::new)
         .collect()
 });
--- a/tests/weights/origin.rs
+++ b/tests/weights/origin.rs
@@ -52,7 +52,7 @@
         .manifest("chat", "v1")
         .await
         .expect("it was published");
-    assert_eq!(manifest.validate_as(digest), Ok(()));
+    assert_eq!(manifest.validate_with_digest(digest), Ok(()));
     for index in 0..4 {
         let chunk = client
             .chunk(digest, index, WAIT_MS)
--- a/tests/weights/world.rs
+++ b/tests/weights/world.rs
@@ -12,7 +12,7 @@
 
 pub fn sample_manifest(len: usize, chunk_bytes: u32) -> (Arc<Manifest>, Vec<u8>) {
     let bytes = sample_bytes(len);
-    let manifest = Manifest::describe("chat", "v1", None, chunk_bytes, &bytes);
+    let manifest = Manifest::for_content("chat", "v1", None, chunk_bytes, &bytes);
     (Arc::new(manifest), bytes)
 }
 
