--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -135,10 +135,10 @@
     pub fn have(&self) -> Option<ChunkBitmap> {
         match &*self.stage() {
             Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => Some(replica.have().clone()),
-            Stage::Verified(replica) => Some(replica.have().clone()),
-            Stage::Loaded(replica) => Some(replica.have().clone()),
-            Stage::Serving(replica) => Some(replica.have().clone()),
+            Stage::Fetching(replica) => Some(replica.held_chunks().clone()),
+            Stage::Verified(replica) => Some(replica.held_chunks().clone()),
+            Stage::Loaded(replica) => Some(replica.held_chunks().clone()),
+            Stage::Serving(replica) => Some(replica.held_chunks().clone()),
         }
     }
 
@@ -156,7 +156,7 @@
     /// All bytes in order; only while the engine may load them.
     pub fn whole(&self) -> Option<Vec<Bytes>> {
         match &*self.stage() {
-            Stage::Verified(replica) => Some(replica.whole().collect()),
+            Stage::Verified(replica) => Some(replica.chunks().collect()),
             _ => None,
         }
     }
@@ -187,7 +187,7 @@
         {
             let mut stage = self.stage();
             if let Stage::Announced(replica) = &*stage {
-                *stage = match replica.fetch(Arc::new(manifest), budget) {
+                *stage = match replica.start_fetching(Arc::new(manifest), budget) {
                     Ok(replica) => Stage::Fetching(replica),
                     Err(held) => Stage::Held(held),
                 };
@@ -200,7 +200,7 @@
     /// Stores a chunk if it is correct.
     pub(super) fn insert(&self, index: u32, bytes: Bytes) -> InsertOutcome {
         let inserted = match &mut *self.stage() {
-            Stage::Fetching(replica) => replica.insert(index, bytes),
+            Stage::Fetching(replica) => replica.insert_chunk(index, bytes),
             _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
         if inserted == InsertOutcome::Stored {
@@ -224,7 +224,7 @@
     /// Takes the engine's word for what it loaded; on a mismatch nothing moves.
     pub fn loaded(&self, found: Digest) -> StageName {
         self.advance(|stage| match stage {
-            Stage::Verified(replica) => match replica.loaded(found) {
+            Stage::Verified(replica) => match replica.confirm_loaded(found) {
                 LoadCheck::Loaded(replica) => Stage::Loaded(replica),
                 LoadCheck::Held(replica, _) => Stage::Verified(replica),
             },
@@ -235,7 +235,7 @@
     /// Opens a loaded version for requests.
     pub fn serve(&self) -> StageName {
         self.advance(|stage| match stage {
-            Stage::Loaded(replica) => Stage::Serving(replica.serve()),
+            Stage::Loaded(replica) => Stage::Serving(replica.start_serving()),
             other => other,
         })
     }
@@ -243,7 +243,7 @@
     /// Goes back to where the engine must load again, after it lost its state.
     pub(super) fn reload(&self) -> StageName {
         self.advance(|stage| match stage {
-            Stage::Serving(replica) => Stage::Verified(replica.reload()),
+            Stage::Serving(replica) => Stage::Verified(replica.require_reload()),
             Stage::Resident { .. } => Stage::Announced(WeightsReplica::announced(self.digest)),
             other => other,
         })
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -46,8 +46,8 @@
 #[derive(Debug)]
 pub struct ChunkStore {
     manifest: Arc<Manifest>,
-    slots: Vec<Option<Bytes>>,
-    have: ChunkBitmap,
+    chunks: Vec<Option<Bytes>>,
+    held_chunks: ChunkBitmap,
     _reservation: Reservation,
 }
 
@@ -68,8 +68,8 @@
             })?;
         let count = manifest.chunk_count();
         Ok(Self {
-            slots: vec![None; count as usize],
-            have: ChunkBitmap::empty(count),
+            chunks: vec![None; count as usize],
+            held_chunks: ChunkBitmap::empty(count),
             manifest,
             _reservation: reservation,
         })
@@ -80,7 +80,7 @@
         let Some(len) = self.manifest.chunk_len_bytes(index) else {
             return InsertOutcome::Rejected(RejectReason::UnknownIndex);
         };
-        if self.have.contains(index) {
+        if self.held_chunks.contains(index) {
             return InsertOutcome::Duplicate;
         }
         if bytes.len() != len as usize {
@@ -89,19 +89,19 @@
         if Digest::of_bytes(&bytes) != self.manifest.chunks[index as usize] {
             return InsertOutcome::Rejected(RejectReason::WrongDigest);
         }
-        self.slots[index as usize] = Some(bytes);
-        self.have.insert(index);
+        self.chunks[index as usize] = Some(bytes);
+        self.held_chunks.insert(index);
         InsertOutcome::Stored
     }
 
     /// Chunk `index`, if held.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
-        self.slots.get(index as usize)?.clone()
+        self.chunks.get(index as usize)?.clone()
     }
 
     /// What is held.
-    pub fn have(&self) -> &ChunkBitmap {
-        &self.have
+    pub fn held_chunks(&self) -> &ChunkBitmap {
+        &self.held_chunks
     }
 
     /// The manifest the chunks belong to.
@@ -110,15 +110,15 @@
     }
 
     /// Digest of all chunks in order; None while one is missing.
-    pub fn whole_digest(&self) -> Option<Digest> {
+    pub fn content_digest(&self) -> Option<Digest> {
         let mut hasher = blake3::Hasher::new();
-        for slot in &self.slots {
-            hasher.update(slot.as_ref()?);
+        for chunk in &self.chunks {
+            hasher.update(chunk.as_ref()?);
         }
         Some(hasher.finalize().into())
     }
 
     pub(super) fn chunks(&self) -> impl Iterator<Item = Bytes> {
-        self.slots.iter().flatten().cloned()
+        self.chunks.iter().flatten().cloned()
     }
 }
--- a/src/weights/weights_replica.rs
+++ b/src/weights/weights_replica.rs
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns [`HoldReason`] when the manifest is wrong or doesn't fit.
-    pub fn fetch(
+    pub fn start_fetching(
         &self,
         manifest: Arc<Manifest>,
         budget: &Arc<MemoryBudget>,
@@ -79,14 +79,14 @@
 
 impl WeightsReplica<Fetching> {
     /// Stores one chunk if it is correct.
-    pub fn insert(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
+    pub fn insert_chunk(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
         self.state.store.insert(index, bytes)
     }
 
     /// Checks the whole; the transfer goes on when chunks are missing.
     pub fn verify(self) -> Verification {
         let expected = self.state.store.manifest().whole;
-        match self.state.store.whole_digest() {
+        match self.state.store.content_digest() {
             None => Verification::Incomplete(self),
             Some(found) if found != expected => {
                 Verification::Held(HoldReason::ContentMismatch { expected, found })
@@ -113,12 +113,12 @@
 
 impl WeightsReplica<Verified> {
     /// All bytes in order, for the engine of this host.
-    pub fn whole(&self) -> impl Iterator<Item = Bytes> {
+    pub fn chunks(&self) -> impl Iterator<Item = Bytes> {
         self.state.store.chunks()
     }
 
     /// Takes the engine's word for what it loaded.
-    pub fn loaded(self, found: Digest) -> LoadCheck {
+    pub fn confirm_loaded(self, found: Digest) -> LoadCheck {
         let expected = self.state.store.manifest().whole;
         if found != expected {
             return LoadCheck::Held(self, HoldReason::EngineMismatch { expected, found });
@@ -142,7 +142,7 @@
 
 impl WeightsReplica<Loaded> {
     /// Opens the replica for requests.
-    pub fn serve(self) -> WeightsReplica<Serving> {
+    pub fn start_serving(self) -> WeightsReplica<Serving> {
         WeightsReplica {
             state: Serving {
                 store: self.state.store,
@@ -153,7 +153,7 @@
 
 impl WeightsReplica<Serving> {
     /// Goes back to where the engine must load again, after it lost its state.
-    pub fn reload(self) -> WeightsReplica<Verified> {
+    pub fn require_reload(self) -> WeightsReplica<Verified> {
         WeightsReplica {
             state: Verified {
                 store: self.state.store,
@@ -171,8 +171,8 @@
             }
 
             /// Chunks held.
-            pub fn have(&self) -> &ChunkBitmap {
-                self.state.store.have()
+            pub fn held_chunks(&self) -> &ChunkBitmap {
+                self.state.store.held_chunks()
             }
 
             /// The manifest.
--- a/tests/spec_weights/world.rs
+++ b/tests/spec_weights/world.rs
@@ -98,11 +98,11 @@
     let budget = MemoryBudget::new(manifest.size_bytes);
     let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
-        .fetch(manifest, &budget)
+        .start_fetching(manifest, &budget)
         .expect("the manifest is right and fits");
     for (index, content) in contents.iter().enumerate() {
         if let Some(bytes) = bytes_of(*content, index) {
-            replica.insert(index as u32, bytes);
+            replica.insert_chunk(index as u32, bytes);
         }
     }
     replica
@@ -216,7 +216,7 @@
         let bytes = bytes_of(content, index).expect("a chunk that arrives has bytes");
         let kept = match self.lacks(Rule::CheckChunks) {
             true => self.chunks[version][index] == Content::Missing,
-            false => replica.insert(index as u32, bytes) == InsertOutcome::Stored,
+            false => replica.insert_chunk(index as u32, bytes) == InsertOutcome::Stored,
         };
         if kept {
             world.chunks[version][index] = content;
@@ -266,7 +266,7 @@
         else {
             return world.with_stage(version, Stage::Serving);
         };
-        let serves = match verified.loaded(digest_of(&held)) {
+        let serves = match verified.confirm_loaded(digest_of(&held)) {
             LoadCheck::Loaded(_) => true,
             LoadCheck::Held(..) => self.lacks(Rule::CompareLoaded),
         };
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -95,7 +95,7 @@
                 let at = u.choose_index(chunk.len())?;
                 chunk[at] ^= 1;
             }
-            let known = store.have().contains(index);
+            let known = store.held_chunks().contains(index);
             let expected = match (index, known, spoiled) {
                 (11, ..) => InsertOutcome::Rejected(RejectReason::UnknownIndex),
                 (_, true, _) => InsertOutcome::Duplicate,
@@ -107,7 +107,7 @@
         for index in 0..11 {
             let held = store.chunk(index).map(|chunk| Digest::of_bytes(&chunk));
             let correct = store
-                .have()
+                .held_chunks()
                 .contains(index)
                 .then(|| manifest.chunks[index as usize]);
             assert_eq!(held, correct);
--- a/tests/weights/life.rs
+++ b/tests/weights/life.rs
@@ -15,12 +15,12 @@
     let (manifest, bytes) = sample_manifest(1000, 100);
     let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
-        .fetch(manifest, &MemoryBudget::new(1000))
+        .start_fetching(manifest, &MemoryBudget::new(1000))
         .expect("the manifest is right and fits");
     for (index, chunk) in (0..).zip(bytes.chunks(100)) {
         if Some(index) != except {
             assert_eq!(
-                replica.insert(index, Bytes::copy_from_slice(chunk)),
+                replica.insert_chunk(index, Bytes::copy_from_slice(chunk)),
                 InsertOutcome::Stored
             );
         }
@@ -34,12 +34,12 @@
     let Verification::Verified(verified) = replica.verify() else {
         panic!("all chunks are correct");
     };
-    assert_eq!(verified.whole().collect::<Vec<_>>().concat(), bytes);
-    let LoadCheck::Loaded(loaded) = verified.loaded(Digest::of_bytes(&bytes)) else {
+    assert_eq!(verified.chunks().collect::<Vec<_>>().concat(), bytes);
+    let LoadCheck::Loaded(loaded) = verified.confirm_loaded(Digest::of_bytes(&bytes)) else {
         panic!("the engine holds the whole");
     };
-    let serving = loaded.serve();
-    assert!(serving.have().is_complete());
+    let serving = loaded.start_serving();
+    assert!(serving.held_chunks().is_complete());
 }
 
 #[test]
@@ -55,10 +55,10 @@
     manifest.whole = Digest::of_bytes(b"another whole");
     let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
-        .fetch(manifest.into(), &MemoryBudget::new(1000))
+        .start_fetching(manifest.into(), &MemoryBudget::new(1000))
         .expect("the manifest is consistent");
     for (index, chunk) in (0..).zip(bytes.chunks(100)) {
-        replica.insert(index, Bytes::copy_from_slice(chunk));
+        replica.insert_chunk(index, Bytes::copy_from_slice(chunk));
     }
     assert!(matches!(
         replica.verify(),
@@ -73,7 +73,7 @@
         panic!("all chunks are correct");
     };
     assert!(matches!(
-        verified.loaded(Digest::of_bytes(b"partial")),
+        verified.confirm_loaded(Digest::of_bytes(b"partial")),
         LoadCheck::Held(_, HoldReason::EngineMismatch { .. })
     ));
 }
@@ -82,7 +82,7 @@
 fn fetch_other_manifest() {
     let (manifest, _) = sample_manifest(1000, 100);
     let announced = WeightsReplica::announced(Digest::of_bytes(b"another manifest"));
-    let held = announced.fetch(manifest, &MemoryBudget::new(1000));
+    let held = announced.start_fetching(manifest, &MemoryBudget::new(1000));
     assert!(matches!(
         held,
         Err(HoldReason::Manifest(ManifestError::WrongDigest { .. }))
