--- a/src/bench/weights_fleet.rs
+++ b/src/bench/weights_fleet.rs
@@ -189,12 +189,12 @@
         http: HttpClient::to_processes(SHARED_KEY),
         swarm: SwarmSettings {
             plan: PlanSettings {
-                max_fetches: bench.fetches,
-                max_duties: bench.duties(),
-                max_per_peer: bench.per_peer(),
+                max_regional_fetches: bench.fetches,
+                max_imports: bench.duties(),
+                max_fetches_per_peer: bench.per_peer(),
                 ..PlanSettings::default()
             },
-            neighbours: bench.neighbours,
+            max_probed_peers: bench.neighbours,
         },
         peer_wait_ms: 3000,
         origin_wait_ms: 120_000,
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -301,7 +301,7 @@
             http: self.state.node.http().clone(),
             swarm: SwarmSettings {
                 plan: PlanSettings::default(),
-                neighbours: usize::try_from(settings.neighbours).unwrap_or(usize::MAX),
+                max_probed_peers: usize::try_from(settings.neighbours).unwrap_or(usize::MAX),
             },
             peer_wait_ms: PEER_WAIT_MS,
             origin_wait_ms: ORIGIN_WAIT_MS,
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -137,11 +137,11 @@
             return;
         }
         for question in self.version.take_questions() {
-            if let Some(peer) = self.swarm.key_of(&question.host) {
-                self.swarm.heard(peer, &question.have, 0);
+            if let Some(peer) = self.swarm.peer_key(&question.host) {
+                self.swarm.record_peer_status(peer, &question.have, 0);
             }
         }
-        let actions = self.swarm.next(self.now_ms());
+        let actions = self.swarm.next_actions(self.now_ms());
         for fetch in actions.fetches {
             self.start_fetch(fetch, ctx);
         }
@@ -163,7 +163,7 @@
         PeerRequest {
             host: self.share.host.clone(),
             region: self.share.region.clone(),
-            have: self.swarm.have().clone(),
+            have: self.swarm.held_chunks().clone(),
             known,
             wait_ms,
         }
@@ -193,7 +193,7 @@
                 let Some(address) = self.address(peer) else {
                     let now_ms = self.now_ms();
                     self.swarm
-                        .peer_failed(fetch, PeerFailure::Unreachable, now_ms);
+                        .peer_fetch_failed(fetch, PeerFailure::Unreachable, now_ms);
                     return;
                 };
                 let url = format!("http://{address}/x/weights/{digest}/{}", fetch.chunk);
@@ -226,7 +226,7 @@
             return;
         };
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
-        let question = self.question(probe.known, probe.wait_ms);
+        let question = self.question(probe.known_chunks, probe.wait_ms);
         let http = self.options.http.clone();
         let wait_ms = probe.wait_ms + PROBE_SLACK_MS;
         let share = Arc::clone(&self.share);
@@ -259,22 +259,24 @@
                     _ => None,
                 };
                 self.share.metrics.retried(error.label());
-                self.swarm.origin_failed(fetch, retry_after_ms, now_ms);
+                self.swarm
+                    .origin_fetch_failed(fetch, retry_after_ms, now_ms);
             }
             (ReadResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
-                self.swarm.heard(peer, &frame.note.have, frame.note.queue);
+                self.swarm
+                    .record_peer_status(peer, &frame.note.have, frame.note.queue);
                 match frame.outcome {
                     ReadOutcome::Sent => self.take_chunk(fetch, frame.chunk, "peer"),
                     ReadOutcome::Busy => self.defer(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
                         self.share.metrics.retried("peer_lacks_chunk");
-                        self.swarm.replaced(fetch, &frame.note, now_ms);
+                        self.swarm.peer_lacks_chunk(fetch, &frame.note, now_ms);
                     }
                 }
             }
             (ReadResult::Peer(Err(error)), _) => {
                 self.share.metrics.retried("peer_unavailable");
-                self.swarm.peer_failed(fetch, failure(&error), now_ms);
+                self.swarm.peer_fetch_failed(fetch, failure(&error), now_ms);
             }
             (ReadResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
@@ -284,7 +286,7 @@
     fn defer(&mut self, fetch: ChunkFetch, reason: &'static str) {
         self.share.metrics.retried(reason);
         let now_ms = self.now_ms();
-        self.swarm.deferred(fetch, now_ms);
+        self.swarm.fetch_deferred(fetch, now_ms);
     }
 
     fn take_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
@@ -293,7 +295,9 @@
             .metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
         match self.version.insert(fetch.chunk, bytes) {
-            InsertOutcome::Stored | InsertOutcome::Duplicate => self.swarm.stored(fetch, now_ms),
+            InsertOutcome::Stored | InsertOutcome::Duplicate => {
+                self.swarm.chunk_stored(fetch, now_ms)
+            }
             InsertOutcome::Rejected(reason) => {
                 self.share
                     .metrics
@@ -307,15 +311,15 @@
                     ],
                 );
                 match fetch.source {
-                    ChunkSource::Origin => self.swarm.origin_failed(fetch, None, now_ms),
+                    ChunkSource::Origin => self.swarm.origin_fetch_failed(fetch, None, now_ms),
                     ChunkSource::Peer(_) => {
                         self.swarm
-                            .peer_failed(fetch, PeerFailure::WrongChunk, now_ms)
+                            .peer_fetch_failed(fetch, PeerFailure::WrongChunk, now_ms)
                     }
                 }
             }
         }
-        if self.swarm.have().is_complete() && self.version.verify() == StageName::Verified {
+        if self.swarm.held_chunks().is_complete() && self.version.verify() == StageName::Verified {
             let digest = self.version.digest();
             emit(Event::WeightsVerified, &[("manifest", &digest.short_hex())]);
         }
--- a/src/staging/swarm_reads.rs
+++ b/src/staging/swarm_reads.rs
@@ -26,9 +26,9 @@
 
 /// Reads in progress at a time.
 const PLAN: PlanSettings = PlanSettings {
-    max_fetches: 3,
-    max_per_peer: 2,
-    max_duties: 3,
+    max_regional_fetches: 3,
+    max_fetches_per_peer: 2,
+    max_imports: 3,
     takeover_wait_ms: 500,
 };
 
@@ -139,26 +139,26 @@
                 };
                 PeerState {
                     key,
-                    have: note
+                    held_chunks: note
                         .filter(|note| note.have.chunk_count() == have.chunk_count())
                         .map_or_else(
                             || ChunkBitmap::empty(have.chunk_count()),
                             |note| note.have.clone(),
                         ),
-                    queue: 0,
+                    queued_reads: 0,
                     blocked_until_ms: blocked_until(ChunkSource::Peer(key)),
-                    lost: is_lost && key != swarm.me,
+                    unavailable: is_lost && key != swarm.me,
                 }
             })
             .collect();
         let fetches = next_fetches(&PlanInput {
             now_ms,
             progress_ms,
-            me: swarm.me,
-            homes: &swarm.homes,
-            have: &held,
+            local: swarm.me,
+            ranking: &swarm.homes,
+            held_chunks: &held,
             in_flight: &planned,
-            neighbours: &neighbours,
+            peers: &neighbours,
             // While entries live, they alone read the origin.
             origin_blocked_until_ms: if state.near_entries().is_empty() {
                 blocked_until(ChunkSource::Origin)
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -3,17 +3,17 @@
 use crate::weights::SwarmState;
 use crate::weights::chunk_ranking::hash64;
 use crate::weights::chunk_ranking::mix64;
-use crate::weights::swarm_state::CROSSING_GAP_MS;
+use crate::weights::swarm_state::CROSS_REGION_INTERVAL_MS;
 use crate::weights::swarm_state::key;
 
 /// Shortest time between two questions to one peer.
-const PROBE_GAP_MS: u64 = 50;
+const PROBE_INTERVAL_MS: u64 = 50;
 
 /// Time between two questions to the host whose duty this one would take over.
-const HOME_PROBE_GAP_MS: u64 = 1000;
+const HIGHER_RANK_PROBE_INTERVAL_MS: u64 = 1000;
 
 /// How long a question may wait at a peer for news.
-const PROBE_WAIT_MS: u64 = 1000;
+const PROBE_LONG_POLL_MS: u64 = 1000;
 
 /// A question to a peer for its chunks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,19 +21,19 @@
     /// Whom to ask.
     pub peer: PeerKey,
     /// Chunks it is known to hold.
-    pub known: u32,
+    pub known_chunks: u32,
     /// How long it may wait for more.
     pub wait_ms: u64,
 }
 
 impl SwarmState {
     /// Chooses the peers that are asked for news, another choice on each host.
-    pub(super) fn pick_neighbours(&mut self) {
-        let region = self.homes.region_of(self.me);
+    pub(super) fn select_probed_peers(&mut self) {
+        let region = self.ranking.region_of(self.local);
         let mine = self.seed;
         let mut others: Vec<(u64, PeerKey)> = (0..self.hosts.len())
             .map(key)
-            .filter(|peer| *peer != self.me && self.homes.region_of(*peer) == region)
+            .filter(|peer| *peer != self.local && self.ranking.region_of(*peer) == region)
             .filter(|peer| self.hosts[peer.0 as usize].present)
             .map(|peer| {
                 let other = hash64(self.hosts[peer.0 as usize].name.as_bytes());
@@ -41,115 +41,124 @@
             })
             .collect();
         others.sort_unstable();
-        others.truncate(self.settings.neighbours);
-        self.picked = others.into_iter().map(|(_, peer)| peer).collect();
-        self.picked.sort_unstable();
+        others.truncate(self.settings.max_probed_peers);
+        self.probed_peers = others.into_iter().map(|(_, peer)| peer).collect();
+        self.probed_peers.sort_unstable();
     }
 
     pub(super) fn next_probes(&mut self, now_ms: u64) -> Vec<PeerProbe> {
-        if self.have.is_complete() {
+        if self.held_chunks.is_complete() {
             return Vec::new();
         }
         let mut probes = Vec::new();
-        if self.swarm_reads() < self.settings.plan.max_fetches {
-            for peer in self.picked.clone() {
-                self.probe(peer, PROBE_GAP_MS, PROBE_WAIT_MS, now_ms, &mut probes);
+        if self.regional_fetches() < self.settings.plan.max_regional_fetches {
+            for peer in self.probed_peers.clone() {
+                self.add_probe(
+                    peer,
+                    PROBE_INTERVAL_MS,
+                    PROBE_LONG_POLL_MS,
+                    now_ms,
+                    &mut probes,
+                );
             }
         }
-        for peer in self.feeding_homes() {
-            self.probe(peer, CROSSING_GAP_MS, PROBE_WAIT_MS, now_ms, &mut probes);
+        for peer in self.upstream_primary_holders() {
+            self.add_probe(
+                peer,
+                CROSS_REGION_INTERVAL_MS,
+                PROBE_LONG_POLL_MS,
+                now_ms,
+                &mut probes,
+            );
         }
-        if now_ms >= self.homes_probed_ms + HOME_PROBE_GAP_MS {
-            self.homes_probed_ms = now_ms;
-            for peer in self.homes_ahead() {
-                self.probe(peer, HOME_PROBE_GAP_MS, 0, now_ms, &mut probes);
+        if now_ms >= self.higher_ranks_probed_ms + HIGHER_RANK_PROBE_INTERVAL_MS {
+            self.higher_ranks_probed_ms = now_ms;
+            for peer in self.higher_ranked_hosts() {
+                self.add_probe(peer, HIGHER_RANK_PROBE_INTERVAL_MS, 0, now_ms, &mut probes);
             }
         }
         probes
     }
 
-    fn swarm_reads(&self) -> usize {
-        let region = self.homes.region_of(self.me);
+    fn regional_fetches(&self) -> usize {
+        let region = self.ranking.region_of(self.local);
         let reads = self.in_flight.iter().filter(|fetch| match fetch.source {
             ChunkSource::Origin => false,
-            ChunkSource::Peer(peer) => self.homes.region_of(peer) == region,
+            ChunkSource::Peer(peer) => self.ranking.region_of(peer) == region,
         });
         reads.count()
     }
 
-    fn probe(
+    fn add_probe(
         &mut self,
         peer: PeerKey,
-        gap_ms: u64,
+        interval_ms: u64,
         wait_ms: u64,
         now_ms: u64,
         probes: &mut Vec<PeerProbe>,
     ) {
         let health = &mut self.peer_health[peer.0 as usize];
         let recent = health
-            .probed_ms
-            .is_some_and(|probed_ms| now_ms < probed_ms + gap_ms);
+            .last_probe_ms
+            .is_some_and(|last_probe_ms| now_ms < last_probe_ms + interval_ms);
         let paused = health.paused_until_ms > now_ms;
-        if health.probing || recent || paused {
+        if health.probe_in_flight || recent || paused {
             return;
         }
-        health.probing = true;
-        health.probed_ms = Some(now_ms);
-        let known = self.neighbour_mut(peer).have.held_count();
+        health.probe_in_flight = true;
+        health.last_probe_ms = Some(now_ms);
+        let known_chunks = self.peer_state_mut(peer).held_chunks.held_count();
         probes.push(PeerProbe {
             peer,
-            known,
+            known_chunks,
             wait_ms,
         });
     }
 
     /// First living hosts of feeding regions that have chunks this host brings in.
-    fn feeding_homes(&self) -> Vec<PeerKey> {
-        let region = self.homes.region_of(self.me);
+    fn upstream_primary_holders(&self) -> Vec<PeerKey> {
+        let region = self.ranking.region_of(self.local);
         if region == 0 {
             return Vec::new();
         }
-        let missing = self
-            .missing()
-            .filter(|chunk| self.first_living(*chunk, region) == Some(self.me));
-        let mut homes: Vec<PeerKey> = missing
+        let imports = self
+            .missing_chunks()
+            .filter(|chunk| self.primary_holder(*chunk, region) == Some(self.local));
+        let mut holders: Vec<PeerKey> = imports
             .filter_map(|chunk| {
-                self.first_living(chunk, self.homes.upstream_region(chunk, region)?)
+                self.primary_holder(chunk, self.ranking.upstream_region(chunk, region)?)
             })
             .collect();
-        homes.sort_unstable();
-        homes.dedup();
-        homes.retain(|peer| !self.offers_duty(*peer, region));
-        homes
+        holders.sort_unstable();
+        holders.dedup();
+        holders.retain(|peer| !self.offers_import(*peer, region));
+        holders
     }
 
     /// Whether `peer` is known to hold a chunk that this host could bring in now.
-    fn offers_duty(&self, peer: PeerKey, region: usize) -> bool {
-        let Ok(at) = self
-            .neighbours
-            .binary_search_by_key(&peer, |neighbour| neighbour.key)
-        else {
+    fn offers_import(&self, peer: PeerKey, region: usize) -> bool {
+        let Ok(at) = self.peers.binary_search_by_key(&peer, |state| state.key) else {
             return false;
         };
-        let have = &self.neighbours[at].have;
+        let held_chunks = &self.peers[at].held_chunks;
         let open = |chunk: &u32| !self.in_flight.iter().any(|fetch| fetch.chunk == *chunk);
-        self.missing()
-            .filter(open)
-            .any(|chunk| have.contains(chunk) && self.first_living(chunk, region) == Some(self.me))
+        self.missing_chunks().filter(open).any(|chunk| {
+            held_chunks.contains(chunk) && self.primary_holder(chunk, region) == Some(self.local)
+        })
     }
 
     /// Hosts directly before this one in rank for a chunk nobody is known to hold.
-    fn homes_ahead(&self) -> Vec<PeerKey> {
-        let region = self.homes.region_of(self.me);
+    fn higher_ranked_hosts(&self) -> Vec<PeerKey> {
+        let region = self.ranking.region_of(self.local);
         let mut ahead = Vec::new();
-        for chunk in self.missing() {
+        for chunk in self.missing_chunks() {
             let mut before = None;
-            for peer in self.homes.ranked_hosts(chunk, region) {
-                if *peer == self.me {
+            for peer in self.ranking.ranked_hosts(chunk, region) {
+                if *peer == self.local {
                     ahead.extend(before);
                     break;
                 }
-                if !self.is_lost(*peer) {
+                if !self.is_unavailable(*peer) {
                     before = Some(*peer);
                 }
             }
@@ -159,21 +168,21 @@
         ahead
     }
 
-    fn missing(&self) -> impl Iterator<Item = u32> {
-        (0..self.have.chunk_count()).filter(|chunk| !self.have.contains(*chunk))
+    fn missing_chunks(&self) -> impl Iterator<Item = u32> {
+        (0..self.held_chunks.chunk_count()).filter(|chunk| !self.held_chunks.contains(*chunk))
     }
 
-    fn first_living(&self, chunk: u32, region: usize) -> Option<PeerKey> {
-        let ranked = self.homes.ranked_hosts(chunk, region);
-        ranked.iter().copied().find(|peer| !self.is_lost(*peer))
+    fn primary_holder(&self, chunk: u32, region: usize) -> Option<PeerKey> {
+        let ranked = self.ranking.ranked_hosts(chunk, region);
+        ranked
+            .iter()
+            .copied()
+            .find(|peer| !self.is_unavailable(*peer))
     }
 
-    fn is_lost(&self, peer: PeerKey) -> bool {
-        match self
-            .neighbours
-            .binary_search_by_key(&peer, |neighbour| neighbour.key)
-        {
-            Ok(at) => self.neighbours[at].lost,
+    fn is_unavailable(&self, peer: PeerKey) -> bool {
+        match self.peers.binary_search_by_key(&peer, |state| state.key) {
+            Ok(at) => self.peers[at].unavailable,
             Err(_) => false,
         }
     }
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -18,11 +18,11 @@
 
 /// Everything a plan refers to.
 struct Case {
-    homes: ChunkRanking,
-    me: PeerKey,
-    have: ChunkBitmap,
+    ranking: ChunkRanking,
+    local: PeerKey,
+    held_chunks: ChunkBitmap,
     in_flight: Vec<ChunkFetch>,
-    neighbours: Vec<PeerState>,
+    peers: Vec<PeerState>,
     settings: PlanSettings,
     now_ms: u64,
     origin_blocked_until_ms: u64,
@@ -30,13 +30,13 @@
 }
 
 impl Case {
-    fn new(count: usize, regions: usize, me: u32) -> Self {
+    fn new(count: usize, regions: usize, local: u32) -> Self {
         Self {
-            homes: homes(CHUNKS, &hosts(count, regions)),
-            me: PeerKey(me),
-            have: ChunkBitmap::empty(CHUNKS),
+            ranking: homes(CHUNKS, &hosts(count, regions)),
+            local: PeerKey(local),
+            held_chunks: ChunkBitmap::empty(CHUNKS),
             in_flight: Vec::new(),
-            neighbours: Vec::new(),
+            peers: Vec::new(),
             settings: PlanSettings::default(),
             now_ms: 0,
             origin_blocked_until_ms: 0,
@@ -48,22 +48,22 @@
         let count: u32 = u.int_in_range(1..=20)?;
         let regions = u.int_in_range(1..=3)?;
         let mut case = Self::new(count as usize, regions, u.int_in_range(0..=count - 1)?);
-        case.have = some_chunks(u)?;
+        case.held_chunks = some_chunks(u)?;
         case.now_ms = u.int_in_range(0..=100_000)?;
         case.seed = u.arbitrary()?;
         for key in 0..count {
-            if key != case.me.0 && u.arbitrary()? {
-                case.neighbours.push(PeerState {
+            if key != case.local.0 && u.arbitrary()? {
+                case.peers.push(PeerState {
                     key: PeerKey(key),
-                    have: some_chunks(u)?,
-                    queue: u.int_in_range(0..=5)?,
+                    held_chunks: some_chunks(u)?,
+                    queued_reads: u.int_in_range(0..=5)?,
                     blocked_until_ms: u.int_in_range(0..=200_000)?,
-                    lost: u.ratio(1, 5)?,
+                    unavailable: u.ratio(1, 5)?,
                 });
             }
         }
         for chunk in 0..u.int_in_range(0..=3)? {
-            if !case.have.contains(chunk) {
+            if !case.held_chunks.contains(chunk) {
                 case.in_flight.push(ChunkFetch {
                     chunk,
                     source: ChunkSource::Origin,
@@ -77,11 +77,11 @@
         next_fetches(&PlanInput {
             now_ms: self.now_ms,
             progress_ms: 0,
-            me: self.me,
-            homes: &self.homes,
-            have: &self.have,
+            local: self.local,
+            ranking: &self.ranking,
+            held_chunks: &self.held_chunks,
             in_flight: &self.in_flight,
-            neighbours: &self.neighbours,
+            peers: &self.peers,
             origin_blocked_until_ms: self.origin_blocked_until_ms,
             settings: &self.settings,
             seed: self.seed,
@@ -90,25 +90,23 @@
 
     /// Every host of another region holds everything.
     fn know_other_regions(&mut self) {
-        let region = self.homes.region_of(self.me);
+        let region = self.ranking.region_of(self.local);
         let others = (0..12)
             .map(PeerKey)
-            .filter(|key| self.homes.region_of(*key) != region);
-        self.neighbours = others
+            .filter(|key| self.ranking.region_of(*key) != region);
+        self.peers = others
             .map(|key| PeerState {
                 key,
-                have: ChunkBitmap::complete(CHUNKS),
-                queue: 0,
+                held_chunks: ChunkBitmap::complete(CHUNKS),
+                queued_reads: 0,
                 blocked_until_ms: 0,
-                lost: false,
+                unavailable: false,
             })
             .collect();
     }
 
-    fn neighbour(&self, key: PeerKey) -> Option<&PeerState> {
-        self.neighbours
-            .iter()
-            .find(|neighbour| neighbour.key == key)
+    fn peer(&self, key: PeerKey) -> Option<&PeerState> {
+        self.peers.iter().find(|state| state.key == key)
     }
 }
 
@@ -132,7 +130,11 @@
         chunks.sort_unstable();
         chunks.dedup();
         assert_eq!(chunks.len(), all.len());
-        assert!(chunks.iter().all(|chunk| !case.have.contains(*chunk)));
+        assert!(
+            chunks
+                .iter()
+                .all(|chunk| !case.held_chunks.contains(*chunk))
+        );
         Ok(())
     });
 }
@@ -142,24 +144,26 @@
     arbtest(|u| {
         let case = Case::arbitrary(u)?;
         let plan = case.plan();
-        let region = case.homes.region_of(case.me);
+        let region = case.ranking.region_of(case.local);
         for fetch in &plan {
             let ChunkSource::Peer(key) = fetch.source else {
                 continue;
             };
-            assert_ne!(key, case.me);
-            let known = case.neighbour(key);
-            assert!(known.is_none_or(|peer| !peer.lost && peer.blocked_until_ms <= case.now_ms));
-            if case.homes.region_of(key) == region {
-                assert!(known.is_some_and(|peer| peer.have.contains(fetch.chunk)));
+            assert_ne!(key, case.local);
+            let known = case.peer(key);
+            assert!(
+                known.is_none_or(|peer| !peer.unavailable && peer.blocked_until_ms <= case.now_ms)
+            );
+            if case.ranking.region_of(key) == region {
+                assert!(known.is_some_and(|peer| peer.held_chunks.contains(fetch.chunk)));
             }
             let same = plan
                 .iter()
                 .filter(|other| other.source == fetch.source)
                 .count();
-            assert!(same <= case.settings.max_per_peer);
+            assert!(same <= case.settings.max_fetches_per_peer);
         }
-        assert!(plan.len() <= case.settings.max_fetches + case.settings.max_duties);
+        assert!(plan.len() <= case.settings.max_regional_fetches + case.settings.max_imports);
         Ok(())
     });
 }
@@ -168,15 +172,15 @@
 fn next_fetches_crosses_regions_only_along_the_route() {
     arbtest(|u| {
         let case = Case::arbitrary(u)?;
-        let region = case.homes.region_of(case.me);
+        let region = case.ranking.region_of(case.local);
         for fetch in case.plan() {
             match fetch.source {
                 ChunkSource::Origin => {
-                    assert_eq!(case.homes.upstream_region(fetch.chunk, region), None)
+                    assert_eq!(case.ranking.upstream_region(fetch.chunk, region), None)
                 }
-                ChunkSource::Peer(key) if case.homes.region_of(key) != region => {
-                    let feeder = case.homes.upstream_region(fetch.chunk, region);
-                    assert_eq!(feeder, Some(case.homes.region_of(key)));
+                ChunkSource::Peer(key) if case.ranking.region_of(key) != region => {
+                    let feeder = case.ranking.upstream_region(fetch.chunk, region);
+                    assert_eq!(feeder, Some(case.ranking.region_of(key)));
                 }
                 ChunkSource::Peer(_) => {}
             }
@@ -189,11 +193,11 @@
 fn next_fetches_one_reader_per_chunk_and_region() {
     for regions in 1..4 {
         let mut readers = vec![0; CHUNKS as usize * regions];
-        for me in 0..12 {
-            let mut case = Case::new(12, regions, me);
-            case.settings.max_duties = CHUNKS as usize;
-            case.settings.max_per_peer = CHUNKS as usize;
-            let region = case.homes.region_of(case.me);
+        for local in 0..12 {
+            let mut case = Case::new(12, regions, local);
+            case.settings.max_imports = CHUNKS as usize;
+            case.settings.max_fetches_per_peer = CHUNKS as usize;
+            let region = case.ranking.region_of(case.local);
             case.know_other_regions();
             for fetch in case.plan() {
                 readers[region * CHUNKS as usize + fetch.chunk as usize] += 1;
@@ -209,20 +213,20 @@
 #[test]
 fn next_fetches_second_rank_takes_over_when_first_is_lost() {
     let mut case = Case::new(12, 1, 0);
-    let ranked = case.homes.ranked_hosts(5, 0).to_vec();
-    case.me = ranked[1];
-    case.settings.max_duties = CHUNKS as usize;
+    let ranked = case.ranking.ranked_hosts(5, 0).to_vec();
+    case.local = ranked[1];
+    case.settings.max_imports = CHUNKS as usize;
     let duty = ChunkFetch {
         chunk: 5,
         source: ChunkSource::Origin,
     };
     assert!(!case.plan().contains(&duty));
-    case.neighbours.push(PeerState {
+    case.peers.push(PeerState {
         key: ranked[0],
-        have: ChunkBitmap::empty(CHUNKS),
-        queue: 0,
+        held_chunks: ChunkBitmap::empty(CHUNKS),
+        queued_reads: 0,
         blocked_until_ms: 0,
-        lost: true,
+        unavailable: true,
     });
     assert!(case.plan().contains(&duty));
 }
@@ -230,8 +234,8 @@
 #[test]
 fn next_fetches_second_rank_takes_over_after_silence() {
     let mut case = Case::new(12, 1, 0);
-    case.me = case.homes.ranked_hosts(5, 0)[1];
-    case.settings.max_duties = CHUNKS as usize;
+    case.local = case.ranking.ranked_hosts(5, 0)[1];
+    case.settings.max_imports = CHUNKS as usize;
     let reads_origin = |case: &Case| case.plan().iter().any(|fetch| fetch.chunk == 5);
     case.now_ms = case.settings.takeover_wait_ms - 1;
     assert!(!reads_origin(&case));
@@ -242,20 +246,20 @@
 #[test]
 fn next_fetches_rarest_first() {
     let mut case = Case::new(12, 1, 0);
-    case.settings.max_duties = 0;
-    case.settings.max_fetches = 1;
+    case.settings.max_imports = 0;
+    case.settings.max_regional_fetches = 1;
     for key in 1..4 {
-        let mut have = ChunkBitmap::empty(CHUNKS);
-        have.insert(1);
+        let mut held_chunks = ChunkBitmap::empty(CHUNKS);
+        held_chunks.insert(1);
         if key == 2 {
-            have.insert(9);
+            held_chunks.insert(9);
         }
-        case.neighbours.push(PeerState {
+        case.peers.push(PeerState {
             key: PeerKey(key),
-            have,
-            queue: 0,
+            held_chunks,
+            queued_reads: 0,
             blocked_until_ms: 0,
-            lost: false,
+            unavailable: false,
         });
     }
     let expected = ChunkFetch {
@@ -271,25 +275,25 @@
     case.origin_blocked_until_ms = 500;
     assert!(case.plan().is_empty());
     case.now_ms = 500;
-    assert_eq!(case.plan().len(), case.settings.max_duties);
+    assert_eq!(case.plan().len(), case.settings.max_imports);
 }
 
 #[test]
 fn next_fetches_fourth_rank_takes_over_when_three_are_lost() {
     let mut case = Case::new(12, 1, 0);
-    let ranked = case.homes.ranked_hosts(5, 0).to_vec();
-    case.me = ranked[3];
-    case.settings.max_duties = CHUNKS as usize;
+    let ranked = case.ranking.ranked_hosts(5, 0).to_vec();
+    case.local = ranked[3];
+    case.settings.max_imports = CHUNKS as usize;
     let mut lost = ranked[..3].to_vec();
     lost.sort_unstable();
-    case.neighbours = lost
+    case.peers = lost
         .into_iter()
         .map(|key| PeerState {
             key,
-            have: ChunkBitmap::empty(CHUNKS),
-            queue: 0,
+            held_chunks: ChunkBitmap::empty(CHUNKS),
+            queued_reads: 0,
             blocked_until_ms: 0,
-            lost: true,
+            unavailable: true,
         })
         .collect();
     assert!(case.plan().iter().any(|fetch| fetch.chunk == 5));
--- a/tests/weights_transfer/fleet.rs
+++ b/tests/weights_transfer/fleet.rs
@@ -160,7 +160,7 @@
             http: HttpClient::to_processes(KEY),
             swarm: SwarmSettings {
                 plan: PlanSettings::default(),
-                neighbours: 8,
+                max_probed_peers: 8,
             },
             peer_wait_ms: 500,
             origin_wait_ms: 5000,
