--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -199,7 +199,7 @@
     let Some(note) = version.note() else {
         return not_taking_part();
     };
-    let Some(head) = ChunkFrame::encode_head(outcome, note) else {
+    let Some(head) = ChunkFrame::encode_header(outcome, note) else {
         return HttpResponse::InternalServerError().body("the head does not encode");
     };
     let size = (head.len() + chunk.len()) as u64;
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -264,13 +264,13 @@
             }
             (ReadResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
                 self.swarm
-                    .record_peer_status(peer, &frame.note.have, frame.note.queue);
+                    .record_peer_status(peer, &frame.status.have, frame.status.queue);
                 match frame.outcome {
                     ReadOutcome::Sent => self.take_chunk(fetch, frame.chunk, "peer"),
                     ReadOutcome::Busy => self.defer(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
                         self.share.metrics.retried("peer_lacks_chunk");
-                        self.swarm.peer_lacks_chunk(fetch, &frame.note, now_ms);
+                        self.swarm.peer_lacks_chunk(fetch, &frame.status, now_ms);
                     }
                 }
             }
--- a/src/weights/frame.rs
+++ b/src/weights/chunk_frame.rs
@@ -9,9 +9,10 @@
 const LEN_BYTES: usize = 4;
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Head {
+struct FrameHeader {
     outcome: ReadOutcome,
-    note: PeerStatus,
+    #[serde(rename = "note")]
+    status: PeerStatus,
 }
 
 /// A peer's answer to a read: outcome, note, and the chunk if it was sent.
@@ -22,30 +23,30 @@
     /// What became of the read.
     pub outcome: ReadOutcome,
     /// What the peer tells of itself.
-    pub note: PeerStatus,
+    pub status: PeerStatus,
     /// The chunk; empty unless it was sent.
     pub chunk: Bytes,
 }
 
 impl ChunkFrame {
     /// Length and head, to be followed by the chunk.
-    pub fn encode_head(outcome: ReadOutcome, note: PeerStatus) -> Option<Vec<u8>> {
-        let head = rmp_serde::to_vec_named(&Head { outcome, note }).ok()?;
-        let mut bytes = u32::try_from(head.len()).ok()?.to_le_bytes().to_vec();
-        bytes.extend_from_slice(&head);
+    pub fn encode_header(outcome: ReadOutcome, status: PeerStatus) -> Option<Vec<u8>> {
+        let header = rmp_serde::to_vec_named(&FrameHeader { outcome, status }).ok()?;
+        let mut bytes = u32::try_from(header.len()).ok()?.to_le_bytes().to_vec();
+        bytes.extend_from_slice(&header);
         Some(bytes)
     }
 
     /// Reads a frame; the chunk shares the memory of `bytes`.
     pub fn decode(bytes: &Bytes) -> Option<Self> {
         let (len, rest) = bytes.split_first_chunk::<LEN_BYTES>()?;
-        let head_end = LEN_BYTES.checked_add(u32::from_le_bytes(*len) as usize)?;
-        let head = rest.get(..head_end - LEN_BYTES)?;
-        let head: Head = rmp_serde::from_slice(head).ok()?;
+        let header_end = LEN_BYTES.checked_add(u32::from_le_bytes(*len) as usize)?;
+        let header = rest.get(..header_end - LEN_BYTES)?;
+        let header: FrameHeader = rmp_serde::from_slice(header).ok()?;
         Some(Self {
-            outcome: head.outcome,
-            note: head.note,
-            chunk: bytes.slice(head_end..),
+            outcome: header.outcome,
+            status: header.status,
+            chunk: bytes.slice(header_end..),
         })
     }
 }
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -6,10 +6,10 @@
 //! plan ([`next_fetches`]) is a pure function of what a host knows.
 
 mod chunk_bitmap;
+mod chunk_frame;
 mod chunk_ranking;
 mod chunk_store;
 mod digest;
-mod frame;
 mod hold_reason;
 mod manifest;
 mod memory_budget;
@@ -22,6 +22,7 @@
 mod weights_replica;
 
 pub use chunk_bitmap::ChunkBitmap;
+pub use chunk_frame::ChunkFrame;
 pub use chunk_ranking::ChunkRanking;
 pub use chunk_ranking::PeerKey;
 pub use chunk_ranking::SwarmHost;
@@ -31,7 +32,6 @@
 pub use chunk_store::RejectReason;
 pub use digest::Digest;
 pub use digest::DigestError;
-pub use frame::ChunkFrame;
 pub use hold_reason::HoldReason;
 pub use manifest::Manifest;
 pub use manifest::ManifestError;
--- a/tests/weights_transfer/peers.rs
+++ b/tests/weights_transfer/peers.rs
@@ -29,7 +29,7 @@
 }
 
 async fn wrong_chunk() -> HttpResponse {
-    let mut body = ChunkFrame::encode_head(ReadOutcome::Sent, note()).expect("it encodes");
+    let mut body = ChunkFrame::encode_header(ReadOutcome::Sent, note()).expect("it encodes");
     body.resize(body.len() + CHUNK_BYTES as usize, 7);
     HttpResponse::Ok().body(body)
 }
