--- a/tests/spec_weights/main.rs
+++ b/tests/spec_weights/main.rs
@@ -6,28 +6,30 @@
 //! model drives the life cycle of the product. Each protective rule is then taken
 //! out in turn, and the exploration must find a violation.
 
-mod world;
+mod model;
 
 use pathfinding::directed::bfs::bfs;
 use pathfinding::directed::bfs::bfs_reach;
 
-use crate::world::Rule;
-use crate::world::World;
+use crate::model::Activation;
+use crate::model::Rule;
 
 /// Fewest states that make the exploration worth its name.
 const LEAST_STATES: usize = 1000;
 
-fn violation_without(rule: Rule) -> Option<Vec<World>> {
-    bfs(&World::new(Some(rule)), World::successors, |world| {
-        world.violation().is_some()
-    })
+fn violation_without(rule: Rule) -> Option<Vec<Activation>> {
+    bfs(
+        &Activation::new(Some(rule)),
+        Activation::successors,
+        |state| state.violation().is_some(),
+    )
 }
 
 #[test]
 fn activation_holds_in_all_states() {
     let mut states = 0;
-    for world in bfs_reach(World::new(None), World::successors) {
-        assert_eq!(world.violation(), None, "{world:?}");
+    for state in bfs_reach(Activation::new(None), Activation::successors) {
+        assert_eq!(state.violation(), None, "{state:?}");
         states += 1;
     }
     assert!(states > LEAST_STATES, "{states} states");
@@ -35,7 +37,11 @@
 
 #[test]
 fn activation_reaches_serving() {
-    let path = bfs(&World::new(None), World::successors, World::serves_wanted);
+    let path = bfs(
+        &Activation::new(None),
+        Activation::successors,
+        Activation::serves_wanted,
+    );
     assert!(path.is_some());
 }
 
--- a/tests/spec_weights/world.rs
+++ b/tests/spec_weights/model.rs
@@ -50,7 +50,7 @@
 
 /// One host, its engine, and what may still go wrong.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct World {
+pub struct Activation {
     without: Option<Rule>,
     wanted: usize,
     stages: [Stage; VERSIONS],
@@ -108,7 +108,7 @@
     replica
 }
 
-impl World {
+impl Activation {
     pub fn new(without: Option<Rule>) -> Self {
         Self {
             without,
@@ -167,32 +167,32 @@
     }
 
     fn with_stage(&self, version: usize, stage: Stage) -> Self {
-        let mut world = self.clone();
-        world.stages[version] = stage;
-        world
+        let mut state = self.clone();
+        state.stages[version] = stage;
+        state
     }
 
     fn change_document(&self, next: &mut Vec<Self>) {
         if let Some(left) = self.changes_left.checked_sub(1) {
-            let mut world = self.clone();
-            world.changes_left = left;
-            world.wanted = 1 - self.wanted;
-            next.push(world);
+            let mut state = self.clone();
+            state.changes_left = left;
+            state.wanted = 1 - self.wanted;
+            next.push(state);
         }
     }
 
     /// The engine comes back empty; the host notices and orders again.
     fn restart_engine(&self, next: &mut Vec<Self>) {
         if let Some(left) = self.restarts_left.checked_sub(1) {
-            let mut world = self.clone();
-            world.restarts_left = left;
-            world.engine = [None; VERSIONS];
-            for stage in &mut world.stages {
+            let mut state = self.clone();
+            state.restarts_left = left;
+            state.engine = [None; VERSIONS];
+            for stage in &mut state.stages {
                 if *stage == Stage::Serving {
                     *stage = Stage::Verified;
                 }
             }
-            next.push(world);
+            next.push(state);
         }
     }
 
@@ -202,16 +202,16 @@
             next.push(self.with_chunk(version, index, Content::Of(version)));
             if let Some(left) = self.bad_chunks_left.checked_sub(1) {
                 for content in [Content::Corrupted, Content::Of(1 - version)] {
-                    let mut world = self.with_chunk(version, index, content);
-                    world.bad_chunks_left = left;
-                    next.push(world);
+                    let mut state = self.with_chunk(version, index, content);
+                    state.bad_chunks_left = left;
+                    next.push(state);
                 }
             }
         }
     }
 
     fn with_chunk(&self, version: usize, index: usize, content: Content) -> Self {
-        let mut world = self.clone();
+        let mut state = self.clone();
         let mut replica = replica(version, &self.chunks[version]);
         let bytes = bytes_of(content, index).expect("a chunk that arrives has bytes");
         let kept = match self.lacks(Rule::CheckChunks) {
@@ -219,9 +219,9 @@
             false => replica.insert_chunk(index as u32, bytes) == InsertOutcome::Stored,
         };
         if kept {
-            world.chunks[version][index] = content;
+            state.chunks[version][index] = content;
         }
-        world
+        state
     }
 
     fn verify(&self, version: usize, next: &mut Vec<Self>) {
@@ -253,18 +253,18 @@
         if let Some(left) = self.cut_reads_left.checked_sub(1) {
             let mut cut = self.chunks[version];
             cut[CHUNKS - 1] = Content::Missing;
-            let mut world = self.loaded(version, cut);
-            world.cut_reads_left = left;
-            next.push(world);
+            let mut state = self.loaded(version, cut);
+            state.cut_reads_left = left;
+            next.push(state);
         }
     }
 
     fn loaded(&self, version: usize, held: Contents) -> Self {
-        let mut world = self.clone();
-        world.engine[version] = Some(held);
+        let mut state = self.clone();
+        state.engine[version] = Some(held);
         let Verification::Verified(verified) = replica(version, &self.chunks[version]).verify()
         else {
-            return world.with_stage(version, Stage::Serving);
+            return state.with_stage(version, Stage::Serving);
         };
         let serves = match verified.confirm_loaded(digest_of(&held)) {
             LoadCheck::Loaded(_) => true,
@@ -275,6 +275,6 @@
         } else {
             Stage::Verified
         };
-        world.with_stage(version, stage)
+        state.with_stage(version, stage)
     }
 }
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -1,7 +1,7 @@
 use arbtest::arbtest;
 use bytes::Bytes;
 
-use crate::world::sample_manifest;
+use crate::samples::sample_manifest;
 use bergamotfork::weights::ChunkBitmap;
 use bergamotfork::weights::ChunkStore;
 use bergamotfork::weights::Digest;
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -2,8 +2,8 @@
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
 
-use crate::world::homes;
-use crate::world::hosts;
+use crate::samples::sample_hosts;
+use crate::samples::sample_ranking;
 use bergamotfork::weights::ChunkBitmap;
 use bergamotfork::weights::ChunkFetch;
 use bergamotfork::weights::ChunkRanking;
@@ -32,7 +32,7 @@
 impl Case {
     fn new(count: usize, regions: usize, local: u32) -> Self {
         Self {
-            ranking: homes(CHUNKS, &hosts(count, regions)),
+            ranking: sample_ranking(CHUNKS, &sample_hosts(count, regions)),
             local: PeerKey(local),
             held_chunks: ChunkBitmap::empty(CHUNKS),
             in_flight: Vec::new(),
--- a/tests/weights/homes.rs
+++ b/tests/weights/ranking.rs
@@ -1,19 +1,19 @@
 use arbtest::arbtest;
 
-use crate::world::homes;
-use crate::world::hosts;
+use crate::samples::sample_hosts;
+use crate::samples::sample_ranking;
 use bergamotfork::weights::PeerKey;
 
 #[test]
 fn ranked_same_for_any_order_of_hosts() {
     arbtest(|u| {
-        let sorted = hosts(u.int_in_range(3..=30)?, 3);
+        let sorted = sample_hosts(u.int_in_range(3..=30)?, 3);
         let mut shuffled = sorted.clone();
         for at in 0..shuffled.len() {
             shuffled.swap(at, u.choose_index(sorted.len())?);
         }
-        let one = homes(20, &sorted);
-        let other = homes(20, &shuffled);
+        let one = sample_ranking(20, &sorted);
+        let other = sample_ranking(20, &shuffled);
         for chunk in 0..20 {
             for region in 0..one.region_count() {
                 let names = |keys: &[PeerKey], list: &[bergamotfork::weights::SwarmHost]| {
@@ -34,7 +34,7 @@
 #[test]
 fn feeder_forms_one_chain_from_the_origin() {
     for regions in 1..6 {
-        let homes = homes(200, &hosts(12, regions));
+        let homes = sample_ranking(200, &sample_hosts(12, regions));
         for chunk in 0..200 {
             for region in 0..regions {
                 let mut at = region;
@@ -52,7 +52,7 @@
 
 #[test]
 fn feeder_splits_three_regions_in_halves() {
-    let homes = homes(400, &hosts(12, 3));
+    let homes = sample_ranking(400, &sample_hosts(12, 3));
     let direct = (0..400)
         .filter(|chunk| homes.upstream_region(*chunk, 1) == Some(0))
         .count();
--- a/tests/weights/life.rs
+++ b/tests/weights/replica.rs
@@ -1,6 +1,6 @@
 use bytes::Bytes;
 
-use crate::world::sample_manifest;
+use crate::samples::sample_manifest;
 use bergamotfork::weights::Digest;
 use bergamotfork::weights::Fetching;
 use bergamotfork::weights::HoldReason;
--- a/tests/weights/world.rs
+++ b/tests/weights/samples.rs
@@ -16,7 +16,7 @@
     (Arc::new(manifest), bytes)
 }
 
-pub fn hosts(count: usize, regions: usize) -> Vec<SwarmHost> {
+pub fn sample_hosts(count: usize, regions: usize) -> Vec<SwarmHost> {
     (0..count)
         .map(|index| SwarmHost {
             name: format!("host-{index}"),
@@ -26,6 +26,6 @@
         .collect()
 }
 
-pub fn homes(chunks: u32, hosts: &[SwarmHost]) -> ChunkRanking {
+pub fn sample_ranking(chunks: u32, hosts: &[SwarmHost]) -> ChunkRanking {
     ChunkRanking::new(Digest::of_bytes(b"a version"), chunks, hosts, "region-0")
 }
--- a/tests/weights_rollout/main.rs
+++ b/tests/weights_rollout/main.rs
@@ -4,6 +4,6 @@
 mod support;
 
 mod holds;
+mod load_slots;
 mod proxy;
 mod site;
-mod turns;
--- a/tests/weights_transfer/faults.rs
+++ b/tests/weights_transfer/faults.rs
@@ -10,32 +10,35 @@
 use crate::fleet::hosts;
 use crate::fleet::members;
 use crate::fleet::publish;
+use crate::fleet::published_origin;
 use crate::fleet::send;
 use crate::fleet::stats;
-use crate::fleet::world;
 use bergamotfork::endpoint::SetMembers;
 use bergamotfork::endpoint::StopTransfer;
 use bergamotfork::weights::HoldReason;
 
 #[actix_rt::test]
 async fn transfer_without_faults_reads_one_copy() {
-    let world = world().await;
+    let published = published_origin().await;
     let hosts = hosts(6);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &members);
+        host.fetch(&published.origin, &published.manifest, &members);
     }
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
-    assert_eq!(stats(&world.origin).await.chunks_sent, u64::from(CHUNKS));
+    assert_eq!(
+        stats(&published.origin).await.chunks_sent,
+        u64::from(CHUNKS)
+    );
 }
 
 #[actix_rt::test]
 async fn transfer_chunk_corrupted_by_origin() {
-    let world = world().await;
+    let published = published_origin().await;
     send(
-        &world.origin,
+        &published.origin,
         "/fault",
         json!({"corrupt_chunk": 3, "corrupt_times": 2}),
     )
@@ -43,10 +46,10 @@
     let hosts = hosts(3);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &members);
+        host.fetch(&published.origin, &published.manifest, &members);
     }
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
     let rejected =
         |host: &crate::fleet::Host| host.counted("bergamotfork_chunks_rejected", "wrong_digest");
@@ -55,70 +58,73 @@
 
 #[actix_rt::test]
 async fn transfer_chunk_truncated_by_origin() {
-    let world = world().await;
-    send(&world.origin, "/fault", json!({"truncate_chunk": 3})).await;
+    let published = published_origin().await;
+    send(&published.origin, "/fault", json!({"truncate_chunk": 3})).await;
     let host = host("host", SIZE_BYTES);
     host.fetch(
-        &world.origin,
-        &world.manifest,
+        &published.origin,
+        &published.manifest,
         std::slice::from_ref(&host.member),
     );
     while !host.counted("bergamotfork_chunks_rejected", "wrong_length") {
         sleep(Duration::from_millis(10)).await;
     }
-    assert!(host.version(&world.manifest).whole().is_none());
-    send(&world.origin, "/fault", json!({})).await;
-    host.verified(&world.manifest).await;
+    assert!(host.version(&published.manifest).whole().is_none());
+    send(&published.origin, "/fault", json!({})).await;
+    host.verified(&published.manifest).await;
 }
 
 #[actix_rt::test]
 async fn transfer_origin_down_and_back() {
-    let world = world().await;
-    send(&world.origin, "/fault", json!({"down": true})).await;
+    let published = published_origin().await;
+    send(&published.origin, "/fault", json!({"down": true})).await;
     let hosts = hosts(4);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &members);
+        host.fetch(&published.origin, &published.manifest, &members);
     }
-    while stats(&world.origin).await.chunk_requests < 20 {
+    while stats(&published.origin).await.chunk_requests < 20 {
         sleep(Duration::from_millis(20)).await;
     }
-    send(&world.origin, "/fault", json!({})).await;
+    send(&published.origin, "/fault", json!({})).await;
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
-    assert_eq!(stats(&world.origin).await.chunks_sent, u64::from(CHUNKS));
+    assert_eq!(
+        stats(&published.origin).await.chunks_sent,
+        u64::from(CHUNKS)
+    );
 }
 
 #[actix_rt::test]
 async fn transfer_origin_limits_its_rate() {
-    let world = world().await;
+    let published = published_origin().await;
     let refuse = json!({"refuse": {"status": 429, "retry_after_s": 1, "count": 8}});
-    send(&world.origin, "/fault", refuse).await;
+    send(&published.origin, "/fault", refuse).await;
     let hosts = hosts(4);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &members);
+        host.fetch(&published.origin, &published.manifest, &members);
     }
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
-    let stats = stats(&world.origin).await;
+    let stats = stats(&published.origin).await;
     // Two reads of each host were refused, and each came back once.
     assert!(stats.chunk_requests <= u64::from(CHUNKS) + 8, "{stats:?}");
 }
 
 #[actix_rt::test]
 async fn transfer_over_budget_is_held() {
-    let world = world().await;
+    let published = published_origin().await;
     let host = host("host", SIZE_BYTES - 1);
     let members = std::slice::from_ref(&host.member);
     assert!(
-        host.fetch(&world.origin, &world.manifest, members)
+        host.fetch(&published.origin, &published.manifest, members)
             .is_none()
     );
     assert_eq!(
-        host.version(&world.manifest).held(),
+        host.version(&published.manifest).held(),
         Some(HoldReason::OverBudget {
             size_bytes: SIZE_BYTES,
             used_bytes: 0,
@@ -129,29 +135,29 @@
 
 #[actix_rt::test]
 async fn transfer_superseded_in_flight() {
-    let world = world().await;
+    let published = published_origin().await;
     let slow = json!({"rate_bytes_per_s": 40_000});
-    send(&world.origin, "/fault", slow).await;
+    send(&published.origin, "/fault", slow).await;
     let host = host("host", SIZE_BYTES);
     let members = vec![host.member.clone()];
     let old = host
-        .fetch(&world.origin, &world.manifest, &members)
+        .fetch(&published.origin, &published.manifest, &members)
         .expect("it fits");
     while host
-        .version(&world.manifest)
+        .version(&published.manifest)
         .have()
         .is_none_or(|have| have.holds_none())
     {
         sleep(Duration::from_millis(10)).await;
     }
-    let newer = publish(&world.origin, "v2", 2).await;
-    send(&world.origin, "/fault", json!({})).await;
+    let newer = publish(&published.origin, "v2", 2).await;
+    send(&published.origin, "/fault", json!({})).await;
     old.send(StopTransfer).await.expect("the transfer runs");
-    host.share.forget(world.manifest.digest());
+    host.share.forget(published.manifest.digest());
     while host.share.budget.used_bytes() > 0 {
         sleep(Duration::from_millis(10)).await;
     }
-    host.fetch(&world.origin, &newer, &members)
+    host.fetch(&published.origin, &newer, &members)
         .expect("the memory is free");
     host.verified(&newer).await;
     let whole = host
@@ -160,21 +166,21 @@
         .expect("it is verified")
         .concat();
     assert_eq!(bergamotfork::weights::Digest::of_bytes(&whole), newer.whole);
-    assert!(host.share.version(world.manifest.digest()).is_none());
+    assert!(host.share.version(published.manifest.digest()).is_none());
 }
 
 #[actix_rt::test]
 async fn transfer_peer_killed_and_replaced_at_its_address() {
-    let world = world().await;
+    let published = published_origin().await;
     let slow = json!({"rate_bytes_per_s": 30_000});
-    send(&world.origin, "/fault", slow).await;
+    send(&published.origin, "/fault", slow).await;
     let mut hosts = hosts(4);
     let list = members(&hosts);
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &list);
+        host.fetch(&published.origin, &published.manifest, &list);
     }
     while hosts[3]
-        .version(&world.manifest)
+        .version(&published.manifest)
         .have()
         .is_none_or(|have| have.held_count() < 4)
     {
@@ -183,23 +189,23 @@
     let killed = hosts.pop().expect("there are four");
     killed.server.kill().await;
     let replaced = host_at("host-3", SIZE_BYTES, killed.server.address());
-    replaced.fetch(&world.origin, &world.manifest, &list);
-    send(&world.origin, "/fault", json!({})).await;
+    replaced.fetch(&published.origin, &published.manifest, &list);
+    send(&published.origin, "/fault", json!({})).await;
     hosts.push(replaced);
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
 }
 
 #[actix_rt::test]
 async fn transfer_host_joins_late() {
-    let world = world().await;
+    let published = published_origin().await;
     let hosts = hosts(3);
     let list = members(&hosts);
     let first: Vec<_> = hosts[..2]
         .iter()
         .map(|host| {
-            host.fetch(&world.origin, &world.manifest, &list[..2])
+            host.fetch(&published.origin, &published.manifest, &list[..2])
                 .expect("it fits")
         })
         .collect();
@@ -207,8 +213,8 @@
         // A transfer that is done already has stopped.
         let _ = transfer.send(SetMembers(list.clone())).await;
     }
-    hosts[2].fetch(&world.origin, &world.manifest, &list);
+    hosts[2].fetch(&published.origin, &published.manifest, &list);
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
 }
--- a/tests/weights_transfer/fleet.rs
+++ b/tests/weights_transfer/fleet.rs
@@ -42,7 +42,7 @@
 const LIMIT: Duration = Duration::from_secs(40);
 
 /// The origin with one published version.
-pub struct World {
+pub struct PublishedOrigin {
     pub origin: Handle,
     pub manifest: Manifest,
 }
@@ -58,7 +58,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-pub async fn world() -> World {
+pub async fn published_origin() -> PublishedOrigin {
     let options = OriginOptions {
         listen: any_port(),
         rate_bytes_per_s: 0,
@@ -66,7 +66,7 @@
     };
     let origin = origin::start(options).await.expect("the address is free");
     let manifest = publish(&origin, "v1", 1).await;
-    World { origin, manifest }
+    PublishedOrigin { origin, manifest }
 }
 
 pub async fn publish(origin: &Handle, version: &str, seed: u64) -> Manifest {
--- a/tests/weights_transfer/peers.rs
+++ b/tests/weights_transfer/peers.rs
@@ -10,7 +10,7 @@
 use crate::fleet::hosts;
 use crate::fleet::member;
 use crate::fleet::members;
-use crate::fleet::world;
+use crate::fleet::published_origin;
 use bergamotfork::links::ServeOptions;
 use bergamotfork::links::rmp_response;
 use bergamotfork::links::serve;
@@ -66,16 +66,16 @@
 
 #[actix_rt::test]
 async fn transfer_chunks_corrupted_by_peer() {
-    let world = world().await;
+    let published = published_origin().await;
     let liar = lying_peer();
     let hosts = hosts(3);
     let mut list = members(&hosts);
     list.push(member("liar", liar.address()));
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &list);
+        host.fetch(&published.origin, &published.manifest, &list);
     }
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
     let rejected =
         |host: &crate::fleet::Host| host.counted("bergamotfork_chunks_rejected", "wrong_digest");
@@ -84,22 +84,22 @@
 
 #[actix_rt::test]
 async fn transfer_peer_stalls_in_chunks() {
-    let world = world().await;
+    let published = published_origin().await;
     let stalling = stalling_peer();
     let hosts = hosts(3);
     let mut list = members(&hosts);
     list.push(member("stalling", stalling.address()));
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &list);
+        host.fetch(&published.origin, &published.manifest, &list);
     }
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
 }
 
 #[actix_rt::test]
 async fn transfer_home_frozen_before_it_answers() {
-    let world = world().await;
+    let published = published_origin().await;
     // Connections are made by the kernel, but nobody reads from them.
     let frozen = TcpListener::bind(any_port()).expect("the address is free");
     let address = frozen.local_addr().expect("it is bound");
@@ -107,9 +107,9 @@
     let mut list = members(&hosts);
     list.push(member("frozen", address));
     for host in &hosts {
-        host.fetch(&world.origin, &world.manifest, &list);
+        host.fetch(&published.origin, &published.manifest, &list);
     }
     for host in &hosts {
-        host.verified(&world.manifest).await;
+        host.verified(&published.manifest).await;
     }
 }
