--- a/tests/spec_weights/main.rs
+++ b/tests/spec_weights/main.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn activation_holds_in_all_states() {
+fn activation_no_violation_in_any_state() {
     let mut states = 0;
     for state in bfs_reach(Activation::new(None), Activation::successors) {
         assert_eq!(state.violation(), None, "{state:?}");
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn activation_fails_without_the_whole_verified() {
+fn activation_violated_without_verify_content() {
     assert!(violation_without(Rule::VerifyWhole).is_some());
 }
 
 #[test]
-fn activation_fails_without_chunk_digests() {
+fn activation_violated_without_check_chunks() {
     assert!(violation_without(Rule::CheckChunks).is_some());
 }
 
 #[test]
-fn activation_fails_without_the_digest_of_the_engine() {
+fn activation_violated_without_compare_loaded() {
     assert!(violation_without(Rule::CompareLoaded).is_some());
 }
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -13,7 +13,7 @@
 use bergamotfork::weights::RejectReason;
 
 #[test]
-fn manifest_digest_depends_on_every_field() {
+fn digest_any_field_changed() {
     let (manifest, _) = sample_manifest(1000, 100);
     let mut others = vec![Manifest::clone(&manifest); 7];
     others[0].model = "chat2".to_owned();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn manifest_survives_both_codecs() {
+fn manifest_json_and_messagepack_round_trip() {
     let (manifest, _) = sample_manifest(1000, 100);
     let json = serde_json::to_vec(&*manifest).expect("a manifest encodes");
     let from_json: Manifest = serde_json::from_slice(&json).expect("JSON decodes");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn have_map_codec_any_map() {
+fn chunk_bitmap_round_trip_any_map() {
     arbtest(|u| {
         let len: u32 = u.int_in_range(0..=300)?;
         let mut map = ChunkBitmap::empty(len);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn have_map_decode_any_bytes() {
+fn chunk_bitmap_decode_any_bytes() {
     arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         if let Some(map) = ChunkBitmap::decode(&bytes[..bytes.len().min(64)]) {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn insert_keeps_only_correct_chunks() {
+fn insert_correct_and_corrupt_chunks() {
     let (manifest, bytes) = sample_manifest(1030, 100);
     let budget = MemoryBudget::new(2000);
     arbtest(|u| {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn store_over_budget_is_held() {
+fn chunk_store_new_over_budget() {
     let (manifest, _) = sample_manifest(1000, 100);
     let budget = MemoryBudget::new(1500);
     let first = ChunkStore::new(manifest.clone(), &budget).expect("the first fits");
--- a/tests/weights/links.rs
+++ b/tests/weights/links.rs
@@ -3,7 +3,7 @@
 use bergamotfork::links::TokenBucket;
 
 #[test]
-fn token_bucket_never_passes_more_than_rate_and_burst() {
+fn token_bucket_reserve_within_rate_and_burst() {
     arbtest(|u| {
         let rate_bytes_per_s: u64 = u.int_in_range(1..=1_000_000)?;
         let burst_bytes: u64 = u.int_in_range(0..=10_000)?;
--- a/tests/weights/origin.rs
+++ b/tests/weights/origin.rs
@@ -46,7 +46,7 @@
 }
 
 #[actix_rt::test]
-async fn origin_gives_manifest_and_chunks() {
+async fn origin_manifest_and_chunks() {
     let (handle, client, digest) = started().await;
     let manifest = client
         .manifest("chat", "v1")
@@ -68,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn origin_corrupts_and_truncates_as_ordered() {
+async fn origin_corrupt_and_truncated_chunks() {
     let (handle, client, digest) = started().await;
     let faults = json!({"corrupt_chunk": 1, "corrupt_times": 1, "truncate_chunk": 2});
     send(&handle, "/fault", faults).await;
@@ -80,7 +80,7 @@
 }
 
 #[actix_rt::test]
-async fn origin_refusals_name_the_wait() {
+async fn origin_limited_with_retry_after() {
     let (handle, client, digest) = started().await;
     let refuse = json!({"refuse": {"status": 429, "retry_after_s": 3, "count": 1}});
     send(&handle, "/fault", refuse).await;
@@ -95,7 +95,7 @@
 }
 
 #[actix_rt::test]
-async fn origin_without_manifest() {
+async fn origin_manifest_missing() {
     let (handle, client, _) = started().await;
     assert_eq!(
         client.manifest("chat", "v9").await,
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn next_fetches_never_reads_twice() {
+fn next_fetches_each_chunk_once() {
     arbtest(|u| {
         let case = Case::arbitrary(u)?;
         let mut all = case.in_flight.clone();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn next_fetches_asks_only_open_peers_within_limits() {
+fn next_fetches_available_peers_within_limits() {
     arbtest(|u| {
         let case = Case::arbitrary(u)?;
         let plan = case.plan();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn next_fetches_crosses_regions_only_along_the_route() {
+fn next_fetches_cross_region_along_route() {
     arbtest(|u| {
         let case = Case::arbitrary(u)?;
         let region = case.ranking.region_of(case.local);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn next_fetches_one_reader_per_chunk_and_region() {
+fn next_fetches_one_import_per_chunk_and_region() {
     for regions in 1..4 {
         let mut readers = vec![0; CHUNKS as usize * regions];
         for local in 0..12 {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn next_fetches_second_rank_takes_over_when_first_is_lost() {
+fn next_fetches_second_rank_first_unavailable() {
     let mut case = Case::new(12, 1, 0);
     let ranked = case.ranking.ranked_hosts(5, 0).to_vec();
     case.local = ranked[1];
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn next_fetches_second_rank_takes_over_after_silence() {
+fn next_fetches_second_rank_after_no_progress() {
     let mut case = Case::new(12, 1, 0);
     case.local = case.ranking.ranked_hosts(5, 0)[1];
     case.settings.max_imports = CHUNKS as usize;
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn next_fetches_waits_while_origin_limits() {
+fn next_fetches_origin_blocked() {
     let mut case = Case::new(1, 1, 0);
     case.origin_blocked_until_ms = 500;
     assert!(case.plan().is_empty());
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn next_fetches_fourth_rank_takes_over_when_three_are_lost() {
+fn next_fetches_fourth_rank_three_unavailable() {
     let mut case = Case::new(12, 1, 0);
     let ranked = case.ranking.ranked_hosts(5, 0).to_vec();
     case.local = ranked[3];
--- a/tests/weights/ranking.rs
+++ b/tests/weights/ranking.rs
@@ -5,7 +5,7 @@
 use bergamotfork::weights::PeerKey;
 
 #[test]
-fn ranked_same_for_any_order_of_hosts() {
+fn ranked_hosts_any_list_order() {
     arbtest(|u| {
         let sorted = sample_hosts(u.int_in_range(3..=30)?, 3);
         let mut shuffled = sorted.clone();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn feeder_forms_one_chain_from_the_origin() {
+fn upstream_region_chain_ends_at_origin() {
     for regions in 1..6 {
         let homes = sample_ranking(200, &sample_hosts(12, regions));
         for chunk in 0..200 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn feeder_splits_three_regions_in_halves() {
+fn upstream_region_three_regions_split_evenly() {
     let homes = sample_ranking(400, &sample_hosts(12, 3));
     let direct = (0..400)
         .filter(|chunk| homes.upstream_region(*chunk, 1) == Some(0))
--- a/tests/weights/replica.rs
+++ b/tests/weights/replica.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn verify_whole_contradicts_chunks() {
+fn verify_content_digest_mismatch() {
     let (manifest, bytes) = sample_manifest(1000, 100);
     let mut manifest = (*manifest).clone();
     manifest.whole = Digest::of_bytes(b"another whole");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn loaded_other_digest_is_held() {
+fn confirm_loaded_digest_mismatch() {
     let (replica, _) = fetched(None);
     let Verification::Verified(verified) = replica.verify() else {
         panic!("all chunks are correct");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn fetch_other_manifest() {
+fn start_fetching_wrong_manifest() {
     let (manifest, _) = sample_manifest(1000, 100);
     let announced = WeightsReplica::announced(Digest::of_bytes(b"another manifest"));
     let held = announced.start_fetching(manifest, &MemoryBudget::new(1000));
--- a/tests/weights_rollout/holds.rs
+++ b/tests/weights_rollout/holds.rs
@@ -3,7 +3,7 @@
 use crate::site::Site;
 
 #[actix_rt::test]
-async fn rollout_adapter_waits_for_its_base() {
+async fn rollout_adapter_base_not_loaded() {
     let site = Site::new(2, &[]).await;
     let base = site.publish("chat", "v1", None).await;
     let adapter = site.publish("tides", "v1", Some(base)).await;
@@ -36,7 +36,7 @@
 }
 
 #[actix_rt::test]
-async fn rollout_over_budget_is_told() {
+async fn rollout_over_budget_reported() {
     let mut site = Site::new(0, &[]).await;
     let backend = site.cluster.spare_address();
     site.cluster.run_engine("engine", &backend);
--- a/tests/weights_rollout/load_slots.rs
+++ b/tests/weights_rollout/load_slots.rs
@@ -6,7 +6,7 @@
 use crate::support::until;
 
 #[actix_rt::test]
-async fn rollout_always_leaves_every_host_serving() {
+async fn rollout_hosts_keep_serving() {
     let site = Site::new(3, &[]).await;
     let first = site.publish("chat", "v1", None).await;
     let revision = site.order("chat", 0, "v1", first, "replicas = 3").await;
@@ -31,7 +31,7 @@
 }
 
 #[actix_rt::test]
-async fn rollout_waits_for_a_paused_host_ahead() {
+async fn rollout_preceding_host_paused() {
     let mut site = Site::new(3, &[]).await;
     let first = site.publish("chat", "v1", None).await;
     let revision = site.order("chat", 0, "v1", first, "replicas = 3").await;
@@ -62,7 +62,7 @@
 }
 
 #[actix_rt::test]
-async fn rollout_reply_of_engine_lost() {
+async fn rollout_engine_reply_lost() {
     let mut site = Site::new(0, &[]).await;
     let backend = site.cluster.spare_address();
     site.cluster.run_engine("engine", &backend);
--- a/tests/weights_transfer/faults.rs
+++ b/tests/weights_transfer/faults.rs
@@ -18,7 +18,7 @@
 use bergamotfork::weights::HoldReason;
 
 #[actix_rt::test]
-async fn transfer_without_faults_reads_one_copy() {
+async fn transfer_no_faults_one_origin_copy() {
     let published = published_origin().await;
     let hosts = hosts(6);
     let members = members(&hosts);
@@ -75,7 +75,7 @@
 }
 
 #[actix_rt::test]
-async fn transfer_origin_down_and_back() {
+async fn transfer_origin_down_then_up() {
     let published = published_origin().await;
     send(&published.origin, "/fault", json!({"down": true})).await;
     let hosts = hosts(4);
@@ -97,7 +97,7 @@
 }
 
 #[actix_rt::test]
-async fn transfer_origin_limits_its_rate() {
+async fn transfer_origin_rate_limited() {
     let published = published_origin().await;
     let refuse = json!({"refuse": {"status": 429, "retry_after_s": 1, "count": 8}});
     send(&published.origin, "/fault", refuse).await;
@@ -115,7 +115,7 @@
 }
 
 #[actix_rt::test]
-async fn transfer_over_budget_is_held() {
+async fn transfer_over_budget() {
     let published = published_origin().await;
     let host = host("host", SIZE_BYTES - 1);
     let members = std::slice::from_ref(&host.member);
@@ -170,7 +170,7 @@
 }
 
 #[actix_rt::test]
-async fn transfer_peer_killed_and_replaced_at_its_address() {
+async fn transfer_peer_replaced_at_same_address() {
     let published = published_origin().await;
     let slow = json!({"rate_bytes_per_s": 30_000});
     send(&published.origin, "/fault", slow).await;
--- a/tests/weights_transfer/peers.rs
+++ b/tests/weights_transfer/peers.rs
@@ -83,7 +83,7 @@
 }
 
 #[actix_rt::test]
-async fn transfer_peer_stalls_in_chunks() {
+async fn transfer_peer_stalls() {
     let published = published_origin().await;
     let stalling = stalling_peer();
     let hosts = hosts(3);
@@ -98,7 +98,7 @@
 }
 
 #[actix_rt::test]
-async fn transfer_home_frozen_before_it_answers() {
+async fn transfer_peer_unresponsive() {
     let published = published_origin().await;
     // Connections are made by the kernel, but nobody reads from them.
     let frozen = TcpListener::bind(any_port()).expect("the address is free");
