--- a/src/weights/chunk_bitmap.rs
+++ b/src/weights/chunk_bitmap.rs
@@ -6,16 +6,16 @@
 use serde::Serializer;
 use serde::de;
 
-/// Bits in one word of the map.
+/// Bits in one word of the bitmap.
 const WORD_BITS: u32 = 64;
 
-/// Bytes that carry the number of chunks.
+/// Length of the encoded number of chunks.
 const LEN_BYTES: usize = 4;
 
-/// Which chunks of a version a host holds.
+/// Set of the chunks of a version that a host holds.
 ///
-/// Serialises as the number of chunks and one bit for each; a map that is empty
-/// or complete needs no bits.
+/// Serialises as the number of chunks and one bit for each chunk; the bits are
+/// omitted when no chunk or every chunk is held.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkBitmap {
     chunk_count: u32,
@@ -24,7 +24,7 @@
 }
 
 impl ChunkBitmap {
-    /// A map of `chunk_count` chunks, none held.
+    /// Creates a bitmap of `chunk_count` chunks, none of them held.
     pub fn empty(chunk_count: u32) -> Self {
         Self {
             chunk_count,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A map of `chunk_count` chunks, all held.
+    /// Creates a bitmap of `chunk_count` chunks, all of them held.
     pub fn complete(chunk_count: u32) -> Self {
         let mut map = Self::empty(chunk_count);
         for index in 0..chunk_count {
@@ -42,7 +42,7 @@
         map
     }
 
-    /// Number of chunks in the version.
+    /// Number of chunks in the version, held or not.
     pub fn chunk_count(&self) -> u32 {
         self.chunk_count
     }
@@ -68,7 +68,7 @@
             && self.words[(index / WORD_BITS) as usize] >> (index % WORD_BITS) & 1 == 1
     }
 
-    /// Chunks that `other` holds and this map doesn't.
+    /// Indexes of the chunks that `other` holds and this bitmap doesn't, ascending.
     pub fn missing_held_by<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = u32> + 'a {
         let words = self.words.iter().zip(&other.words);
         (0..).zip(words).flat_map(|(at, (mine, theirs))| {
@@ -81,7 +81,9 @@
         })
     }
 
-    /// Marks chunk `index` as held; false when it was, or is out of range.
+    /// Marks chunk `index` as held.
+    ///
+    /// Returns false when it was held already or is out of range.
     pub fn insert(&mut self, index: u32) -> bool {
         if index >= self.chunk_count || self.contains(index) {
             return false;
@@ -91,7 +93,9 @@
         true
     }
 
-    /// Adds all that `other` holds; maps of other lengths are ignored.
+    /// Marks as held all chunks that `other` holds.
+    ///
+    /// Does nothing when `other` has another number of chunks.
     pub fn merge(&mut self, other: &Self) {
         if other.chunk_count != self.chunk_count {
             return;
@@ -102,7 +106,10 @@
         self.held_count = self.words.iter().map(|word| word.count_ones()).sum();
     }
 
-    /// Compact bytes of the map.
+    /// Encodes the bitmap in its compact binary form.
+    ///
+    /// The number of chunks comes first, as a little-endian u32. Nothing follows
+    /// it when no chunk is held, a byte 1 when all are, else a byte 0 and the bits.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.chunk_count.to_le_bytes().to_vec();
         if self.is_complete() {
@@ -115,7 +122,7 @@
         bytes
     }
 
-    /// Reads the bytes written by [`ChunkBitmap::encode`].
+    /// Decodes what [`ChunkBitmap::encode`] wrote; None when it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (chunk_count, rest) = bytes.split_first_chunk::<LEN_BYTES>()?;
         let chunk_count = u32::from_le_bytes(*chunk_count);
--- a/src/weights/chunk_frame.rs
+++ b/src/weights/chunk_frame.rs
@@ -5,9 +5,10 @@
 use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
 
-/// Bytes that carry the length of the head.
+/// Length of the header's length field, in bytes.
 const LEN_BYTES: usize = 4;
 
+/// Header of a frame, as sent on the wire.
 #[derive(Debug, Serialize, Deserialize)]
 struct FrameHeader {
     outcome: ReadOutcome,
@@ -15,21 +16,22 @@
     status: PeerStatus,
 }
 
-/// A peer's answer to a read: outcome, note, and the chunk if it was sent.
+/// Response of a peer to a read of a chunk.
 ///
-/// On the wire: the length of the head, the head as MessagePack, the bytes.
+/// On the wire: the length of the header as a little-endian u32, the header as
+/// MessagePack, and the bytes of the chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkFrame {
-    /// What became of the read.
+    /// Result of the read.
     pub outcome: ReadOutcome,
-    /// What the peer tells of itself.
+    /// Status of the peer when it responded.
     pub status: PeerStatus,
-    /// The chunk; empty unless it was sent.
+    /// Bytes of the chunk; empty unless the outcome is [`ReadOutcome::Sent`].
     pub chunk: Bytes,
 }
 
 impl ChunkFrame {
-    /// Length and head, to be followed by the chunk.
+    /// Encodes the part of a frame that precedes the chunk; None if that fails.
     pub fn encode_header(outcome: ReadOutcome, status: PeerStatus) -> Option<Vec<u8>> {
         let header = rmp_serde::to_vec_named(&FrameHeader { outcome, status }).ok()?;
         let mut bytes = u32::try_from(header.len()).ok()?.to_le_bytes().to_vec();
@@ -37,7 +39,9 @@
         Some(bytes)
     }
 
-    /// Reads a frame; the chunk shares the memory of `bytes`.
+    /// Decodes a frame; None when it is malformed.
+    ///
+    /// The chunk shares the memory of `bytes`.
     pub fn decode(bytes: &Bytes) -> Option<Self> {
         let (len, rest) = bytes.split_first_chunk::<LEN_BYTES>()?;
         let header_end = LEN_BYTES.checked_add(u32::from_le_bytes(*len) as usize)?;
--- a/src/weights/chunk_ranking.rs
+++ b/src/weights/chunk_ranking.rs
@@ -1,48 +1,53 @@
 use crate::weights::Digest;
 
-/// Ranks kept for each chunk and region.
+/// Hosts that are ranked for each chunk in each region.
 pub const RANKED_HOSTS: usize = 6;
 
-/// Index of a host in the list the plan was made from.
+/// Index of a host in the host list of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerKey(pub u32);
 
-/// A host that wants the version, as the plan sees it.
+/// A host that takes part, or took part, in the transfer of a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SwarmHost {
-    /// Name; ranks depend on names alone, so that lists in any order agree.
+    /// Name of the host.
+    ///
+    /// Ranks depend on names alone, so that hosts whose lists differ in order agree.
     pub name: String,
-    /// Region it stands in.
+    /// Region of the host.
     pub region: String,
-    /// Whether it takes part; hosts that don't are not ranked_hosts.
+    /// Whether the host takes part now; only such hosts are ranked.
     pub present: bool,
 }
 
-/// Who reads each chunk first, in each region.
+/// Ranking of the hosts of each region for each chunk, and the chunk's route.
 ///
-/// For each chunk the hosts of a region are ordered by rendezvous hashing. The
-/// first brings the chunk into the region: from the origin, or from the region
-/// before it on the chunk's route. Routes start in the origin's region and
-/// rotate over the others, so that every thin link carries an equal part.
+/// For each chunk the hosts of a region are ranked by rendezvous hashing. The
+/// first host is the primary holder: it imports the chunk into the region, from
+/// the origin or from the upstream region on the chunk's route. Routes start in
+/// the origin's region and rotate over the other regions, so that each link
+/// between regions carries an equal share of the chunks.
 #[derive(Debug, Clone)]
 pub struct ChunkRanking {
+    /// Regions with hosts; the origin's region is the first if it has any.
     regions: Vec<String>,
+    /// Index of the region of each host; `usize::MAX` if nobody takes part there.
     region_of: Vec<usize>,
-    /// Place of each region among those on a route; the first starts it.
+    /// `RANKED_HOSTS` hosts for each pair of chunk and region, chunk by chunk.
     ranks: Vec<PeerKey>,
     chunk_count: u32,
     manifest_seed: u64,
 }
 
 impl ChunkRanking {
-    /// Ranks `hosts` for `chunks` chunks of the version `manifest`.
+    /// Ranks `hosts` for each of the `chunk_count` chunks of version `manifest`.
     pub fn new(
         manifest: Digest,
         chunk_count: u32,
         hosts: &[SwarmHost],
         origin_region: &str,
     ) -> Self {
-        let regions = regions_by_route(hosts, origin_region);
+        let regions = regions_in_route_order(hosts, origin_region);
         let region_of: Vec<usize> = hosts
             .iter()
             .map(|host| regions.iter().position(|region| *region == host.region))
@@ -61,7 +66,7 @@
                 best.clear();
                 for (host, seed) in seeds.iter().enumerate() {
                     if region_of[host] == region && hosts[host].present {
-                        keep_best(&mut best, (mix64(chunk_seed ^ seed), host));
+                        insert_ranked(&mut best, (mix64(chunk_seed ^ seed), host));
                     }
                 }
                 let filler = best.last().map_or(0, |last| last.1);
@@ -80,28 +85,30 @@
         }
     }
 
-    /// Number of chunks ranked_hosts.
+    /// Number of chunks in the version.
     pub fn chunk_count(&self) -> u32 {
         self.chunk_count
     }
 
-    /// Number of regions that hold hosts.
+    /// Number of regions in which a host takes part.
     pub fn region_count(&self) -> usize {
         self.regions.len()
     }
 
-    /// Number of the region of `host`; beyond all when nobody there takes part.
+    /// Index of the region of `host`; `usize::MAX` when no host takes part there.
     pub fn region_of(&self, host: PeerKey) -> usize {
         self.region_of[host.0 as usize]
     }
 
-    /// The first hosts for `chunk` in `region`, best first; the last may repeat.
+    /// Hosts of `region` for `chunk`, best rank first.
+    ///
+    /// The last host is repeated when the region has fewer hosts than are ranked.
     pub fn ranked_hosts(&self, chunk: u32, region: usize) -> &[PeerKey] {
         let start = (chunk as usize * self.regions.len() + region) * RANKED_HOSTS;
         &self.ranks[start..start + RANKED_HOSTS]
     }
 
-    /// Region that hands `chunk` to `region`; None when it reads the origin.
+    /// Region from which `region` imports `chunk`; None when it reads the origin.
     pub fn upstream_region(&self, chunk: u32, region: usize) -> Option<usize> {
         if region == 0 {
             return None;
@@ -116,8 +123,8 @@
     }
 }
 
-/// Regions with hosts: the origin's first, the others by name.
-fn regions_by_route(hosts: &[SwarmHost], origin_region: &str) -> Vec<String> {
+/// Regions in which a host takes part: the origin's first, the others by name.
+fn regions_in_route_order(hosts: &[SwarmHost], origin_region: &str) -> Vec<String> {
     let present = hosts.iter().filter(|host| host.present);
     let mut regions: Vec<String> = present.map(|host| host.region.clone()).collect();
     regions.sort_unstable_by(|a, b| (a != origin_region, a).cmp(&(b != origin_region, b)));
@@ -129,8 +136,8 @@
     PeerKey(u32::try_from(index).unwrap_or(u32::MAX))
 }
 
-/// Inserts `entry` into the few best, highest first.
-fn keep_best(best: &mut Vec<(u64, usize)>, entry: (u64, usize)) {
+/// Inserts `entry` into the best entries, highest hash first.
+fn insert_ranked(best: &mut Vec<(u64, usize)>, entry: (u64, usize)) {
     let at = best.partition_point(|other| *other > entry);
     if at < RANKED_HOSTS {
         best.insert(at, entry);
@@ -138,6 +145,7 @@
     }
 }
 
+/// First 8 bytes of the BLAKE3 hash of `bytes`, as a little-endian number.
 pub(crate) fn hash64(bytes: &[u8]) -> u64 {
     let hash = blake3::hash(bytes);
     let (head, _) = hash
@@ -147,7 +155,7 @@
     u64::from_le_bytes(*head)
 }
 
-/// The finaliser of SplitMix64: spreads each input bit over the whole word.
+/// Step of the SplitMix64 generator: each input bit affects all output bits.
 pub(crate) fn mix64(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -9,19 +9,19 @@
 use crate::weights::MemoryBudget;
 use crate::weights::Reservation;
 
-/// Why a chunk was not stored.
+/// Why a received chunk was not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The manifest has no such chunk.
+    /// The manifest has no chunk of this index.
     UnknownIndex,
-    /// The bytes are fewer or more than the manifest says.
+    /// The length differs from that in the manifest.
     WrongLength,
-    /// The bytes are not those the manifest names.
+    /// The digest differs from that in the manifest.
     WrongDigest,
 }
 
 impl RejectReason {
-    /// Label in counters.
+    /// Label of the reason in metrics and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::UnknownIndex => "unknown_index",
@@ -31,28 +31,29 @@
     }
 }
 
-/// What became of a chunk given to a store.
+/// Result of inserting a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InsertOutcome {
-    /// It is new and correct.
+    /// The chunk is correct and was stored.
     Stored,
-    /// It was there already.
+    /// The chunk was stored before; the new bytes were dropped unchecked.
     Duplicate,
-    /// It was dropped.
+    /// The chunk was dropped as incorrect.
     Rejected(RejectReason),
 }
 
-/// The verified chunks of one manifest.
+/// In-memory store of the chunks of one version, each verified by its digest.
 #[derive(Debug)]
 pub struct ChunkStore {
     manifest: Arc<Manifest>,
     chunks: Vec<Option<Bytes>>,
     held_chunks: ChunkBitmap,
+    /// Keeps the memory reserved for as long as the store exists.
     _reservation: Reservation,
 }
 
 impl ChunkStore {
-    /// An empty store for `manifest`, with its memory reserved from `budget`.
+    /// Creates an empty store and reserves the version's size from `budget`.
     ///
     /// # Errors
     ///
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Stores `bytes` as chunk `index` if length and digest match.
+    /// Stores `bytes` as chunk `index` if their length and digest are correct.
     pub fn insert(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
         let Some(len) = self.manifest.chunk_len_bytes(index) else {
             return InsertOutcome::Rejected(RejectReason::UnknownIndex);
@@ -94,22 +95,22 @@
         InsertOutcome::Stored
     }
 
-    /// Chunk `index`, if held.
+    /// Returns chunk `index`; None when it is not stored.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
         self.chunks.get(index as usize)?.clone()
     }
 
-    /// What is held.
+    /// Set of the chunks that are stored.
     pub fn held_chunks(&self) -> &ChunkBitmap {
         &self.held_chunks
     }
 
-    /// The manifest the chunks belong to.
+    /// Manifest of the version.
     pub fn manifest(&self) -> &Arc<Manifest> {
         &self.manifest
     }
 
-    /// Digest of all chunks in order; None while one is missing.
+    /// Digest of the complete content; None while a chunk is missing.
     pub fn content_digest(&self) -> Option<Digest> {
         let mut hasher = blake3::Hasher::new();
         for chunk in &self.chunks {
@@ -118,6 +119,7 @@
         Some(hasher.finalize().into())
     }
 
+    /// Chunks that are stored, in order.
     pub(super) fn chunks(&self) -> impl Iterator<Item = Bytes> {
         self.chunks.iter().flatten().cloned()
     }
--- a/src/weights/digest.rs
+++ b/src/weights/digest.rs
@@ -7,10 +7,10 @@
 use serde::Serializer;
 use serde::de;
 
-/// Length of a digest in bytes.
+/// Length of a digest, in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// Number of leading hexadecimal digits shown in logs.
+/// Hexadecimal digits of the short form of a digest.
 const SHORT_DIGITS: usize = 12;
 
 /// BLAKE3 digest of a byte string.
@@ -21,17 +21,17 @@
 pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// Digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of_bytes(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// The raw bytes.
+    /// Returns the raw bytes of the digest.
     pub fn as_bytes(&self) -> &[u8; DIGEST_BYTES] {
         &self.0
     }
 
-    /// Leading digits, for logs.
+    /// Returns the leading hexadecimal digits, for logs and messages.
     pub fn short_hex(&self) -> String {
         self.to_string()[..SHORT_DIGITS].to_owned()
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// A text that is not a digest.
+/// Error of parsing a text that is not a digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DigestError {
     text: String,
--- a/src/weights/hold_reason.rs
+++ b/src/weights/hold_reason.rs
@@ -3,34 +3,35 @@
 use crate::weights::Digest;
 use crate::weights::ManifestError;
 
-/// Why a version can't proceed on a host.
+/// Why a version is held on a host, that is, can't proceed to serving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldReason {
-    /// The version doesn't fit into the memory set aside for weights.
+    /// The version doesn't fit into the memory budget for weights.
     OverBudget {
-        /// Size of the version.
+        /// Size of the version, in bytes.
         size_bytes: u64,
-        /// What other versions hold.
+        /// Bytes reserved by other versions.
         used_bytes: u64,
-        /// The whole budget.
+        /// Total budget, in bytes.
         limit_bytes: u64,
     },
-    /// The manifest is not usable.
+    /// The manifest is invalid.
     Manifest(ManifestError),
-    /// The origin has no such manifest.
+    /// The origin has no manifest of the version.
     ManifestMissing,
-    /// The base model of an adapter is not loaded.
+    /// The engine has not loaded the base model of this adapter.
     BaseNotLoaded { base: Digest },
-    /// The chunks are correct, but the whole is not what the manifest names.
+    /// Each chunk matches its digest, but all of them together do not match the
+    /// manifest's digest of the content.
     ContentMismatch { expected: Digest, found: Digest },
-    /// The engine reports other bytes than it was given.
+    /// The engine reports another content digest than that of the manifest.
     EngineMismatch { expected: Digest, found: Digest },
-    /// The engine doesn't take the order.
+    /// The engine refused the order to load the version.
     EngineRefused { reason: String },
 }
 
 impl HoldReason {
-    /// Label in counters and reports.
+    /// Label of the reason in metrics and reports.
     pub fn label(&self) -> &'static str {
         match self {
             Self::OverBudget { .. } => "over_budget",
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -5,43 +5,43 @@
 
 use crate::weights::Digest;
 
-/// Largest number of chunks in a manifest.
+/// Largest number of chunks that a version may have.
 const MAX_CHUNKS: u64 = 65_536;
 
-/// Marks the digest of a manifest, so that it never equals one of raw bytes.
+/// Prefix of the hashed manifest, so that its digest never equals one of content.
 const DIGEST_CONTEXT: &[u8] = b"bergamotfork manifest 1\0";
 
-/// What one version of a model consists of.
+/// Description of one version of a model: sizes and digests of its chunks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
     /// Name of the model.
     pub model: String,
     /// Name of the version.
     pub version: String,
-    /// Manifest of the base model; adapters only.
+    /// Manifest digest of the base model that an adapter extends; None otherwise.
     pub base: Option<Digest>,
-    /// Length of the whole.
+    /// Total size of the version, in bytes.
     pub size_bytes: u64,
-    /// Length of each chunk but the last.
+    /// Size of each chunk, in bytes; the last one may be smaller.
     pub chunk_bytes: u32,
-    /// Digest of each chunk, in order.
+    /// Digest of each chunk, in the order of the content.
     pub chunks: Vec<Digest>,
-    /// Digest of all bytes in order.
+    /// Digest of the complete content, that is, of all chunks in order.
     pub whole: Digest,
 }
 
-/// Why a manifest is not usable.
+/// Why a manifest is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ManifestError {
-    /// The model or the version has no name.
+    /// The name of the model or of the version is empty.
     Unnamed,
-    /// The size or the chunk size is zero.
+    /// The total size or the chunk size is zero.
     Empty,
-    /// More chunks than are allowed.
+    /// The version has more chunks than are allowed.
     TooManyChunks { chunks: u64 },
-    /// The number of chunks does not follow from the sizes.
+    /// The number of chunk digests differs from what the sizes require.
     ChunkCount { expected: u64, found: u64 },
-    /// The digest is not the one asked for.
+    /// The manifest's digest is not the requested one.
     WrongDigest { expected: Digest, found: Digest },
     /// The manifest describes another model or version.
     WrongVersion { model: String, version: String },
@@ -77,7 +77,9 @@
 impl std::error::Error for ManifestError {}
 
 impl Manifest {
-    /// Describes `bytes` as a version cut into chunks of `chunk_bytes`.
+    /// Builds the manifest of a version with the content `bytes`.
+    ///
+    /// The content is split into chunks of `chunk_bytes` bytes.
     ///
     /// # Panics
     ///
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Digest that names the version everywhere.
+    /// Digest of the manifest, which identifies the version.
     pub fn digest(&self) -> Digest {
         let mut hasher = blake3::Hasher::new();
         hasher.update(DIGEST_CONTEXT);
@@ -125,11 +127,11 @@
         hasher.finalize().into()
     }
 
-    /// Checks that the manifest is consistent in itself.
+    /// Checks that names and sizes are set and match the number of chunks.
     ///
     /// # Errors
     ///
-    /// Returns [`ManifestError`] for the first fault found.
+    /// Returns the first [`ManifestError`] found.
     pub fn validate(&self) -> Result<(), ManifestError> {
         if self.model.is_empty() || self.version.is_empty() {
             return Err(ManifestError::Unnamed);
@@ -148,11 +150,11 @@
         Ok(())
     }
 
-    /// Checks that this is the manifest `expected`, and usable.
+    /// Checks that the manifest has the digest `expected` and is valid.
     ///
     /// # Errors
     ///
-    /// Returns [`ManifestError`] when it is another or inconsistent.
+    /// Returns [`ManifestError`] when the digest differs or the manifest is invalid.
     pub fn validate_with_digest(&self, expected: Digest) -> Result<(), ManifestError> {
         let found = self.digest();
         if found != expected {
@@ -161,12 +163,12 @@
         self.validate()
     }
 
-    /// Number of chunks.
+    /// Number of chunks of the version.
     pub fn chunk_count(&self) -> u32 {
         u32::try_from(self.chunks.len()).unwrap_or(u32::MAX)
     }
 
-    /// Length of chunk `index`, if there is one.
+    /// Size of chunk `index`, in bytes; None when there is no such chunk.
     pub fn chunk_len_bytes(&self, index: u32) -> Option<u32> {
         if index >= self.chunk_count() {
             return None;
--- a/src/weights/memory_budget.rs
+++ b/src/weights/memory_budget.rs
@@ -2,7 +2,7 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// Bytes of memory that a host sets aside for weights.
+/// Memory that a host may use for weights, in bytes.
 #[derive(Debug)]
 pub struct MemoryBudget {
     limit_bytes: u64,
@@ -10,7 +10,7 @@
 }
 
 impl MemoryBudget {
-    /// A budget of `limit_bytes`, all free.
+    /// Creates a budget of `limit_bytes`, nothing of it reserved.
     pub fn new(limit_bytes: u64) -> Arc<Self> {
         Arc::new(Self {
             limit_bytes,
@@ -18,12 +18,12 @@
         })
     }
 
-    /// The whole budget.
+    /// Total budget, in bytes.
     pub fn limit_bytes(&self) -> u64 {
         self.limit_bytes
     }
 
-    /// What is reserved now.
+    /// Bytes that are reserved now.
     pub fn used_bytes(&self) -> u64 {
         *self
             .used_bytes
@@ -31,7 +31,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets `bytes` aside until the reservation is dropped; None when they don't fit.
+    /// Reserves `bytes` until the reservation is dropped; None when they don't fit.
     pub fn reserve(self: &Arc<Self>, bytes: u64) -> Option<Reservation> {
         let mut used_bytes = self
             .used_bytes
@@ -49,7 +49,7 @@
     }
 }
 
-/// Memory set aside; given back when dropped.
+/// Memory reserved from a [`MemoryBudget`]; released when dropped.
 #[derive(Debug)]
 pub struct Reservation {
     budget: Arc<MemoryBudget>,
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -1,9 +1,16 @@
-//! Weights: digests, manifests, chunks, the transfer plan and life cycle.
+//! Model weights: digests, manifests, chunks, transfer planning and life cycle.
 //!
-//! A version is named by the digest of its manifest, and chunks by that digest
-//! and an index, so that versions never mix64. A [`WeightsReplica`] walks through the
-//! states of its life cycle; only [`Verified`] gives out the whole bytes. The
-//! plan ([`next_fetches`]) is a pure function of what a host knows.
+//! A version is identified by the digest of its manifest, and a chunk by that
+//! digest and its index, so chunks of different versions never mix. A
+//! [`WeightsReplica`] is one version on one host; its type states encode the life
+//! cycle, and the complete content can be read only once it is [`Verified`].
+//!
+//! Hosts of a swarm fetch chunks from the origin and from each other.
+//! [`SwarmState`] tracks one such transfer, and [`next_fetches`] plans its reads as
+//! a pure function of what the host knows.
+//!
+//! [`PieceManifest`] and [`OriginPort`] belong to the transfer through the
+//! platform, where a version has a number and its parts are called pieces.
 
 mod chunk_bitmap;
 mod chunk_frame;
--- a/src/weights/peer_messages.rs
+++ b/src/weights/peer_messages.rs
@@ -3,39 +3,41 @@
 
 use crate::weights::ChunkBitmap;
 
-/// What a host asks a peer for.
+/// Request to a peer for its status in a transfer, or for a chunk.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PeerRequest {
-    /// Name of the asking host.
+    /// Name of the host that sends the request.
     pub host: String,
-    /// Region of the asking host.
+    /// Region of that host.
     pub region: String,
-    /// Chunks the asking host holds.
+    /// Chunks that the host holds.
     pub have: ChunkBitmap,
-    /// Chunks it knows the peer to hold; a wait ends when there are more.
+    /// Number of chunks that the host knows the peer to hold.
+    ///
+    /// The peer responds at once when it holds more.
     pub known: u32,
-    /// How long the peer may wait for more.
+    /// Longest time that the peer may wait for more chunks, in ms.
     pub wait_ms: u64,
 }
 
-/// What a peer tells of itself with each answer.
+/// Status of a peer in a transfer, sent with each of its responses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Chunks it holds.
+    /// Chunks that the peer holds.
     pub have: ChunkBitmap,
-    /// Reads that wait at it.
+    /// Number of reads that are queued at the peer.
     pub queue: u32,
-    /// Whether its engine serves the version.
+    /// Whether the peer's engine serves the version.
     pub serving: bool,
 }
 
-/// What became of a read at a peer.
+/// Result of reading a chunk from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadOutcome {
-    /// The chunk follows.
+    /// The chunk follows the header.
     Sent,
-    /// Too many reads wait.
+    /// The peer has too many queued reads.
     Busy,
     /// The peer doesn't hold the chunk.
     Absent,
--- a/src/weights/piece_origin.rs
+++ b/src/weights/piece_origin.rs
@@ -7,14 +7,14 @@
 use sha2::Digest as _;
 use sha2::Sha256;
 
-/// Why a call to an engine, an origin or another process failed.
+/// Failure of a call to an engine, an origin or another process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExternalCallError {
-    /// No answer, or none that can be read.
+    /// No response arrived, or it could not be parsed; holds the cause.
     Unreachable(String),
-    /// It refused with that status.
+    /// The response had this unexpected HTTP status.
     Refused(u16),
-    /// The bytes are not those of the piece.
+    /// The received bytes do not match their digest.
     Corrupt,
 }
 
@@ -30,39 +30,39 @@
 
 impl std::error::Error for ExternalCallError {}
 
-/// Digests of the pieces of one version of weights.
+/// Digests of the pieces of one weights version on the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceManifest {
-    /// Version.
+    /// Version number, as assigned by the platform.
     pub version: u64,
-    /// SHA-256 of each piece.
+    /// SHA-256 digest of each piece, in order.
     pub digests: Vec<[u8; 32]>,
 }
 
 impl PieceManifest {
-    /// Whether `bytes` are the piece `index`.
+    /// Whether `bytes` have the digest of piece `index`.
     pub fn matches(&self, index: u32, bytes: &[u8]) -> bool {
         self.digests
             .get(index as usize)
             .is_some_and(|digest| Sha256::digest(bytes).as_slice() == digest)
     }
 
-    /// Number of pieces.
+    /// Number of pieces in the version.
     pub fn piece_count(&self) -> u32 {
         u32::try_from(self.digests.len()).unwrap_or(u32::MAX)
     }
 }
 
-/// The origin of weights.
+/// Client interface to the origin that publishes weights.
 pub trait OriginPort: Clone + 'static {
-    /// Reads the digests of a version.
+    /// Fetches the piece digests of `version`.
     fn manifest(
         &self,
         origin: SocketAddr,
         model: &str,
         version: u64,
     ) -> impl Future<Output = Result<PieceManifest, ExternalCallError>>;
-    /// Reads one piece.
+    /// Fetches the bytes of piece `index`, without verifying them.
     fn piece(
         &self,
         origin: SocketAddr,
@@ -72,11 +72,18 @@
     ) -> impl Future<Output = Result<Vec<u8>, ExternalCallError>>;
 }
 
-/// Reads of a manifest until two must have agreed.
+/// Reads of a manifest before giving up on two consecutive equal ones.
 const MAX_MANIFEST_READS: u32 = 4;
 
-/// Reads a manifest until two answers agree: what an origin sends may be spoilt
-/// on the way, and nothing else shows a wrong digest.
+/// Fetches a manifest repeatedly until two consecutive responses are equal.
+///
+/// A response may be corrupted in transit, and no other check would reveal a
+/// wrong digest in it.
+///
+/// # Errors
+///
+/// Returns the error of a failed read, and [`ExternalCallError::Corrupt`] when no
+/// two consecutive reads were equal.
 pub async fn fetch_confirmed_manifest(
     port: &impl OriginPort,
     origin: SocketAddr,
--- a/src/weights/placement.rs
+++ b/src/weights/placement.rs
@@ -1,10 +1,11 @@
 use crate::weights::chunk_ranking::hash64;
 use crate::weights::chunk_ranking::mix64;
 
-/// The hosts that should serve `model`, best first: at most `replicas` of `hosts`.
+/// Hosts that should serve `model`, best rank first: at most `replicas` of `hosts`.
 ///
-/// Rendezvous hashing by name: a host that comes or goes moves only its own
-/// replicas, and every process that knows the same hosts finds the same ones.
+/// Hosts are ranked by rendezvous hashing of their names. A host that joins or
+/// leaves moves only its own replicas, and processes that know the same hosts
+/// select the same ones.
 pub fn replica_hosts<'a>(
     model: &str,
     replicas: u32,
@@ -19,21 +20,21 @@
     ranked.into_iter().map(|(_, host)| host).collect()
 }
 
-/// What a host ahead in the order of a rollout told.
+/// State of a host that comes earlier in the order of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PredecessorState {
-    /// It serves the new version.
+    /// The host serves the new version.
     Serving,
-    /// It has not come so far.
+    /// The host doesn't serve the new version yet.
     Pending,
-    /// It is gone or can't proceed: the one ahead of it decides.
+    /// The host is unreachable or can't proceed; its own predecessor decides.
     Skipped,
 }
 
-/// Whether the host at `rank` may change to the new version.
+/// Whether the host at `rank` in the rollout may switch to the new version.
 ///
-/// A host follows the one `step_replicas` ahead of it, so each of
-/// `step_replicas` chains changes one host at a time.
+/// A host waits for the host `step_replicas` ranks before it. The hosts thus form
+/// `step_replicas` chains, and each chain switches one host at a time.
 pub fn may_switch_version(
     rank: usize,
     step_replicas: u32,
--- a/src/weights/weights_replica.rs
+++ b/src/weights/weights_replica.rs
@@ -10,60 +10,60 @@
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
 
-/// The version is wanted; nothing is known but its manifest's digest.
+/// State: the version is wanted, and only the digest of its manifest is known.
 #[derive(Debug)]
 pub struct Announced {
     digest: Digest,
 }
 
-/// Chunks are arriving.
+/// State: chunks are being fetched.
 #[derive(Debug)]
 pub struct Fetching {
     store: ChunkStore,
 }
 
-/// Every chunk and the whole are correct.
+/// State: every chunk and the complete content match their digests.
 #[derive(Debug)]
 pub struct Verified {
     store: ChunkStore,
 }
 
-/// The engine holds the version and reported the right digest.
+/// State: the engine has loaded the version and reported the correct digest.
 #[derive(Debug)]
 pub struct Loaded {
     store: ChunkStore,
 }
 
-/// The replica answers requests.
+/// State: the replica serves requests.
 #[derive(Debug)]
 pub struct Serving {
     store: ChunkStore,
 }
 
-/// One version on one host, in the state `S` of its life cycle.
+/// One version of a model on one host, in the state `S` of its life cycle.
 #[derive(Debug)]
 pub struct WeightsReplica<S> {
     state: S,
 }
 
 impl WeightsReplica<Announced> {
-    /// A version that is wanted here.
+    /// Creates the replica of a wanted version from the digest of its manifest.
     pub fn announced(digest: Digest) -> Self {
         Self {
             state: Announced { digest },
         }
     }
 
-    /// Digest of the manifest.
+    /// Digest of the version's manifest.
     pub fn digest(&self) -> Digest {
         self.state.digest
     }
 
-    /// Starts the transfer, once the manifest is known.
+    /// Reserves memory and moves on to fetching, once the manifest is known.
     ///
     /// # Errors
     ///
-    /// Returns [`HoldReason`] when the manifest is wrong or doesn't fit.
+    /// Returns [`HoldReason`] when the manifest is invalid or the version doesn't fit.
     pub fn start_fetching(
         &self,
         manifest: Arc<Manifest>,
@@ -78,12 +78,12 @@
 }
 
 impl WeightsReplica<Fetching> {
-    /// Stores one chunk if it is correct.
+    /// Stores a received chunk if it is correct.
     pub fn insert_chunk(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
         self.state.store.insert(index, bytes)
     }
 
-    /// Checks the whole; the transfer goes on when chunks are missing.
+    /// Verifies the complete content; fetching continues if chunks are missing.
     pub fn verify(self) -> Verification {
         let expected = self.state.store.manifest().whole;
         match self.state.store.content_digest() {
@@ -100,24 +100,24 @@
     }
 }
 
-/// Result of checking a transfer.
+/// Result of verifying the complete content of a version.
 #[derive(Debug)]
 pub enum Verification {
-    /// Chunks are missing.
+    /// Chunks are still missing.
     Incomplete(WeightsReplica<Fetching>),
-    /// Everything matches.
+    /// The content matches the manifest.
     Verified(WeightsReplica<Verified>),
-    /// The manifest contradicts itself; the chunks are given up.
+    /// The manifest contradicts itself; the fetched chunks are dropped.
     Held(HoldReason),
 }
 
 impl WeightsReplica<Verified> {
-    /// All bytes in order, for the engine of this host.
+    /// All chunks in order, to be loaded by the engine of this host.
     pub fn chunks(&self) -> impl Iterator<Item = Bytes> {
         self.state.store.chunks()
     }
 
-    /// Takes the engine's word for what it loaded.
+    /// Compares `found`, the digest that the engine reports, with the manifest.
     pub fn confirm_loaded(self, found: Digest) -> LoadCheck {
         let expected = self.state.store.manifest().whole;
         if found != expected {
@@ -134,14 +134,14 @@
 /// Result of comparing what the engine loaded with the manifest.
 #[derive(Debug)]
 pub enum LoadCheck {
-    /// The engine holds the version.
+    /// The engine has loaded the version.
     Loaded(WeightsReplica<Loaded>),
-    /// The engine holds something else.
+    /// The engine has loaded something else; the version stays verified.
     Held(WeightsReplica<Verified>, HoldReason),
 }
 
 impl WeightsReplica<Loaded> {
-    /// Opens the replica for requests.
+    /// Starts to serve requests.
     pub fn start_serving(self) -> WeightsReplica<Serving> {
         WeightsReplica {
             state: Serving {
@@ -152,7 +152,7 @@
 }
 
 impl WeightsReplica<Serving> {
-    /// Goes back to where the engine must load again, after it lost its state.
+    /// Returns to the verified state after the engine lost what it had loaded.
     pub fn require_reload(self) -> WeightsReplica<Verified> {
         WeightsReplica {
             state: Verified {
@@ -165,17 +165,17 @@
 macro_rules! with_chunks {
     ($($state:ident)*) => {
         $(impl WeightsReplica<$state> {
-            /// One verified chunk, for a peer.
+            /// Returns chunk `index` for a peer; None when it is not held.
             pub fn chunk(&self, index: u32) -> Option<Bytes> {
                 self.state.store.chunk(index)
             }
 
-            /// Chunks held.
+            /// Set of the chunks that are held.
             pub fn held_chunks(&self) -> &ChunkBitmap {
                 self.state.store.held_chunks()
             }
 
-            /// The manifest.
+            /// Manifest of the version.
             pub fn manifest(&self) -> &Arc<Manifest> {
                 self.state.store.manifest()
             }
