--- a/src/weights/chunk_ranking.rs
+++ b/src/weights/chunk_ranking.rs
@@ -72,7 +72,7 @@
                 let filler = best.last().map_or(0, |last| last.1);
                 ranks.extend(
                     (0..RANKED_HOSTS)
-                        .map(|rank| key(best.get(rank).map_or(filler, |entry| entry.1))),
+                        .map(|rank| peer_key_at(best.get(rank).map_or(filler, |entry| entry.1))),
                 );
             }
         }
@@ -132,7 +132,7 @@
     regions
 }
 
-fn key(index: usize) -> PeerKey {
+fn peer_key_at(index: usize) -> PeerKey {
     PeerKey(u32::try_from(index).unwrap_or(u32::MAX))
 }
 
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -9,8 +9,8 @@
 //! [`SwarmState`] tracks one such transfer, and [`next_fetches`] plans its reads as
 //! a pure function of what the host knows.
 //!
-//! [`PieceManifest`] and [`OriginPort`] belong to the transfer through the
-//! platform, where a version has a number and its parts are called pieces.
+//! [`PieceManifest`] and [`OriginPort`] are used by `gateway` and `staging`, where a
+//! version has a number and its parts are called pieces.
 
 mod chunk_bitmap;
 mod chunk_frame;
--- a/src/weights/plan.rs
+++ b/src/weights/plan.rs
@@ -3,49 +3,50 @@
 use crate::weights::PeerKey;
 use crate::weights::chunk_ranking::mix64;
 
-/// Where a chunk is read from.
+/// Source from which a chunk is fetched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ChunkSource {
-    /// The origin of weights.
+    /// The origin that publishes the version.
     Origin,
-    /// Another host.
+    /// Another host of the swarm.
     Peer(PeerKey),
 }
 
-/// One read of a chunk.
+/// Fetch of one chunk from one source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChunkFetch {
     /// Index of the chunk.
     pub chunk: u32,
-    /// Where to read it.
+    /// Source of the chunk.
     pub source: ChunkSource,
 }
 
-/// What is known of another host that wants the version.
+/// Last known state of another host of the swarm.
 #[derive(Debug, Clone)]
 pub struct PeerState {
-    /// Which host.
+    /// Key of the host.
     pub key: PeerKey,
-    /// Chunks it held when it last answered.
+    /// Chunks that it held when its status was last received.
     pub held_chunks: ChunkBitmap,
-    /// Reads that wait at it, by its last answer.
+    /// Reads queued at it when its status was last received.
     pub queued_reads: u32,
-    /// No read is sent to it until then.
+    /// Time until which no fetch is sent to it, in ms.
     pub blocked_until_ms: u64,
-    /// Whether it is taken for dead: its duties pass to the next rank.
+    /// Whether it is treated as unavailable, so that the next rank imports its chunks.
     pub unavailable: bool,
 }
 
-/// Limits of a plan.
+/// Limits of fetch planning.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlanSettings {
-    /// Reads from peers of the own region in progress at a time.
+    /// Largest number of fetches in flight from peers of the own region.
     pub max_regional_fetches: usize,
-    /// Reads from one peer in progress at a time.
+    /// Largest number of fetches in flight from one peer.
     pub max_fetches_per_peer: usize,
-    /// Reads from the origin or from other regions in progress at a time.
+    /// Largest number of fetches in flight from the origin and other regions.
     pub max_imports: usize,
-    /// Time that each further rank waits before it takes over a duty.
+    /// Time without progress that each further rank waits before it takes over an
+    /// import, in ms; up to half of it is added as jitter.
     pub takeover_wait_ms: u64,
 }
 
@@ -60,37 +61,37 @@
     }
 }
 
-/// All that the next reads depend on.
+/// Everything that the choice of the next fetches depends on.
 #[derive(Debug)]
 pub struct PlanInput<'a> {
-    /// Time now.
+    /// Current time, in ms.
     pub now_ms: u64,
-    /// Time of the last sign that the version makes progress here.
+    /// Time at which this host last stored a chunk or started the transfer, in ms.
     pub progress_ms: u64,
-    /// This host.
+    /// Key of this host.
     pub local: PeerKey,
-    /// Ranks of all hosts for each chunk.
+    /// Ranking of the hosts for each chunk.
     pub ranking: &'a ChunkRanking,
-    /// Chunks held here.
+    /// Chunks that this host holds.
     pub held_chunks: &'a ChunkBitmap,
-    /// Reads in progress.
+    /// Fetches in flight.
     pub in_flight: &'a [ChunkFetch],
-    /// What is known of others, sorted by key.
+    /// State of the other hosts, sorted by key.
     pub peers: &'a [PeerState],
-    /// No read is sent to the origin until then.
+    /// Time until which no fetch is sent to the origin, in ms.
     pub origin_blocked_until_ms: u64,
-    /// Limits.
+    /// Limits of the plan.
     pub settings: &'a PlanSettings,
-    /// Breaks ties; another value at each call.
+    /// Seed that breaks ties; it has to differ from call to call.
     pub seed: u64,
 }
 
-/// The reads to start now.
+/// Plans the fetches to start now.
 ///
-/// Duties first: chunks that this host brings into its region, from the origin
-/// or another region. Then chunks that neighbours of the region hold, rarest
-/// first, each from its least loaded holder. A chunk already in flight is not
-/// read twice.
+/// Imports come first: chunks that this host brings into its region, from the
+/// origin or from the upstream region. Then come chunks that peers of the region
+/// hold, rarest first, each from its least loaded holder. A chunk that is in
+/// flight is not fetched again.
 pub fn next_fetches(input: &PlanInput<'_>) -> Vec<ChunkFetch> {
     let mut builder = PlanBuilder::new(input);
     builder.add_imports();
@@ -98,13 +99,14 @@
     builder.fetches
 }
 
-/// When rank `rank` may take over the duty for `chunk`, after no progress.
+/// Time without progress after which rank `rank` takes over the import of `chunk`.
 fn takeover_delay_ms(input: &PlanInput<'_>, chunk: u32, rank: usize) -> u64 {
     let wait_ms = input.settings.takeover_wait_ms;
     let jitter_ms = mix64(u64::from(chunk) << 32 | u64::from(input.local.0)) % (wait_ms / 2 + 1);
     rank as u64 * (wait_ms + jitter_ms)
 }
 
+/// Collects the fetches of a plan and counts those in flight against the limits.
 struct PlanBuilder<'a> {
     input: &'a PlanInput<'a>,
     region: usize,
@@ -132,6 +134,7 @@
         builder
     }
 
+    /// Counts a fetch against the limits.
     fn count_fetch(&mut self, fetch: &ChunkFetch) {
         self.in_flight.insert(fetch.chunk);
         if let ChunkSource::Peer(peer) = fetch.source {
@@ -155,6 +158,7 @@
         self.fetches.push(fetch);
     }
 
+    /// Whether `chunk` is neither held nor in flight.
     fn needs(&self, chunk: u32) -> bool {
         !self.input.held_chunks.contains(chunk) && !self.in_flight.contains(chunk)
     }
@@ -165,6 +169,7 @@
         Some(&peers[at])
     }
 
+    /// Number of fetches in flight from `peer`.
     fn fetches_from(&self, peer: PeerKey) -> usize {
         match self
             .fetches_per_peer
@@ -175,6 +180,7 @@
         }
     }
 
+    /// Whether the limits and the peer's state allow another fetch from it.
     fn can_fetch_from(&self, state: &PeerState) -> bool {
         state.key != self.input.local
             && !state.unavailable
@@ -182,6 +188,7 @@
             && self.fetches_from(state.key) < self.input.settings.max_fetches_per_peer
     }
 
+    /// Adds imports, starting at a chunk that differs from host to host.
     fn add_imports(&mut self) {
         let chunks = self.input.ranking.chunk_count();
         let start = if chunks == 0 {
@@ -202,7 +209,7 @@
         }
     }
 
-    /// Whether this host brings `chunk` into its region now.
+    /// Whether this host should import `chunk` into its region now.
     fn should_import(&self, chunk: u32) -> bool {
         let ranked = self.input.ranking.ranked_hosts(chunk, self.region);
         let mut available = ranked.iter().filter(|key| {
@@ -220,12 +227,13 @@
         idle_ms >= takeover_delay_ms(self.input, chunk, rank) && !self.held_in_region(chunk)
     }
 
+    /// Whether an available peer of the own region holds `chunk`.
     fn held_in_region(&self, chunk: u32) -> bool {
         self.holders(chunk, self.region)
             .any(|state| !state.unavailable)
     }
 
-    /// Where a duty is read: the origin, or a holder in the feeding region.
+    /// Source of an import: the origin, or a holder in the upstream region.
     fn import_source(&self, chunk: u32) -> Option<ChunkSource> {
         let Some(upstream) = self.input.ranking.upstream_region(chunk, self.region) else {
             let open = self.input.origin_blocked_until_ms <= self.input.now_ms;
@@ -257,8 +265,10 @@
         }
     }
 
-    /// Chunks to read that a neighbour of the region holds: count of holders, a
-    /// random order among equals, and the index.
+    /// Needed chunks that peers of the own region hold, rarest first.
+    ///
+    /// Each is given as its number of holders, a random number that orders chunks
+    /// of equal count, and its index.
     fn needed_by_rarity(&self) -> Vec<(u32, u64, u32)> {
         let mut excluded = self.in_flight.clone();
         excluded.merge(self.input.held_chunks);
@@ -280,6 +290,7 @@
         needed
     }
 
+    /// Peers of `region` that hold `chunk`, available or not.
     fn holders(&self, chunk: u32, region: usize) -> impl Iterator<Item = &'a PeerState> {
         let ranking = self.input.ranking;
         self.input.peers.iter().filter(move |state| {
@@ -287,6 +298,7 @@
         })
     }
 
+    /// Holder of `chunk` in `region` with the fewest reads from here and in its queue.
     fn least_loaded_holder(&self, chunk: u32, region: usize) -> Option<PeerKey> {
         self.holders(chunk, region)
             .filter(|state| self.can_fetch_from(state))
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -4,35 +4,35 @@
 use crate::weights::chunk_ranking::hash64;
 use crate::weights::chunk_ranking::mix64;
 use crate::weights::swarm_state::CROSS_REGION_INTERVAL_MS;
-use crate::weights::swarm_state::key;
+use crate::weights::swarm_state::peer_key_at;
 
-/// Shortest time between two questions to one peer.
+/// Shortest interval between two probes of one peer of the own region.
 const PROBE_INTERVAL_MS: u64 = 50;
 
-/// Time between two questions to the host whose duty this one would take over.
+/// Interval between probes of the hosts whose imports this host would take over.
 const HIGHER_RANK_PROBE_INTERVAL_MS: u64 = 1000;
 
-/// How long a question may wait at a peer for news.
+/// Longest time that a probe may wait at a peer for new chunks.
 const PROBE_LONG_POLL_MS: u64 = 1000;
 
-/// A question to a peer for its chunks.
+/// Request to a peer for its status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerProbe {
-    /// Whom to ask.
+    /// Key of the peer.
     pub peer: PeerKey,
-    /// Chunks it is known to hold.
+    /// Number of chunks that the peer is known to hold.
     pub known_chunks: u32,
-    /// How long it may wait for more.
+    /// Longest time that the peer may wait for more chunks, in ms.
     pub wait_ms: u64,
 }
 
 impl SwarmState {
-    /// Chooses the peers that are asked for news, another choice on each host.
+    /// Selects the peers of the own region to probe, differently on each host.
     pub(super) fn select_probed_peers(&mut self) {
         let region = self.ranking.region_of(self.local);
         let mine = self.seed;
         let mut others: Vec<(u64, PeerKey)> = (0..self.hosts.len())
-            .map(key)
+            .map(peer_key_at)
             .filter(|peer| *peer != self.local && self.ranking.region_of(*peer) == region)
             .filter(|peer| self.hosts[peer.0 as usize].present)
             .map(|peer| {
@@ -46,6 +46,7 @@
         self.probed_peers.sort_unstable();
     }
 
+    /// Returns the probes to send now and records them as in flight.
     pub(super) fn next_probes(&mut self, now_ms: u64) -> Vec<PeerProbe> {
         if self.held_chunks.is_complete() {
             return Vec::new();
@@ -80,6 +81,7 @@
         probes
     }
 
+    /// Number of fetches in flight from peers of the own region.
     fn regional_fetches(&self) -> usize {
         let region = self.ranking.region_of(self.local);
         let reads = self.in_flight.iter().filter(|fetch| match fetch.source {
@@ -89,6 +91,7 @@
         reads.count()
     }
 
+    /// Adds a probe of `peer`, unless one is in flight, too recent or paused.
     fn add_probe(
         &mut self,
         peer: PeerKey,
@@ -115,7 +118,9 @@
         });
     }
 
-    /// First living hosts of feeding regions that have chunks this host brings in.
+    /// Primary holders, in upstream regions, of the chunks this host should import.
+    ///
+    /// Hosts that are known to hold such a chunk already are left out.
     fn upstream_primary_holders(&self) -> Vec<PeerKey> {
         let region = self.ranking.region_of(self.local);
         if region == 0 {
@@ -135,7 +140,7 @@
         holders
     }
 
-    /// Whether `peer` is known to hold a chunk that this host could bring in now.
+    /// Whether `peer` is known to hold a chunk that this host could import now.
     fn offers_import(&self, peer: PeerKey, region: usize) -> bool {
         let Ok(at) = self.peers.binary_search_by_key(&peer, |state| state.key) else {
             return false;
@@ -147,7 +152,7 @@
         })
     }
 
-    /// Hosts directly before this one in rank for a chunk nobody is known to hold.
+    /// Available hosts ranked directly before this one for a chunk it lacks.
     fn higher_ranked_hosts(&self) -> Vec<PeerKey> {
         let region = self.ranking.region_of(self.local);
         let mut ahead = Vec::new();
@@ -168,10 +173,12 @@
         ahead
     }
 
+    /// Chunks that this host lacks.
     fn missing_chunks(&self) -> impl Iterator<Item = u32> {
         (0..self.held_chunks.chunk_count()).filter(|chunk| !self.held_chunks.contains(*chunk))
     }
 
+    /// Best ranked host of `region` for `chunk` that is not unavailable.
     fn primary_holder(&self, chunk: u32, region: usize) -> Option<PeerKey> {
         let ranked = self.ranking.ranked_hosts(chunk, region);
         ranked
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -14,89 +14,98 @@
 use crate::weights::chunk_ranking::mix64;
 use crate::weights::next_fetches;
 
-/// First pause after a failure; doubles with each further one.
+/// Backoff after the first failure; it doubles with each further failure.
 const INITIAL_BACKOFF_MS: u64 = 250;
 
-/// Longest pause after failures.
+/// Longest backoff after repeated failures.
 const MAX_BACKOFF_MS: u64 = 30_000;
 
-/// Pause before a peer that was busy or lacked a chunk is asked again.
+/// Backoff for a peer that was busy or lacked a chunk, or whose connection broke.
 const BUSY_BACKOFF_MS: u64 = 20;
 
-/// Pause of a peer that sent a wrong chunk.
+/// Backoff for a peer that sent a wrong chunk.
 const WRONG_CHUNK_BACKOFF_MS: u64 = 10_000;
 
-/// Time for which a host is taken for dead after a failure.
+/// Shortest time for which a peer is treated as unavailable after a failure.
 const MIN_UNAVAILABLE_MS: u64 = 3000;
 
-/// Broken connections in a row after which a host is taken for dead.
+/// Failures in a row from which a broken connection makes a peer unavailable.
 const BROKEN_CONNECTION_LIMIT: u32 = 3;
 
-/// Time for which a host that declines may still be about to take part.
+/// Time for which a host that declines is expected to learn of the version yet.
 const DECLINE_GRACE_MS: u64 = 5000;
 
-/// Pause before a host that declined is asked again.
+/// Backoff for a host that declined and may still join the transfer.
 const DECLINE_BACKOFF_MS: u64 = 500;
 
-/// Shortest time between two questions to a peer in another region, and pause
-/// before it is asked again after it was busy.
+/// Shortest interval between two probes of a peer in another region, and backoff
+/// for such a peer that was busy or lacked a chunk.
 pub(super) const CROSS_REGION_INTERVAL_MS: u64 = 250;
 
-/// Limits of a transfer.
+/// Settings of a transfer.
 #[derive(Debug, Clone, Default)]
 pub struct SwarmSettings {
-    /// Limits of each plan.
+    /// Limits of fetch planning.
     pub plan: PlanSettings,
-    /// Peers of the own region that are asked for news.
+    /// Number of peers of the own region that are probed for new chunks.
     pub max_probed_peers: usize,
 }
 
-/// How a read or question failed.
+/// How a fetch from a peer or a probe of it failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerFailure {
-    /// The peer answered nothing in time, or took no connection.
+    /// The peer accepted no connection or did not respond in time.
     Unreachable,
-    /// The connection broke; an idle one may just have been closed.
+    /// The connection broke, possibly just an idle one that the peer closed.
     Broken,
-    /// The peer doesn't take part in this version.
+    /// The peer doesn't take part in the transfer of this version.
     Declined,
-    /// The peer wants the version and can't proceed with it.
+    /// The version is held on the peer: it is wanted there but can't proceed.
     Held,
-    /// The peer sent bytes that are not the chunk.
+    /// The peer sent bytes that are not the requested chunk.
     WrongChunk,
 }
 
-/// What to do now.
+/// Requests to send now.
 #[derive(Debug, Clone, Default)]
 pub struct SwarmActions {
-    /// Reads to start.
+    /// Fetches to start.
     pub fetches: Vec<ChunkFetch>,
-    /// Questions to send.
+    /// Probes to send.
     pub probes: Vec<PeerProbe>,
 }
 
-/// What is known of a peer beside its chunks.
+/// Failures and probes of a peer; times are in ms.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerHealth {
+    /// Failures since the peer's status was last received.
     pub(super) failures: u32,
+    /// Time of the first of the peer's refusals to take part.
     pub(super) declined_since_ms: Option<u64>,
+    /// Time until which the peer is treated as unavailable after failures.
     pub(super) unavailable_until_ms: u64,
-    /// What it tells is not believed until then.
+    /// Time until which the peer is treated as unavailable, whatever status it sends,
+    /// because it sent a wrong chunk.
     pub(super) distrusted_until_ms: u64,
+    /// Time until which the peer is not probed.
     pub(super) paused_until_ms: u64,
     pub(super) last_probe_ms: Option<u64>,
     pub(super) probe_in_flight: bool,
 }
 
 impl PeerHealth {
-    /// Whether a host that declined may still learn of the version.
+    /// Whether a host that declined may still learn of the version and join.
     fn may_still_join(&self, now_ms: u64) -> bool {
         self.declined_since_ms
             .is_some_and(|since_ms| now_ms < since_ms + DECLINE_GRACE_MS)
     }
 }
 
-/// The state of one transfer: hosts, what they hold, what is in flight.
+/// State of the transfer of one version to this host.
+///
+/// Tracks the hosts of the swarm, the chunks they hold, and the requests in
+/// flight. It does no I/O: the caller sends what [`SwarmState::next_actions`]
+/// returns and reports the results back.
 #[derive(Debug)]
 pub struct SwarmState {
     pub(super) manifest: Digest,
@@ -105,12 +114,15 @@
     pub(super) hosts: Vec<SwarmHost>,
     pub(super) ranking: ChunkRanking,
     pub(super) held_chunks: ChunkBitmap,
+    /// State of the peers heard of so far, sorted by key.
     pub(super) peers: Vec<PeerState>,
     pub(super) peer_health: Vec<PeerHealth>,
+    /// Peers of the own region that are probed for new chunks.
     pub(super) probed_peers: Vec<PeerKey>,
     pub(super) in_flight: Vec<ChunkFetch>,
     pub(super) origin_failures: u32,
     pub(super) origin_blocked_until_ms: u64,
+    /// Time at which a chunk was last stored, in ms; at first the start.
     pub(super) progress_ms: u64,
     pub(super) higher_ranks_probed_ms: u64,
     pub(super) settings: SwarmSettings,
@@ -118,11 +130,11 @@
 }
 
 impl SwarmState {
-    /// A transfer of `manifest` to the host called `me`, one of `hosts`.
+    /// Starts a transfer of the version `manifest` to the host `local` of `hosts`.
     ///
     /// # Panics
     ///
-    /// Panics when `hosts` lacks `me`.
+    /// Panics when `hosts` does not contain `local`.
     pub fn new(
         manifest: Digest,
         held_chunks: ChunkBitmap,
@@ -140,7 +152,7 @@
         let mut swarm = Self {
             manifest,
             origin_region: origin_region.to_owned(),
-            local: key(at),
+            local: peer_key_at(at),
             peers: Vec::new(),
             peer_health: vec![PeerHealth::default(); hosts.len()],
             probed_peers: Vec::new(),
@@ -159,7 +171,9 @@
         swarm
     }
 
-    /// Takes a new list of hosts; what is known of those that stay is kept.
+    /// Updates the list of hosts.
+    ///
+    /// Hosts keep their keys and state; those not listed any more are not present.
     pub fn set_hosts(&mut self, listed: &[SwarmHost]) {
         let mut changed = false;
         for (index, host) in self.hosts.iter_mut().enumerate() {
@@ -192,25 +206,25 @@
         self.hosts
             .iter()
             .position(|host| host.name == name)
-            .map(key)
+            .map(peer_key_at)
     }
 
-    /// The host of `peer`.
+    /// Returns the host with key `peer`.
     pub fn host(&self, peer: PeerKey) -> &SwarmHost {
         &self.hosts[peer.0 as usize]
     }
 
-    /// Chunks held here.
+    /// Chunks that this host holds.
     pub fn held_chunks(&self) -> &ChunkBitmap {
         &self.held_chunks
     }
 
-    /// Reads in progress.
+    /// Fetches in flight.
     pub fn in_flight(&self) -> &[ChunkFetch] {
         &self.in_flight
     }
 
-    /// What to do at `now_ms`; taken as started.
+    /// Returns the requests to send at `now_ms` and records them as in flight.
     pub fn next_actions(&mut self, now_ms: u64) -> SwarmActions {
         self.update_availability(now_ms);
         self.seed = mix64(self.seed);
@@ -231,7 +245,9 @@
         SwarmActions { fetches, probes }
     }
 
-    /// A peer told what it holds.
+    /// Records the status received from a peer and ends its backoff for failures.
+    ///
+    /// Ignored when it is of another number of chunks.
     pub fn record_peer_status(
         &mut self,
         peer: PeerKey,
@@ -252,19 +268,19 @@
         state.unavailable = false;
     }
 
-    /// A question was answered.
+    /// Records the response to a probe.
     pub fn probe_answered(&mut self, peer: PeerKey, status: &PeerStatus) {
         self.peer_health[peer.0 as usize].probe_in_flight = false;
         self.record_peer_status(peer, &status.have, status.queue);
     }
 
-    /// A question got no answer.
+    /// Records the failure of a probe.
     pub fn probe_failed(&mut self, peer: PeerKey, failure: PeerFailure, now_ms: u64) {
         self.peer_health[peer.0 as usize].probe_in_flight = false;
         self.apply_backoff(peer, failure, now_ms);
     }
 
-    /// The chunk of `fetch` arrived and is correct.
+    /// Records that the chunk of `fetch` was received and is correct.
     pub fn chunk_stored(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.remove_in_flight(fetch);
         self.held_chunks.insert(fetch.chunk);
@@ -274,7 +290,10 @@
         }
     }
 
-    /// The peer lacks a chunk it was known to hold: another process answers there.
+    /// Records that the peer lacks a chunk that it was known to hold.
+    ///
+    /// Another process has replaced the peer then, so its known chunks are replaced
+    /// by those in `status` instead of merged.
     pub fn peer_lacks_chunk(&mut self, fetch: ChunkFetch, status: &PeerStatus, now_ms: u64) {
         self.fetch_deferred(fetch, now_ms);
         if let ChunkSource::Peer(peer) = fetch.source
@@ -284,7 +303,7 @@
         }
     }
 
-    /// The peer had no room for the read.
+    /// Records that the peer was too busy for the fetch.
     pub fn fetch_deferred(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.remove_in_flight(fetch);
         if let ChunkSource::Peer(peer) = fetch.source {
@@ -298,7 +317,7 @@
         }
     }
 
-    /// A read at a peer failed.
+    /// Records the failure of a fetch from a peer.
     pub fn peer_fetch_failed(&mut self, fetch: ChunkFetch, failure: PeerFailure, now_ms: u64) {
         self.remove_in_flight(fetch);
         if let ChunkSource::Peer(peer) = fetch.source {
@@ -306,7 +325,9 @@
         }
     }
 
-    /// A read at the origin failed; it may have named a time to wait.
+    /// Records the failure of a fetch from the origin.
+    ///
+    /// `retry_after_ms` is the delay that the origin requested, if any.
     pub fn origin_fetch_failed(
         &mut self,
         fetch: ChunkFetch,
@@ -316,7 +337,8 @@
         self.remove_in_flight(fetch);
         self.origin_failures += 1;
         let own_ms = exponential_backoff_ms(self.origin_failures);
-        // The jitter keeps hosts that were refused together from returning together.
+        // Jitter keeps hosts that were refused at the same time from retrying at the
+        // same time.
         let jitter_ms = mix64(self.seed ^ now_ms) % (own_ms / 2 + 1);
         let pause_ms = retry_after_ms.unwrap_or(0).max(own_ms) + jitter_ms;
         self.origin_blocked_until_ms = self.origin_blocked_until_ms.max(now_ms + pause_ms);
@@ -326,6 +348,7 @@
         self.in_flight.retain(|other| *other != fetch);
     }
 
+    /// Returns the state of `peer`; adds one without chunks when there is none.
     pub(super) fn peer_state_mut(&mut self, peer: PeerKey) -> &mut PeerState {
         let at = self
             .peers
@@ -344,6 +367,7 @@
         &mut self.peers[at]
     }
 
+    /// Blocks a peer after a failure, for a time that depends on its kind.
     fn apply_backoff(&mut self, peer: PeerKey, failure: PeerFailure, now_ms: u64) {
         let health = &mut self.peer_health[peer.0 as usize];
         health.failures += 1;
@@ -367,7 +391,7 @@
         self.peer_state_mut(peer).blocked_until_ms = now_ms + backoff_ms;
     }
 
-    /// Brings the marks of lost hosts up to date.
+    /// Updates which peers are treated as unavailable.
     fn update_availability(&mut self, now_ms: u64) {
         for state in &mut self.peers {
             let index = state.key.0 as usize;
@@ -384,6 +408,6 @@
         .min(MAX_BACKOFF_MS)
 }
 
-pub(super) fn key(index: usize) -> PeerKey {
+pub(super) fn peer_key_at(index: usize) -> PeerKey {
     PeerKey(u32::try_from(index).unwrap_or(u32::MAX))
 }
