--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -30,19 +30,19 @@
     /// Selects the peers of the own region to probe, differently on each host.
     pub(super) fn select_probed_peers(&mut self) {
         let region = self.ranking.region_of(self.local);
-        let mine = self.seed;
-        let mut others: Vec<(u64, PeerKey)> = (0..self.hosts.len())
+        let own_seed = self.seed;
+        let mut candidates: Vec<(u64, PeerKey)> = (0..self.hosts.len())
             .map(peer_key_at)
             .filter(|peer| *peer != self.local && self.ranking.region_of(*peer) == region)
             .filter(|peer| self.hosts[peer.0 as usize].present)
             .map(|peer| {
-                let other = hash64(self.hosts[peer.0 as usize].name.as_bytes());
-                (mix64(mine ^ other.rotate_left(23)), peer)
+                let name_hash = hash64(self.hosts[peer.0 as usize].name.as_bytes());
+                (mix64(own_seed ^ name_hash.rotate_left(23)), peer)
             })
             .collect();
-        others.sort_unstable();
-        others.truncate(self.settings.max_probed_peers);
-        self.probed_peers = others.into_iter().map(|(_, peer)| peer).collect();
+        candidates.sort_unstable();
+        candidates.truncate(self.settings.max_probed_peers);
+        self.probed_peers = candidates.into_iter().map(|(_, peer)| peer).collect();
         self.probed_peers.sort_unstable();
     }
 
@@ -84,11 +84,11 @@
     /// Number of fetches in flight from peers of the own region.
     fn regional_fetches(&self) -> usize {
         let region = self.ranking.region_of(self.local);
-        let reads = self.in_flight.iter().filter(|fetch| match fetch.source {
+        let fetches = self.in_flight.iter().filter(|fetch| match fetch.source {
             ChunkSource::Origin => false,
             ChunkSource::Peer(peer) => self.ranking.region_of(peer) == region,
         });
-        reads.count()
+        fetches.count()
     }
 
     /// Adds a probe of `peer`, unless one is in flight, too recent or paused.
@@ -101,11 +101,11 @@
         probes: &mut Vec<PeerProbe>,
     ) {
         let health = &mut self.peer_health[peer.0 as usize];
-        let recent = health
+        let is_recent = health
             .last_probe_ms
             .is_some_and(|last_probe_ms| now_ms < last_probe_ms + interval_ms);
-        let paused = health.paused_until_ms > now_ms;
-        if health.probe_in_flight || recent || paused {
+        let is_paused = health.paused_until_ms > now_ms;
+        if health.probe_in_flight || is_recent || is_paused {
             return;
         }
         health.probe_in_flight = true;
@@ -155,22 +155,22 @@
     /// Available hosts ranked directly before this one for a chunk it lacks.
     fn higher_ranked_hosts(&self) -> Vec<PeerKey> {
         let region = self.ranking.region_of(self.local);
-        let mut ahead = Vec::new();
+        let mut higher_ranked = Vec::new();
         for chunk in self.missing_chunks() {
-            let mut before = None;
+            let mut directly_before = None;
             for peer in self.ranking.ranked_hosts(chunk, region) {
                 if *peer == self.local {
-                    ahead.extend(before);
+                    higher_ranked.extend(directly_before);
                     break;
                 }
                 if !self.is_unavailable(*peer) {
-                    before = Some(*peer);
+                    directly_before = Some(*peer);
                 }
             }
         }
-        ahead.sort_unstable();
-        ahead.dedup();
-        ahead
+        higher_ranked.sort_unstable();
+        higher_ranked.dedup();
+        higher_ranked
     }
 
     /// Chunks that this host lacks.
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -114,7 +114,7 @@
     pub(super) hosts: Vec<SwarmHost>,
     pub(super) ranking: ChunkRanking,
     pub(super) held_chunks: ChunkBitmap,
-    /// State of the peers heard of so far, sorted by key.
+    /// State of the peers known so far, sorted by key.
     pub(super) peers: Vec<PeerState>,
     pub(super) peer_health: Vec<PeerHealth>,
     /// Peers of the own region that are probed for new chunks.
@@ -147,7 +147,7 @@
         let at = hosts
             .iter()
             .position(|host| host.name == local)
-            .expect("a host takes part in its own transfers");
+            .expect("the list of hosts contains the local host");
         let ranking = ChunkRanking::new(manifest, held_chunks.chunk_count(), &hosts, origin_region);
         let mut swarm = Self {
             manifest,
