--- a/tests/spec_weights/main.rs
+++ b/tests/spec_weights/main.rs
@@ -1,10 +1,10 @@
-//! The activation of a version on one host, explored in all states.
+//! Explores all states of a model of activating a version on one host.
 //!
-//! Two versions of the same sizes; chunks that arrive correct, corrupted or of
-//! the other version; a document that changes its mind; an engine that reads the
-//! bytes whole or cut short, whose reply may be lost and which may restart. The
-//! model drives the life cycle of the product. Each protective rule is then taken
-//! out in turn, and the exploration must find a violation.
+//! The model has two versions of the same sizes and drives the life cycle of the
+//! implementation. Chunks arrive correct, corrupted or from the other version, the
+//! configuration switches between the versions, and the engine reads the content
+//! complete or truncated; its reply may be lost, and it may restart. Each protective
+//! rule is then disabled in turn, and the exploration must find a violation.
 
 mod model;
 
@@ -14,9 +14,10 @@
 use crate::model::Activation;
 use crate::model::Rule;
 
-/// Fewest states that make the exploration worth its name.
-const LEAST_STATES: usize = 1000;
+/// Lower bound of the number of states, which detects a model that explores nothing.
+const MIN_STATES: usize = 1000;
 
+/// Shortest path to a violation when `rule` is disabled.
 fn violation_without(rule: Rule) -> Option<Vec<Activation>> {
     bfs(
         &Activation::new(Some(rule)),
@@ -32,7 +33,7 @@
         assert_eq!(state.violation(), None, "{state:?}");
         states += 1;
     }
-    assert!(states > LEAST_STATES, "{states} states");
+    assert!(states > MIN_STATES, "{states} states");
 }
 
 #[test]
@@ -47,7 +48,7 @@
 
 #[test]
 fn activation_violated_without_verify_content() {
-    assert!(violation_without(Rule::VerifyWhole).is_some());
+    assert!(violation_without(Rule::VerifyContent).is_some());
 }
 
 #[test]
--- a/tests/spec_weights/model.rs
+++ b/tests/spec_weights/model.rs
@@ -16,22 +16,22 @@
 const CHUNK_BYTES: u32 = 4;
 const VERSIONS: usize = 2;
 
-/// A protective rule that a run may go without.
+/// A protective rule that the model can disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Rule {
-    /// The engine is ordered to load only when the whole is verified.
-    VerifyWhole,
-    /// A chunk is kept only when its digest is right.
+    /// The engine is ordered to load only verified complete content.
+    VerifyContent,
+    /// A chunk is stored only when its digest is correct.
     CheckChunks,
-    /// A replica serves only when the engine reports the right digest.
+    /// A replica serves only when the engine reports the correct digest.
     CompareLoaded,
 }
 
-/// What stands in the place of one chunk.
+/// Content of one chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Content {
     Missing,
-    /// The chunk of this version, correct.
+    /// The correct chunk of the version with this index.
     Of(usize),
     Corrupted,
 }
@@ -42,23 +42,23 @@
 enum Stage {
     Fetching,
     Verified,
-    /// An order to load is with the engine.
+    /// The engine has received an order to load.
     Ordered,
     Serving,
     Held,
 }
 
-/// One host, its engine, and what may still go wrong.
+/// State of one host and its engine, with the faults that may still occur.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Activation {
-    without: Option<Rule>,
+    disabled_rule: Option<Rule>,
     wanted: usize,
     stages: [Stage; VERSIONS],
     chunks: [Contents; VERSIONS],
-    /// What the engine holds under the name of each version.
+    /// Content that the engine has loaded as each version.
     engine: [Option<Contents>; VERSIONS],
     bad_chunks_left: u8,
-    cut_reads_left: u8,
+    truncated_reads_left: u8,
     restarts_left: u8,
     changes_left: u8,
 }
@@ -92,14 +92,14 @@
     Digest::of_bytes(&chunks.collect::<Vec<_>>().concat())
 }
 
-/// The product's replica with the chunks that it would keep.
+/// Replica of the implementation, with `contents` inserted as its chunks.
 fn replica(version: usize, contents: &Contents) -> WeightsReplica<Fetching> {
     let manifest = Arc::clone(&MANIFESTS[version]);
     let budget = MemoryBudget::new(manifest.size_bytes);
     let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
         .start_fetching(manifest, &budget)
-        .expect("the manifest is right and fits");
+        .expect("the manifest is valid and the version fits");
     for (index, content) in contents.iter().enumerate() {
         if let Some(bytes) = bytes_of(*content, index) {
             replica.insert_chunk(index as u32, bytes);
@@ -109,49 +109,53 @@
 }
 
 impl Activation {
-    pub fn new(without: Option<Rule>) -> Self {
+    /// Initial state, with `disabled_rule` disabled, if any.
+    pub fn new(disabled_rule: Option<Rule>) -> Self {
         Self {
-            without,
+            disabled_rule,
             wanted: 0,
             stages: [Stage::Fetching; VERSIONS],
             chunks: [[Content::Missing; CHUNKS]; VERSIONS],
             engine: [None; VERSIONS],
             bad_chunks_left: 2,
-            cut_reads_left: 1,
+            truncated_reads_left: 1,
             restarts_left: 1,
             changes_left: 2,
         }
     }
 
-    fn lacks(&self, rule: Rule) -> bool {
-        self.without == Some(rule)
+    /// Whether `rule` is disabled.
+    fn is_disabled(&self, rule: Rule) -> bool {
+        self.disabled_rule == Some(rule)
     }
 
-    /// What is wrong with this state, if anything.
+    /// Describes the violation in this state, if there is one.
     pub fn violation(&self) -> Option<&'static str> {
         for version in 0..VERSIONS {
-            let whole = [Content::Of(version); CHUNKS];
+            let complete = [Content::Of(version); CHUNKS];
             match self.stages[version] {
-                Stage::Serving if self.engine[version].is_some_and(|held| held != whole) => {
-                    return Some("answers come from partial or mixed weights");
+                Stage::Serving if self.engine[version].is_some_and(|held| held != complete) => {
+                    return Some("responses come from partial or mixed weights");
                 }
-                Stage::Ordered if self.chunks[version] != whole => {
-                    return Some("the engine is ordered to load what is not whole");
+                Stage::Ordered if self.chunks[version] != complete => {
+                    return Some("the engine is ordered to load incomplete or wrong content");
                 }
-                Stage::Held => return Some("a right manifest is given up"),
+                Stage::Held => return Some("a valid manifest is held"),
                 _ => {}
             }
         }
         None
     }
 
+    /// Whether the wanted version is served.
     pub fn serves_wanted(&self) -> bool {
         self.stages[self.wanted] == Stage::Serving
     }
 
+    /// States that one step leads to.
     pub fn successors(&self) -> Vec<Self> {
         let mut next = Vec::new();
-        self.change_document(&mut next);
+        self.change_configuration(&mut next);
         self.restart_engine(&mut next);
         let version = self.wanted;
         match self.stages[version] {
@@ -172,7 +176,7 @@
         state
     }
 
-    fn change_document(&self, next: &mut Vec<Self>) {
+    fn change_configuration(&self, next: &mut Vec<Self>) {
         if let Some(left) = self.changes_left.checked_sub(1) {
             let mut state = self.clone();
             state.changes_left = left;
@@ -181,7 +185,7 @@
         }
     }
 
-    /// The engine comes back empty; the host notices and orders again.
+    /// The engine restarts empty; the host notices and orders it to load again.
     fn restart_engine(&self, next: &mut Vec<Self>) {
         if let Some(left) = self.restarts_left.checked_sub(1) {
             let mut state = self.clone();
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Any chunk arrives: right, corrupted, or of the other version.
+    /// Any chunk arrives: correct, corrupted, or from the other version.
     fn deliver(&self, version: usize, next: &mut Vec<Self>) {
         for index in 0..CHUNKS {
             next.push(self.with_chunk(version, index, Content::Of(version)));
@@ -214,27 +218,31 @@
         let mut state = self.clone();
         let mut replica = replica(version, &self.chunks[version]);
         let bytes = bytes_of(content, index).expect("a chunk that arrives has bytes");
-        let kept = match self.lacks(Rule::CheckChunks) {
+        let is_stored = match self.is_disabled(Rule::CheckChunks) {
             true => self.chunks[version][index] == Content::Missing,
             false => replica.insert_chunk(index as u32, bytes) == InsertOutcome::Stored,
         };
-        if kept {
+        if is_stored {
             state.chunks[version][index] = content;
         }
         state
     }
 
     fn verify(&self, version: usize, next: &mut Vec<Self>) {
-        if self.lacks(Rule::VerifyWhole) {
+        if self.is_disabled(Rule::VerifyContent) {
             next.push(self.with_stage(version, Stage::Verified));
             return;
         }
-        if self.lacks(Rule::CheckChunks) {
-            // The replica of the product refuses bad chunks, so compare here.
-            let complete = !self.chunks[version].contains(&Content::Missing);
-            let right = digest_of(&self.chunks[version]) == MANIFESTS[version].whole;
-            let stage = if right { Stage::Verified } else { Stage::Held };
-            next.extend(complete.then(|| self.with_stage(version, stage)));
+        if self.is_disabled(Rule::CheckChunks) {
+            // The implementation's replica rejects bad chunks, so compare here.
+            let is_complete = !self.chunks[version].contains(&Content::Missing);
+            let is_correct = digest_of(&self.chunks[version]) == MANIFESTS[version].whole;
+            let stage = if is_correct {
+                Stage::Verified
+            } else {
+                Stage::Held
+            };
+            next.extend(is_complete.then(|| self.with_stage(version, stage)));
             return;
         }
         match replica(version, &self.chunks[version]).verify() {
@@ -244,17 +252,18 @@
         }
     }
 
-    /// The engine reads the bytes, whole or cut short; its reply comes, or is
-    /// lost and its state is asked.
+    /// The engine loads the content, complete or truncated.
+    ///
+    /// Its reply arrives, or is lost and the host queries the engine's state.
     fn load(&self, version: usize, next: &mut Vec<Self>) {
         next.push(self.loaded(version, self.chunks[version]));
-        // The order is lost: it will be given again.
+        // The order was lost and will be sent again.
         next.push(self.with_stage(version, Stage::Verified));
-        if let Some(left) = self.cut_reads_left.checked_sub(1) {
-            let mut cut = self.chunks[version];
-            cut[CHUNKS - 1] = Content::Missing;
-            let mut state = self.loaded(version, cut);
-            state.cut_reads_left = left;
+        if let Some(left) = self.truncated_reads_left.checked_sub(1) {
+            let mut truncated = self.chunks[version];
+            truncated[CHUNKS - 1] = Content::Missing;
+            let mut state = self.loaded(version, truncated);
+            state.truncated_reads_left = left;
             next.push(state);
         }
     }
@@ -268,7 +277,7 @@
         };
         let serves = match verified.confirm_loaded(digest_of(&held)) {
             LoadCheck::Loaded(_) => true,
-            LoadCheck::Held(..) => self.lacks(Rule::CompareLoaded),
+            LoadCheck::Held(..) => self.is_disabled(Rule::CompareLoaded),
         };
         let stage = if serves {
             Stage::Serving
--- a/tests/weights/chunks.rs
+++ b/tests/weights/chunks.rs
@@ -15,15 +15,15 @@
 #[test]
 fn digest_any_field_changed() {
     let (manifest, _) = sample_manifest(1000, 100);
-    let mut others = vec![Manifest::clone(&manifest); 7];
-    others[0].model = "chat2".to_owned();
-    others[1].version = "v2".to_owned();
-    others[2].base = Some(Digest::of_bytes(b"base"));
-    others[3].size_bytes = 999;
-    others[4].chunk_bytes = 101;
-    others[5].chunks.swap(0, 1);
-    others[6].whole = Digest::of_bytes(b"whole");
-    for other in &others {
+    let mut changed = vec![Manifest::clone(&manifest); 7];
+    changed[0].model = "chat2".to_owned();
+    changed[1].version = "v2".to_owned();
+    changed[2].base = Some(Digest::of_bytes(b"base"));
+    changed[3].size_bytes = 999;
+    changed[4].chunk_bytes = 101;
+    changed[5].chunks.swap(0, 1);
+    changed[6].whole = Digest::of_bytes(b"whole");
+    for other in &changed {
         assert_ne!(other.digest(), manifest.digest(), "{other:?}");
     }
 }
@@ -85,18 +85,19 @@
     let (manifest, bytes) = sample_manifest(1030, 100);
     let budget = MemoryBudget::new(2000);
     arbtest(|u| {
-        let mut store = ChunkStore::new(manifest.clone(), &budget).expect("it fits");
+        let mut store =
+            ChunkStore::new(manifest.clone(), &budget).expect("the version fits into the budget");
         for _ in 0..u.int_in_range(0..=30)? {
             let index: u32 = u.int_in_range(0..=11)?;
             let start = (index as usize * 100).min(bytes.len());
             let mut chunk = bytes[start..(start + 100).min(bytes.len())].to_vec();
-            let spoiled = u.arbitrary()? && !chunk.is_empty();
-            if spoiled {
+            let corrupt = u.arbitrary()? && !chunk.is_empty();
+            if corrupt {
                 let at = u.choose_index(chunk.len())?;
                 chunk[at] ^= 1;
             }
             let known = store.held_chunks().contains(index);
-            let expected = match (index, known, spoiled) {
+            let expected = match (index, known, corrupt) {
                 (11, ..) => InsertOutcome::Rejected(RejectReason::UnknownIndex),
                 (_, true, _) => InsertOutcome::Duplicate,
                 (_, _, true) => InsertOutcome::Rejected(RejectReason::WrongDigest),
@@ -119,10 +120,11 @@
 #[test]
 fn insert_truncated_chunk() {
     let (manifest, bytes) = sample_manifest(1000, 100);
-    let mut store = ChunkStore::new(manifest, &MemoryBudget::new(1000)).expect("it fits");
-    let half = Bytes::copy_from_slice(&bytes[..50]);
+    let mut store = ChunkStore::new(manifest, &MemoryBudget::new(1000))
+        .expect("the version fits into the budget");
+    let truncated = Bytes::copy_from_slice(&bytes[..50]);
     assert_eq!(
-        store.insert(0, half),
+        store.insert(0, truncated),
         InsertOutcome::Rejected(RejectReason::WrongLength)
     );
 }
--- a/tests/weights/links.rs
+++ b/tests/weights/links.rs
@@ -15,9 +15,13 @@
             let bytes = u.int_in_range(1..=5000)?;
             let wait_us = bucket.reserve(now_us, bytes);
             sent_bytes += bytes;
-            let passed_us = now_us + wait_us - start_us;
-            let allowed = burst_bytes + rate_bytes_per_s * (passed_us + 100) / 1_000_000 + 50;
-            assert!(sent_bytes <= allowed, "{sent_bytes} of {allowed} bytes");
+            let elapsed_us = now_us + wait_us - start_us;
+            let allowed_bytes =
+                burst_bytes + rate_bytes_per_s * (elapsed_us + 100) / 1_000_000 + 50;
+            assert!(
+                sent_bytes <= allowed_bytes,
+                "{sent_bytes} of {allowed_bytes} bytes"
+            );
             now_us += u.int_in_range(0..=100_000)?;
         }
         Ok(())
--- a/tests/weights/main.rs
+++ b/tests/weights/main.rs
@@ -1,4 +1,4 @@
-//! Manifests, chunks, the life cycle and the transfer plan.
+//! Tests of manifests, chunks, the replica life cycle and the transfer plan.
 
 mod chunks;
 mod links;
--- a/tests/weights/origin.rs
+++ b/tests/weights/origin.rs
@@ -13,9 +13,10 @@
 use bergamotfork::standin::origin::OriginStats;
 use bergamotfork::weights::Digest;
 
-const WAIT_MS: u64 = 5000;
+const TIMEOUT_MS: u64 = 5000;
 
-async fn started() -> (Handle, OriginClient, Digest) {
+/// Starts an origin with one published version.
+async fn start_origin() -> (Handle, OriginClient, Digest) {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let handle = origin::start(OriginOptions {
         listen,
@@ -39,7 +40,7 @@
             Method::POST,
             &format!("{}{path}", handle.url()),
             &body,
-            WAIT_MS,
+            TIMEOUT_MS,
         )
         .await
         .expect("the origin answers")
@@ -47,21 +48,21 @@
 
 #[actix_rt::test]
 async fn origin_manifest_and_chunks() {
-    let (handle, client, digest) = started().await;
+    let (handle, client, digest) = start_origin().await;
     let manifest = client
         .manifest("chat", "v1")
         .await
-        .expect("it was published");
+        .expect("the version was published");
     assert_eq!(manifest.validate_with_digest(digest), Ok(()));
     for index in 0..4 {
         let chunk = client
-            .chunk(digest, index, WAIT_MS)
+            .chunk(digest, index, TIMEOUT_MS)
             .await
-            .expect("it is there");
+            .expect("the chunk is available");
         assert_eq!(Digest::of_bytes(&chunk), manifest.chunks[index as usize]);
     }
     let stats: OriginStats = HttpClient::to_platform()
-        .get_json(&format!("{}/stats", handle.url()), WAIT_MS)
+        .get_json(&format!("{}/stats", handle.url()), TIMEOUT_MS)
         .await
         .expect("the origin answers");
     assert_eq!(stats.chunk_bytes_sent, 1000);
@@ -69,34 +70,43 @@
 
 #[actix_rt::test]
 async fn origin_corrupt_and_truncated_chunks() {
-    let (handle, client, digest) = started().await;
+    let (handle, client, digest) = start_origin().await;
     let faults = json!({"corrupt_chunk": 1, "corrupt_times": 1, "truncate_chunk": 2});
     send(&handle, "/fault", faults).await;
-    let spoiled = client.chunk(digest, 1, WAIT_MS).await.expect("it is there");
-    let mended = client.chunk(digest, 1, WAIT_MS).await.expect("it is there");
-    assert_ne!(spoiled, mended);
-    let half = client.chunk(digest, 2, WAIT_MS).await.expect("it is there");
-    assert_eq!(half.len(), 150);
+    let corrupt = client
+        .chunk(digest, 1, TIMEOUT_MS)
+        .await
+        .expect("the chunk is available");
+    let intact = client
+        .chunk(digest, 1, TIMEOUT_MS)
+        .await
+        .expect("the chunk is available");
+    assert_ne!(corrupt, intact);
+    let truncated = client
+        .chunk(digest, 2, TIMEOUT_MS)
+        .await
+        .expect("the chunk is available");
+    assert_eq!(truncated.len(), 150);
 }
 
 #[actix_rt::test]
 async fn origin_limited_with_retry_after() {
-    let (handle, client, digest) = started().await;
+    let (handle, client, digest) = start_origin().await;
     let refuse = json!({"refuse": {"status": 429, "retry_after_s": 3, "count": 1}});
     send(&handle, "/fault", refuse).await;
-    let refused = client.chunk(digest, 0, WAIT_MS).await;
+    let refused = client.chunk(digest, 0, TIMEOUT_MS).await;
     assert_eq!(
         refused,
         Err(OriginError::Limited {
             retry_after_ms: 3000
         })
     );
-    assert!(client.chunk(digest, 0, WAIT_MS).await.is_ok());
+    assert!(client.chunk(digest, 0, TIMEOUT_MS).await.is_ok());
 }
 
 #[actix_rt::test]
 async fn origin_manifest_missing() {
-    let (handle, client, _) = started().await;
+    let (handle, client, _) = start_origin().await;
     assert_eq!(
         client.manifest("chat", "v9").await,
         Err(OriginError::Missing)
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -16,8 +16,8 @@
 
 const CHUNKS: u32 = 24;
 
-/// Everything a plan refers to.
-struct Case {
+/// Inputs of a plan.
+struct PlanCase {
     ranking: ChunkRanking,
     local: PeerKey,
     held_chunks: ChunkBitmap,
@@ -29,7 +29,7 @@
     seed: u64,
 }
 
-impl Case {
+impl PlanCase {
     fn new(count: usize, regions: usize, local: u32) -> Self {
         Self {
             ranking: sample_ranking(CHUNKS, &sample_hosts(count, regions)),
@@ -48,14 +48,14 @@
         let count: u32 = u.int_in_range(1..=20)?;
         let regions = u.int_in_range(1..=3)?;
         let mut case = Self::new(count as usize, regions, u.int_in_range(0..=count - 1)?);
-        case.held_chunks = some_chunks(u)?;
+        case.held_chunks = arbitrary_chunks(u)?;
         case.now_ms = u.int_in_range(0..=100_000)?;
         case.seed = u.arbitrary()?;
         for key in 0..count {
             if key != case.local.0 && u.arbitrary()? {
                 case.peers.push(PeerState {
                     key: PeerKey(key),
-                    held_chunks: some_chunks(u)?,
+                    held_chunks: arbitrary_chunks(u)?,
                     queued_reads: u.int_in_range(0..=5)?,
                     blocked_until_ms: u.int_in_range(0..=200_000)?,
                     unavailable: u.ratio(1, 5)?,
@@ -88,8 +88,8 @@
         })
     }
 
-    /// Every host of another region holds everything.
-    fn know_other_regions(&mut self) {
+    /// Makes every host of another region hold all chunks.
+    fn complete_other_regions(&mut self) {
         let region = self.ranking.region_of(self.local);
         let others = (0..12)
             .map(PeerKey)
@@ -110,7 +110,7 @@
     }
 }
 
-fn some_chunks(u: &mut Unstructured<'_>) -> Result<ChunkBitmap> {
+fn arbitrary_chunks(u: &mut Unstructured<'_>) -> Result<ChunkBitmap> {
     let mut map = ChunkBitmap::empty(CHUNKS);
     for index in 0..CHUNKS {
         if u.arbitrary()? {
@@ -123,7 +123,7 @@
 #[test]
 fn next_fetches_each_chunk_once() {
     arbtest(|u| {
-        let case = Case::arbitrary(u)?;
+        let case = PlanCase::arbitrary(u)?;
         let mut all = case.in_flight.clone();
         all.extend(case.plan());
         let mut chunks: Vec<u32> = all.iter().map(|fetch| fetch.chunk).collect();
@@ -142,7 +142,7 @@
 #[test]
 fn next_fetches_available_peers_within_limits() {
     arbtest(|u| {
-        let case = Case::arbitrary(u)?;
+        let case = PlanCase::arbitrary(u)?;
         let plan = case.plan();
         let region = case.ranking.region_of(case.local);
         for fetch in &plan {
@@ -171,7 +171,7 @@
 #[test]
 fn next_fetches_cross_region_along_route() {
     arbtest(|u| {
-        let case = Case::arbitrary(u)?;
+        let case = PlanCase::arbitrary(u)?;
         let region = case.ranking.region_of(case.local);
         for fetch in case.plan() {
             match fetch.source {
@@ -179,8 +179,8 @@
                     assert_eq!(case.ranking.upstream_region(fetch.chunk, region), None)
                 }
                 ChunkSource::Peer(key) if case.ranking.region_of(key) != region => {
-                    let feeder = case.ranking.upstream_region(fetch.chunk, region);
-                    assert_eq!(feeder, Some(case.ranking.region_of(key)));
+                    let upstream = case.ranking.upstream_region(fetch.chunk, region);
+                    assert_eq!(upstream, Some(case.ranking.region_of(key)));
                 }
                 ChunkSource::Peer(_) => {}
             }
@@ -192,35 +192,35 @@
 #[test]
 fn next_fetches_one_import_per_chunk_and_region() {
     for regions in 1..4 {
-        let mut readers = vec![0; CHUNKS as usize * regions];
+        let mut imports = vec![0; CHUNKS as usize * regions];
         for local in 0..12 {
-            let mut case = Case::new(12, regions, local);
+            let mut case = PlanCase::new(12, regions, local);
             case.settings.max_imports = CHUNKS as usize;
             case.settings.max_fetches_per_peer = CHUNKS as usize;
             let region = case.ranking.region_of(case.local);
-            case.know_other_regions();
+            case.complete_other_regions();
             for fetch in case.plan() {
-                readers[region * CHUNKS as usize + fetch.chunk as usize] += 1;
+                imports[region * CHUNKS as usize + fetch.chunk as usize] += 1;
             }
         }
         assert!(
-            readers.iter().all(|count| *count == 1),
-            "{regions} regions: {readers:?}"
+            imports.iter().all(|count| *count == 1),
+            "{regions} regions: {imports:?}"
         );
     }
 }
 
 #[test]
 fn next_fetches_second_rank_first_unavailable() {
-    let mut case = Case::new(12, 1, 0);
+    let mut case = PlanCase::new(12, 1, 0);
     let ranked = case.ranking.ranked_hosts(5, 0).to_vec();
     case.local = ranked[1];
     case.settings.max_imports = CHUNKS as usize;
-    let duty = ChunkFetch {
+    let import = ChunkFetch {
         chunk: 5,
         source: ChunkSource::Origin,
     };
-    assert!(!case.plan().contains(&duty));
+    assert!(!case.plan().contains(&import));
     case.peers.push(PeerState {
         key: ranked[0],
         held_chunks: ChunkBitmap::empty(CHUNKS),
@@ -228,24 +228,24 @@
         blocked_until_ms: 0,
         unavailable: true,
     });
-    assert!(case.plan().contains(&duty));
+    assert!(case.plan().contains(&import));
 }
 
 #[test]
 fn next_fetches_second_rank_after_no_progress() {
-    let mut case = Case::new(12, 1, 0);
+    let mut case = PlanCase::new(12, 1, 0);
     case.local = case.ranking.ranked_hosts(5, 0)[1];
     case.settings.max_imports = CHUNKS as usize;
-    let reads_origin = |case: &Case| case.plan().iter().any(|fetch| fetch.chunk == 5);
+    let imports_chunk = |case: &PlanCase| case.plan().iter().any(|fetch| fetch.chunk == 5);
     case.now_ms = case.settings.takeover_wait_ms - 1;
-    assert!(!reads_origin(&case));
+    assert!(!imports_chunk(&case));
     case.now_ms = case.settings.takeover_wait_ms * 3;
-    assert!(reads_origin(&case));
+    assert!(imports_chunk(&case));
 }
 
 #[test]
 fn next_fetches_rarest_first() {
-    let mut case = Case::new(12, 1, 0);
+    let mut case = PlanCase::new(12, 1, 0);
     case.settings.max_imports = 0;
     case.settings.max_regional_fetches = 1;
     for key in 1..4 {
@@ -271,7 +271,7 @@
 
 #[test]
 fn next_fetches_origin_blocked() {
-    let mut case = Case::new(1, 1, 0);
+    let mut case = PlanCase::new(1, 1, 0);
     case.origin_blocked_until_ms = 500;
     assert!(case.plan().is_empty());
     case.now_ms = 500;
@@ -280,13 +280,13 @@
 
 #[test]
 fn next_fetches_fourth_rank_three_unavailable() {
-    let mut case = Case::new(12, 1, 0);
+    let mut case = PlanCase::new(12, 1, 0);
     let ranked = case.ranking.ranked_hosts(5, 0).to_vec();
     case.local = ranked[3];
     case.settings.max_imports = CHUNKS as usize;
-    let mut lost = ranked[..3].to_vec();
-    lost.sort_unstable();
-    case.peers = lost
+    let mut unavailable = ranked[..3].to_vec();
+    unavailable.sort_unstable();
+    case.peers = unavailable
         .into_iter()
         .map(|key| PeerState {
             key,
--- a/tests/weights/ranking.rs
+++ b/tests/weights/ranking.rs
@@ -34,13 +34,13 @@
 #[test]
 fn upstream_region_chain_ends_at_origin() {
     for regions in 1..6 {
-        let homes = sample_ranking(200, &sample_hosts(12, regions));
+        let ranking = sample_ranking(200, &sample_hosts(12, regions));
         for chunk in 0..200 {
             for region in 0..regions {
                 let mut at = region;
                 let mut steps = 0;
-                while let Some(feeder) = homes.upstream_region(chunk, at) {
-                    at = feeder;
+                while let Some(upstream) = ranking.upstream_region(chunk, at) {
+                    at = upstream;
                     steps += 1;
                 }
                 assert_eq!(at, 0);
@@ -52,9 +52,9 @@
 
 #[test]
 fn upstream_region_three_regions_split_evenly() {
-    let homes = sample_ranking(400, &sample_hosts(12, 3));
+    let ranking = sample_ranking(400, &sample_hosts(12, 3));
     let direct = (0..400)
-        .filter(|chunk| homes.upstream_region(*chunk, 1) == Some(0))
+        .filter(|chunk| ranking.upstream_region(*chunk, 1) == Some(0))
         .count();
     assert!(
         (160..240).contains(&direct),
@@ -62,8 +62,8 @@
     );
     for chunk in 0..400 {
         assert_ne!(
-            homes.upstream_region(chunk, 1) == Some(0),
-            homes.upstream_region(chunk, 2) == Some(0)
+            ranking.upstream_region(chunk, 1) == Some(0),
+            ranking.upstream_region(chunk, 2) == Some(0)
         );
     }
 }
--- a/tests/weights/replica.rs
+++ b/tests/weights/replica.rs
@@ -11,14 +11,15 @@
 use bergamotfork::weights::Verification;
 use bergamotfork::weights::WeightsReplica;
 
-fn fetched(except: Option<u32>) -> (WeightsReplica<Fetching>, Vec<u8>) {
+/// Replica that has stored all chunks but `missing_chunk`, and its content.
+fn fetching_replica(missing_chunk: Option<u32>) -> (WeightsReplica<Fetching>, Vec<u8>) {
     let (manifest, bytes) = sample_manifest(1000, 100);
     let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
         .start_fetching(manifest, &MemoryBudget::new(1000))
-        .expect("the manifest is right and fits");
+        .expect("the manifest is valid and the version fits");
     for (index, chunk) in (0..).zip(bytes.chunks(100)) {
-        if Some(index) != except {
+        if Some(index) != missing_chunk {
             assert_eq!(
                 replica.insert_chunk(index, Bytes::copy_from_slice(chunk)),
                 InsertOutcome::Stored
@@ -30,13 +31,13 @@
 
 #[test]
 fn verify_complete() {
-    let (replica, bytes) = fetched(None);
+    let (replica, bytes) = fetching_replica(None);
     let Verification::Verified(verified) = replica.verify() else {
         panic!("all chunks are correct");
     };
     assert_eq!(verified.chunks().collect::<Vec<_>>().concat(), bytes);
     let LoadCheck::Loaded(loaded) = verified.confirm_loaded(Digest::of_bytes(&bytes)) else {
-        panic!("the engine holds the whole");
+        panic!("the engine loaded the complete content");
     };
     let serving = loaded.start_serving();
     assert!(serving.held_chunks().is_complete());
@@ -44,7 +45,7 @@
 
 #[test]
 fn verify_missing_chunk() {
-    let (replica, _) = fetched(Some(3));
+    let (replica, _) = fetching_replica(Some(3));
     assert!(matches!(replica.verify(), Verification::Incomplete(_)));
 }
 
@@ -56,7 +57,7 @@
     let announced = WeightsReplica::announced(manifest.digest());
     let mut replica = announced
         .start_fetching(manifest.into(), &MemoryBudget::new(1000))
-        .expect("the manifest is consistent");
+        .expect("the manifest is valid and the version fits");
     for (index, chunk) in (0..).zip(bytes.chunks(100)) {
         replica.insert_chunk(index, Bytes::copy_from_slice(chunk));
     }
@@ -68,7 +69,7 @@
 
 #[test]
 fn confirm_loaded_digest_mismatch() {
-    let (replica, _) = fetched(None);
+    let (replica, _) = fetching_replica(None);
     let Verification::Verified(verified) = replica.verify() else {
         panic!("all chunks are correct");
     };
