--- a/tests/weights_rollout/holds.rs
+++ b/tests/weights_rollout/holds.rs
@@ -8,13 +8,13 @@
     let base = site.publish("chat", "v1", None).await;
     let adapter = site.publish("tides", "v1", Some(base)).await;
     let more = "replicas = 2\nbase = chat";
-    site.order("tides", 0, "v1", adapter, more).await;
-    site.held_for("tides", "is not loaded").await;
+    site.edit_model("tides", 0, "v1", adapter, more).await;
+    site.wait_held("tides", "is not loaded").await;
     for backend in &site.engines {
-        assert_eq!(site.held(backend).await, Some(Vec::new()));
+        assert_eq!(site.loaded_manifests(backend).await, Some(Vec::new()));
     }
-    site.order("chat", 0, "v1", base, "replicas = 2").await;
-    site.all_hold(&[base, adapter]).await;
+    site.edit_model("chat", 0, "v1", base, "replicas = 2").await;
+    site.wait_loaded_by_all(&[base, adapter]).await;
 }
 
 #[actix_rt::test]
@@ -25,14 +25,15 @@
     site.cluster
         .fault(&origin, &json!({"manifest_wrong": true}))
         .await;
-    site.order("chat", 0, "v1", first, "replicas = 1").await;
-    site.held_for("chat", "manifest has digest").await;
+    site.edit_model("chat", 0, "v1", first, "replicas = 1")
+        .await;
+    site.wait_held("chat", "manifest has digest").await;
     site.cluster
         .fault(&origin, &json!({"manifest_missing": true}))
         .await;
-    site.held_for("chat", "no such manifest").await;
+    site.wait_held("chat", "no such manifest").await;
     site.cluster.fault(&origin, &json!({})).await;
-    site.all_hold(&[first]).await;
+    site.wait_loaded_by_all(&[first]).await;
 }
 
 #[actix_rt::test]
@@ -46,15 +47,18 @@
         .await;
     site.engines.push(backend);
     let large = site.cluster.publish("large", "v1", 2 << 20).await;
-    let large = large.parse().expect("a digest");
-    site.order("large", 0, "v1", large, "replicas = 1").await;
-    site.held_for("large", "does not fit").await;
-    // A version that fits is served all the same, and so is its successor.
+    let large = large.parse().expect("the manifest digest parses");
+    site.edit_model("large", 0, "v1", large, "replicas = 1")
+        .await;
+    site.wait_held("large", "does not fit").await;
+    // A held version does not block another one that fits, nor its successor.
     let first = site.publish("chat", "v1", None).await;
-    let revision = site.order("chat", 0, "v1", first, "replicas = 1").await;
-    site.all_hold(&[first]).await;
+    let revision = site
+        .edit_model("chat", 0, "v1", first, "replicas = 1")
+        .await;
+    site.wait_loaded_by_all(&[first]).await;
     let second = site.publish("chat", "version2", None).await;
-    site.order("chat", revision, "version2", second, "replicas = 1")
+    site.edit_model("chat", revision, "version2", second, "replicas = 1")
         .await;
-    site.all_hold(&[second]).await;
+    site.wait_loaded_by_all(&[second]).await;
 }
--- a/tests/weights_rollout/main.rs
+++ b/tests/weights_rollout/main.rs
@@ -1,4 +1,5 @@
-//! Rollouts by separate processes: turns, holds, lost replies, paused and restarted parts.
+//! Tests of rollouts with separate processes: load slots, held versions, lost replies,
+//! paused and restarted processes.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/weights_rollout/proxy.rs
+++ b/tests/weights_rollout/proxy.rs
@@ -13,20 +13,22 @@
 use bergamotfork::links::serve;
 use bergamotfork::standin::Handle;
 
-const FORWARD_WAIT_MS: u64 = 20_000;
+const FORWARD_TIMEOUT_MS: u64 = 20_000;
 
-/// Forwards to an engine and loses the replies to its first orders to load.
+/// Proxy of an engine that drops the replies to the first orders to load.
 #[derive(Debug)]
-pub struct Proxy {
+pub struct EngineProxy {
     engine: String,
-    to_lose: AtomicU32,
+    replies_to_drop: AtomicU32,
+    /// Orders to load that were forwarded.
     pub loads: AtomicU32,
 }
 
-pub fn proxy(engine: &str, to_lose: u32) -> (Handle, Arc<Proxy>) {
-    let proxy = Arc::new(Proxy {
+/// Starts a proxy of `engine` that drops `replies_to_drop` replies.
+pub fn start_proxy(engine: &str, replies_to_drop: u32) -> (Handle, Arc<EngineProxy>) {
+    let proxy = Arc::new(EngineProxy {
         engine: engine.to_owned(),
-        to_lose: AtomicU32::new(to_lose),
+        replies_to_drop: AtomicU32::new(replies_to_drop),
         loads: AtomicU32::new(0),
     });
     let shared = web::Data::from(Arc::clone(&proxy));
@@ -39,19 +41,23 @@
     (handle, proxy)
 }
 
-async fn forward(proxy: web::Data<Proxy>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
+async fn forward(
+    proxy: web::Data<EngineProxy>,
+    request: HttpRequest,
+    body: web::Bytes,
+) -> HttpResponse {
     let url = format!("http://{}{}", proxy.engine, request.path());
     let method = Method::from_bytes(request.method().as_str().as_bytes()).expect("a method");
     let forwarded = HttpClient::to_platform()
         .request(method, &url)
         .insert_header(("content-type", "application/json"));
-    let answer = HttpClient::exchange(forwarded, body, FORWARD_WAIT_MS).await;
+    let answer = HttpClient::exchange(forwarded, body, FORWARD_TIMEOUT_MS).await;
     if request.path() == "/v1/load" {
         proxy.loads.fetch_add(1, Ordering::SeqCst);
-        let lose = |left: u32| left.checked_sub(1);
+        let take_one = |left: u32| left.checked_sub(1);
         if proxy
-            .to_lose
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, lose)
+            .replies_to_drop
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, take_one)
             .is_ok()
         {
             return HttpResponse::GatewayTimeout().finish();
--- a/tests/weights_rollout/site.rs
+++ b/tests/weights_rollout/site.rs
@@ -14,15 +14,16 @@
 pub const LIMIT_S: u64 = 40;
 const REGION: &str = "or-north";
 
-/// A cluster with one entry and its engines.
+/// A cluster of separate processes: one entry, and endpoints with their engines.
 pub struct Site {
     pub cluster: Cluster,
     pub entry: String,
-    /// Addresses of the engines' own servers.
+    /// Addresses of the engines' HTTP servers.
     pub engines: Vec<String>,
 }
 
 impl Site {
+    /// Starts the cluster with `engines` engines.
     pub async fn new(engines: usize, engine_args: &[&str]) -> Self {
         let mut cluster = Cluster::new().await;
         let entry = cluster.entry("entry-1", REGION, "").await;
@@ -50,40 +51,40 @@
         let answer: Value = HttpClient::to_platform()
             .send_json(Method::POST, &url, &publication, 10_000)
             .await
-            .expect("the origin takes a version");
+            .expect("the origin accepts the version");
         serde_json::from_value(answer["manifest"].clone()).expect("a digest is answered")
     }
 
-    /// Changes the model's section; returns its new revision.
-    pub async fn order(
+    /// Replaces the model's section of the configuration; returns its new revision.
+    pub async fn edit_model(
         &self,
         model: &str,
         revision: u64,
         version: &str,
         manifest: Digest,
-        more: &str,
+        other_keys: &str,
     ) -> u64 {
-        let body = format!("version = {version}\nmanifest = {manifest}\n{more}\n");
+        let body = format!("version = {version}\nmanifest = {manifest}\n{other_keys}\n");
         let section = format!("model {model}");
         let offset = self.cluster.edit(&section, revision, &body).await;
         offset + 1
     }
 
-    /// What the engine at `backend` holds; None while it doesn't answer.
-    pub async fn held(&self, backend: &str) -> Option<Vec<Digest>> {
+    /// Manifests loaded by the engine at `backend`; None while it doesn't respond.
+    pub async fn loaded_manifests(&self, backend: &str) -> Option<Vec<Digest>> {
         let url = format!("http://{backend}/v1/state");
         let state: EngineState = HttpClient::to_platform().get_json(&url, 2000).await.ok()?;
         Some(state.loaded.iter().map(|loaded| loaded.manifest).collect())
     }
 
-    /// Waits until every engine holds just `manifests`.
-    pub async fn all_hold(&self, manifests: &[Digest]) {
+    /// Waits until every engine has loaded exactly `manifests`.
+    pub async fn wait_loaded_by_all(&self, manifests: &[Digest]) {
         for backend in &self.engines {
             until(
-                &format!("{backend} holds {manifests:?}"),
+                &format!("{backend} has loaded {manifests:?}"),
                 LIMIT_S,
                 async || {
-                    let held = self.held(backend).await?;
+                    let held = self.loaded_manifests(backend).await?;
                     let same = held.len() == manifests.len()
                         && manifests.iter().all(|one| held.contains(one));
                     same.then_some(())
@@ -93,6 +94,7 @@
         }
     }
 
+    /// Status from the entry; None while it doesn't respond.
     pub async fn status(&self) -> Option<StatusView> {
         let request = HttpClient::to_platform()
             .request(Method::GET, &format!("{}/v1/status", self.entry))
@@ -101,8 +103,8 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Waits until `model` is held somewhere for a cause that holds `text`.
-    pub async fn held_for(&self, model: &str, text: &str) {
+    /// Waits until `model` is held on a host for a cause that contains `text`.
+    pub async fn wait_held(&self, model: &str, text: &str) {
         until(&format!("{model} is held: {text}"), LIMIT_S, async || {
             let status = self.status().await?;
             let view = status.models.into_iter().find(|view| view.name == model)?;
--- a/tests/weights_transfer/faults.rs
+++ b/tests/weights_transfer/faults.rs
@@ -23,10 +23,10 @@
     let hosts = hosts(6);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &members);
+        host.start_transfer(&published.origin, &published.manifest, &members);
     }
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
     assert_eq!(
         stats(&published.origin).await.chunks_sent,
@@ -46,13 +46,14 @@
     let hosts = hosts(3);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &members);
+        host.start_transfer(&published.origin, &published.manifest, &members);
     }
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
-    let rejected =
-        |host: &crate::fleet::Host| host.counted("bergamotfork_chunks_rejected", "wrong_digest");
+    let rejected = |host: &crate::fleet::Host| {
+        host.has_counted("bergamotfork_chunks_rejected", "wrong_digest")
+    };
     assert!(hosts.iter().any(rejected));
 }
 
@@ -61,17 +62,17 @@
     let published = published_origin().await;
     send(&published.origin, "/fault", json!({"truncate_chunk": 3})).await;
     let host = host("host", SIZE_BYTES);
-    host.fetch(
+    host.start_transfer(
         &published.origin,
         &published.manifest,
         std::slice::from_ref(&host.member),
     );
-    while !host.counted("bergamotfork_chunks_rejected", "wrong_length") {
+    while !host.has_counted("bergamotfork_chunks_rejected", "wrong_length") {
         sleep(Duration::from_millis(10)).await;
     }
     assert!(host.version(&published.manifest).whole().is_none());
     send(&published.origin, "/fault", json!({})).await;
-    host.verified(&published.manifest).await;
+    host.wait_verified(&published.manifest).await;
 }
 
 #[actix_rt::test]
@@ -81,14 +82,14 @@
     let hosts = hosts(4);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &members);
+        host.start_transfer(&published.origin, &published.manifest, &members);
     }
     while stats(&published.origin).await.chunk_requests < 20 {
         sleep(Duration::from_millis(20)).await;
     }
     send(&published.origin, "/fault", json!({})).await;
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
     assert_eq!(
         stats(&published.origin).await.chunks_sent,
@@ -104,13 +105,14 @@
     let hosts = hosts(4);
     let members = members(&hosts);
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &members);
+        host.start_transfer(&published.origin, &published.manifest, &members);
     }
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
     let stats = stats(&published.origin).await;
-    // Two reads of each host were refused, and each came back once.
+    // The two reads that each host starts at first were refused, and each was retried
+    // once.
     assert!(stats.chunk_requests <= u64::from(CHUNKS) + 8, "{stats:?}");
 }
 
@@ -120,7 +122,7 @@
     let host = host("host", SIZE_BYTES - 1);
     let members = std::slice::from_ref(&host.member);
     assert!(
-        host.fetch(&published.origin, &published.manifest, members)
+        host.start_transfer(&published.origin, &published.manifest, members)
             .is_none()
     );
     assert_eq!(
@@ -141,8 +143,8 @@
     let host = host("host", SIZE_BYTES);
     let members = vec![host.member.clone()];
     let old = host
-        .fetch(&published.origin, &published.manifest, &members)
-        .expect("it fits");
+        .start_transfer(&published.origin, &published.manifest, &members)
+        .expect("the version fits into the budget");
     while host
         .version(&published.manifest)
         .have()
@@ -157,13 +159,13 @@
     while host.share.budget.used_bytes() > 0 {
         sleep(Duration::from_millis(10)).await;
     }
-    host.fetch(&published.origin, &newer, &members)
-        .expect("the memory is free");
-    host.verified(&newer).await;
+    host.start_transfer(&published.origin, &newer, &members)
+        .expect("the memory was released");
+    host.wait_verified(&newer).await;
     let whole = host
         .version(&newer)
         .whole()
-        .expect("it is verified")
+        .expect("the version is verified")
         .concat();
     assert_eq!(bergamotfork::weights::Digest::of_bytes(&whole), newer.whole);
     assert!(host.share.version(published.manifest.digest()).is_none());
@@ -177,7 +179,7 @@
     let mut hosts = hosts(4);
     let list = members(&hosts);
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &list);
+        host.start_transfer(&published.origin, &published.manifest, &list);
     }
     while hosts[3]
         .version(&published.manifest)
@@ -186,14 +188,14 @@
     {
         sleep(Duration::from_millis(10)).await;
     }
-    let killed = hosts.pop().expect("there are four");
+    let killed = hosts.pop().expect("four hosts were started");
     killed.server.kill().await;
-    let replaced = host_at("host-3", SIZE_BYTES, killed.server.address());
-    replaced.fetch(&published.origin, &published.manifest, &list);
+    let replacement = host_at("host-3", SIZE_BYTES, killed.server.address());
+    replacement.start_transfer(&published.origin, &published.manifest, &list);
     send(&published.origin, "/fault", json!({})).await;
-    hosts.push(replaced);
+    hosts.push(replacement);
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
 }
 
@@ -205,16 +207,16 @@
     let first: Vec<_> = hosts[..2]
         .iter()
         .map(|host| {
-            host.fetch(&published.origin, &published.manifest, &list[..2])
-                .expect("it fits")
+            host.start_transfer(&published.origin, &published.manifest, &list[..2])
+                .expect("the version fits into the budget")
         })
         .collect();
     for transfer in first {
-        // A transfer that is done already has stopped.
+        // Sending fails when the transfer has already completed and stopped.
         let _ = transfer.send(SetMembers(list.clone())).await;
     }
-    hosts[2].fetch(&published.origin, &published.manifest, &list);
+    hosts[2].start_transfer(&published.origin, &published.manifest, &list);
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
 }
--- a/tests/weights_transfer/fleet.rs
+++ b/tests/weights_transfer/fleet.rs
@@ -38,16 +38,16 @@
 pub const SIZE_BYTES: u64 = 64 << 10;
 pub const CHUNK_BYTES: u32 = 2 << 10;
 pub const CHUNKS: u32 = 32;
-const CALL_WAIT_MS: u64 = 5000;
-const LIMIT: Duration = Duration::from_secs(40);
+const CALL_TIMEOUT_MS: u64 = 5000;
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// The origin with one published version.
+/// An origin and the manifest of the version published there.
 pub struct PublishedOrigin {
     pub origin: Handle,
     pub manifest: Manifest,
 }
 
-/// A host with its server.
+/// A host that takes part in transfers, with its server for peers.
 pub struct Host {
     pub share: Arc<WeightsShare>,
     pub server: Handle,
@@ -78,7 +78,7 @@
     OriginClient::new(origin.url())
         .manifest("chat", version)
         .await
-        .expect("it was published")
+        .expect("the version was published")
 }
 
 pub async fn send(origin: &Handle, path: &str, body: Value) -> Value {
@@ -87,7 +87,7 @@
             Method::POST,
             &format!("{}{path}", origin.url()),
             &body,
-            CALL_WAIT_MS,
+            CALL_TIMEOUT_MS,
         )
         .await
         .expect("the origin answers")
@@ -95,7 +95,7 @@
 
 pub async fn stats(origin: &Handle) -> OriginStats {
     HttpClient::to_platform()
-        .get_json(&format!("{}/stats", origin.url()), CALL_WAIT_MS)
+        .get_json(&format!("{}/stats", origin.url()), CALL_TIMEOUT_MS)
         .await
         .expect("the origin answers")
 }
@@ -147,8 +147,8 @@
 }
 
 impl Host {
-    /// Starts the transfer; None when the version is held.
-    pub fn fetch(
+    /// Starts the transfer of a version; None when the version is held.
+    pub fn start_transfer(
         &self,
         origin: &Handle,
         manifest: &Manifest,
@@ -172,18 +172,18 @@
     pub fn version(&self, manifest: &Manifest) -> Arc<WeightsVersion> {
         self.share
             .version(manifest.digest())
-            .expect("it was announced")
+            .expect("the version was announced")
     }
 
-    /// Waits until the whole is here and correct.
-    pub async fn verified(&self, manifest: &Manifest) {
+    /// Waits until the host has verified the complete version.
+    pub async fn wait_verified(&self, manifest: &Manifest) {
         let version = self.version(manifest);
-        let stage = timeout(LIMIT, version.fetched()).await;
+        let stage = timeout(TRANSFER_TIMEOUT, version.fetched()).await;
         assert_eq!(stage.ok(), Some(StageName::Verified), "{}", self.share.host);
     }
 
-    /// Whether the counter `name` with the label value is above 0.
-    pub fn counted(&self, name: &str, label: &str) -> bool {
+    /// Whether the counter `name` with the label value `label` is above 0.
+    pub fn has_counted(&self, name: &str, label: &str) -> bool {
         let text = self.share.metrics.render();
         let label = format!("\"{label}\"");
         text.lines()
--- a/tests/weights_transfer/main.rs
+++ b/tests/weights_transfer/main.rs
@@ -1,4 +1,5 @@
-//! Transfers between hosts over loopback TCP, under the faults they must survive.
+//! Tests of transfers between hosts over loopback TCP, with faults of the origin and
+//! of peers that a transfer must tolerate.
 
 mod faults;
 mod fleet;
--- a/tests/weights_transfer/peers.rs
+++ b/tests/weights_transfer/peers.rs
@@ -20,7 +20,8 @@
 use bergamotfork::weights::PeerStatus;
 use bergamotfork::weights::ReadOutcome;
 
-fn note() -> PeerStatus {
+/// Status of a peer that holds every chunk.
+fn complete_status() -> PeerStatus {
     PeerStatus {
         have: ChunkBitmap::complete(CHUNKS),
         queue: 0,
@@ -28,30 +29,31 @@
     }
 }
 
-async fn wrong_chunk() -> HttpResponse {
-    let mut body = ChunkFrame::encode_header(ReadOutcome::Sent, note()).expect("it encodes");
+async fn send_wrong_chunk() -> HttpResponse {
+    let mut body = ChunkFrame::encode_header(ReadOutcome::Sent, complete_status())
+        .expect("the header encodes");
     body.resize(body.len() + CHUNK_BYTES as usize, 7);
     HttpResponse::Ok().body(body)
 }
 
-/// A peer that says it holds everything and sends wrong bytes.
-fn lying_peer() -> Handle {
+/// A peer that reports every chunk as held and sends wrong bytes.
+fn corrupting_peer() -> Handle {
     serve(any_port(), &ServeOptions::default(), |app| {
         app.route(
             "/x/weights/{m}/have",
-            web::post().to(async || rmp_response(&note())),
+            web::post().to(async || rmp_response(&complete_status())),
         )
-        .route("/x/weights/{m}/{i}", web::post().to(wrong_chunk));
+        .route("/x/weights/{m}/{i}", web::post().to(send_wrong_chunk));
     })
     .expect("the address is free")
 }
 
-/// A peer that says it holds everything and stalls in each chunk.
+/// A peer that reports every chunk as held and never responds to a read.
 fn stalling_peer() -> Handle {
     serve(any_port(), &ServeOptions::default(), |app| {
         app.route(
             "/x/weights/{m}/have",
-            web::post().to(async || rmp_response(&note())),
+            web::post().to(async || rmp_response(&complete_status())),
         )
         .route(
             "/x/weights/{m}/{i}",
@@ -67,18 +69,19 @@
 #[actix_rt::test]
 async fn transfer_chunks_corrupted_by_peer() {
     let published = published_origin().await;
-    let liar = lying_peer();
+    let corrupting = corrupting_peer();
     let hosts = hosts(3);
     let mut list = members(&hosts);
-    list.push(member("liar", liar.address()));
+    list.push(member("liar", corrupting.address()));
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &list);
+        host.start_transfer(&published.origin, &published.manifest, &list);
     }
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
-    let rejected =
-        |host: &crate::fleet::Host| host.counted("bergamotfork_chunks_rejected", "wrong_digest");
+    let rejected = |host: &crate::fleet::Host| {
+        host.has_counted("bergamotfork_chunks_rejected", "wrong_digest")
+    };
     assert!(hosts.iter().any(rejected));
 }
 
@@ -90,26 +93,26 @@
     let mut list = members(&hosts);
     list.push(member("stalling", stalling.address()));
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &list);
+        host.start_transfer(&published.origin, &published.manifest, &list);
     }
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
 }
 
 #[actix_rt::test]
 async fn transfer_peer_unresponsive() {
     let published = published_origin().await;
-    // Connections are made by the kernel, but nobody reads from them.
+    // The kernel accepts connections, but no process reads from them.
     let frozen = TcpListener::bind(any_port()).expect("the address is free");
-    let address = frozen.local_addr().expect("it is bound");
+    let address = frozen.local_addr().expect("the listener is bound");
     let hosts = hosts(3);
     let mut list = members(&hosts);
     list.push(member("frozen", address));
     for host in &hosts {
-        host.fetch(&published.origin, &published.manifest, &list);
+        host.start_transfer(&published.origin, &published.manifest, &list);
     }
     for host in &hosts {
-        host.verified(&published.manifest).await;
+        host.wait_verified(&published.manifest).await;
     }
 }
