--- a/src/weights/chunk_bitmap.rs
+++ b/src/weights/chunk_bitmap.rs
@@ -169,7 +169,7 @@
     type Value = ChunkBitmap;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the bytes of a map of chunks")
+        f.write_str("the bytes of a chunk bitmap")
     }
 
     fn visit_bytes<E: de::Error>(self, bytes: &[u8]) -> Result<ChunkBitmap, E> {
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -32,7 +32,7 @@
 /// Failures in a row from which a broken connection makes a peer unavailable.
 const BROKEN_CONNECTION_LIMIT: u32 = 3;
 
-/// Time for which a host that declines is expected to learn of the version yet.
+/// Time after its first refusal in which a host may still learn of the version.
 const DECLINE_GRACE_MS: u64 = 5000;
 
 /// Backoff for a host that declined and may still join the transfer.
--- a/tests/weights_rollout/site.rs
+++ b/tests/weights_rollout/site.rs
@@ -84,9 +84,9 @@
                 &format!("{backend} has loaded {manifests:?}"),
                 LIMIT_S,
                 async || {
-                    let held = self.loaded_manifests(backend).await?;
-                    let same = held.len() == manifests.len()
-                        && manifests.iter().all(|one| held.contains(one));
+                    let loaded = self.loaded_manifests(backend).await?;
+                    let same = loaded.len() == manifests.len()
+                        && manifests.iter().all(|one| loaded.contains(one));
                     same.then_some(())
                 },
             )
