--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -20,8 +20,8 @@
 use crate::observe::Tally;
 use crate::weights::ChunkFrame;
 use crate::weights::Digest;
-use crate::weights::PeerNote;
-use crate::weights::PeerQuestion;
+use crate::weights::PeerRequest;
+use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
 
 /// Reads that may wait at a host.
@@ -131,7 +131,7 @@
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerQuestion>(&body) else {
+    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
     let known = question.known;
@@ -148,14 +148,14 @@
     }
 }
 
-fn control_bytes(question: &Bytes, note: &PeerNote) -> u64 {
+fn control_bytes(question: &Bytes, note: &PeerStatus) -> u64 {
     question.len() as u64 + note.have.encode().len() as u64
 }
 
 async fn wait_for_news(version: &WeightsVersion, known: u32) {
     loop {
         let generation = version.signal.generation();
-        if version.have().is_some_and(|have| have.count() > known) {
+        if version.have().is_some_and(|have| have.held_count() > known) {
             return;
         }
         version.signal.changed_since(generation).await;
@@ -173,7 +173,7 @@
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerQuestion>(&body) else {
+    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
     let region = question.region.clone();
@@ -199,7 +199,7 @@
     let Some(note) = version.note() else {
         return not_taking_part();
     };
-    let Some(head) = ChunkFrame::encode_head(outcome, note) else {
+    let Some(head) = ChunkFrame::encode_header(outcome, note) else {
         return HttpResponse::InternalServerError().body("the head does not encode");
     };
     let size = (head.len() + chunk.len()) as u64;
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -25,12 +25,12 @@
 use crate::observe::Event;
 use crate::observe::emit;
 use crate::weights::Digest;
+use crate::weights::HoldReason;
 use crate::weights::Manifest;
 use crate::weights::PlanSettings;
 use crate::weights::SwarmHost;
 use crate::weights::SwarmSettings;
-use crate::weights::WeightsHeld;
-use crate::weights::placement;
+use crate::weights::replica_hosts;
 
 /// How often the document is compared with what is here.
 const ROUND: Duration = Duration::from_millis(250);
@@ -137,7 +137,7 @@
             // An adapter is placed as its base, so that they meet.
             let placed_as = model.base.clone().unwrap_or_else(|| model.name.clone());
             let names = members.iter().map(|member| member.host.name.as_str());
-            let chosen = placement(&placed_as, model.replicas, names);
+            let chosen = replica_hosts(&placed_as, model.replicas, names);
             let Some(rank) = chosen.iter().position(|name| *name == node.name()) else {
                 continue;
             };
@@ -239,7 +239,7 @@
         match manifest {
             Ok(manifest) => self.start_transfer(at, manifest, want),
             Err(OriginError::Missing) => {
-                tracked.failed(Some(WeightsHeld::ManifestMissing), 0, now_ms)
+                tracked.failed(Some(HoldReason::ManifestMissing), 0, now_ms)
             }
             Err(OriginError::Limited { retry_after_ms }) => {
                 tracked.failed(None, retry_after_ms, now_ms)
@@ -251,7 +251,7 @@
     fn start_transfer(&mut self, at: usize, manifest: Manifest, want: &Want) {
         let now_ms = self.state.node.now_ms();
         let digest = self.tracked[at].digest();
-        if let Err(error) = manifest.validate_as(digest) {
+        if let Err(error) = manifest.validate_with_digest(digest) {
             self.tracked[at].failed(Some(error.into()), 0, now_ms);
             return;
         }
@@ -270,7 +270,7 @@
                 let cause = held.as_ref().map_or_else(String::new, ToString::to_string);
                 emit(
                     Event::WeightsHeld,
-                    &[("manifest", &digest.short()), ("cause", &cause)],
+                    &[("manifest", &digest.short_hex()), ("cause", &cause)],
                 );
                 self.tracked[at].failed(held, 0, now_ms);
             }
@@ -301,7 +301,7 @@
             http: self.state.node.http().clone(),
             swarm: SwarmSettings {
                 plan: PlanSettings::default(),
-                neighbours: usize::try_from(settings.neighbours).unwrap_or(usize::MAX),
+                max_probed_peers: usize::try_from(settings.neighbours).unwrap_or(usize::MAX),
             },
             peer_wait_ms: PEER_WAIT_MS,
             origin_wait_ms: ORIGIN_WAIT_MS,
@@ -318,7 +318,7 @@
                 .any(|other| other.digest() == base && other.serves())
         {
             let now_ms = self.state.node.now_ms();
-            self.tracked[at].failed(Some(WeightsHeld::BaseNotLoaded { base }), 0, now_ms);
+            self.tracked[at].failed(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
             return;
         }
         if self.serves_old(want) && !self.is_turn(want).await {
@@ -366,7 +366,7 @@
             .version
             .manifest()
             .map_or(whole, |manifest| manifest.whole);
-        let held = WeightsHeld::EngineMismatch {
+        let held = HoldReason::EngineMismatch {
             expected,
             found: whole,
         };
@@ -377,7 +377,7 @@
     tracked.succeeded();
     emit(
         Event::WeightsServing,
-        &[("manifest", &tracked.digest().short())],
+        &[("manifest", &tracked.digest().short_hex())],
     );
 }
 
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -25,20 +25,20 @@
 use crate::observe::Event;
 use crate::observe::Tally;
 use crate::observe::emit;
+use crate::weights::ChunkFetch;
 use crate::weights::ChunkFrame;
-use crate::weights::Fetch;
-use crate::weights::Inserted;
+use crate::weights::ChunkSource;
+use crate::weights::InsertOutcome;
 use crate::weights::Manifest;
 use crate::weights::PeerFailure;
 use crate::weights::PeerKey;
-use crate::weights::PeerNote;
-use crate::weights::PeerQuestion;
-use crate::weights::Probe;
+use crate::weights::PeerProbe;
+use crate::weights::PeerRequest;
+use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
-use crate::weights::Source;
-use crate::weights::Swarm;
 use crate::weights::SwarmHost;
 use crate::weights::SwarmSettings;
+use crate::weights::SwarmState;
 
 /// Time between two looks at the plan when nothing happens.
 const TICK_MS: u64 = 100;
@@ -85,7 +85,7 @@
     share: Arc<WeightsShare>,
     version: Arc<WeightsVersion>,
     options: TransferOptions,
-    swarm: Swarm,
+    swarm: SwarmState,
     addresses: Vec<(String, SocketAddr)>,
     started: Instant,
 }
@@ -107,7 +107,7 @@
         }
         let have = version.have()?;
         let hosts = members.iter().map(|member| member.host.clone()).collect();
-        let swarm = Swarm::new(
+        let swarm = SwarmState::new(
             digest,
             have,
             hosts,
@@ -137,11 +137,11 @@
             return;
         }
         for question in self.version.take_questions() {
-            if let Some(peer) = self.swarm.key_of(&question.host) {
-                self.swarm.heard(peer, &question.have, 0);
+            if let Some(peer) = self.swarm.peer_key(&question.host) {
+                self.swarm.record_peer_status(peer, &question.have, 0);
             }
         }
-        let actions = self.swarm.next(self.now_ms());
+        let actions = self.swarm.next_actions(self.now_ms());
         for fetch in actions.fetches {
             self.start_fetch(fetch, ctx);
         }
@@ -159,21 +159,21 @@
         Some(self.addresses[at].1)
     }
 
-    fn question(&self, known: u32, wait_ms: u64) -> PeerQuestion {
-        PeerQuestion {
+    fn question(&self, known: u32, wait_ms: u64) -> PeerRequest {
+        PeerRequest {
             host: self.share.host.clone(),
             region: self.share.region.clone(),
-            have: self.swarm.have().clone(),
+            have: self.swarm.held_chunks().clone(),
             known,
             wait_ms,
         }
     }
 
-    fn start_fetch(&mut self, fetch: Fetch, ctx: &mut Context<Self>) {
+    fn start_fetch(&mut self, fetch: ChunkFetch, ctx: &mut Context<Self>) {
         let digest = self.version.digest();
         let share = Arc::clone(&self.share);
         match fetch.source {
-            Source::Origin => {
+            ChunkSource::Origin => {
                 let origin = self.options.origin.clone();
                 let wait_ms = self.options.origin_wait_ms;
                 let reading = async move {
@@ -189,11 +189,11 @@
                         .map(move |result, act, ctx| act.finish(fetch, result, ctx)),
                 );
             }
-            Source::Peer(peer) => {
+            ChunkSource::Peer(peer) => {
                 let Some(address) = self.address(peer) else {
                     let now_ms = self.now_ms();
                     self.swarm
-                        .peer_failed(fetch, PeerFailure::Unreachable, now_ms);
+                        .peer_fetch_failed(fetch, PeerFailure::Unreachable, now_ms);
                     return;
                 };
                 let url = format!("http://{address}/x/weights/{digest}/{}", fetch.chunk);
@@ -218,7 +218,7 @@
         }
     }
 
-    fn start_probe(&mut self, probe: Probe, ctx: &mut Context<Self>) {
+    fn start_probe(&mut self, probe: PeerProbe, ctx: &mut Context<Self>) {
         let Some(address) = self.address(probe.peer) else {
             let now_ms = self.now_ms();
             self.swarm
@@ -226,12 +226,12 @@
             return;
         };
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
-        let question = self.question(probe.known, probe.wait_ms);
+        let question = self.question(probe.known_chunks, probe.wait_ms);
         let http = self.options.http.clone();
         let wait_ms = probe.wait_ms + PROBE_SLACK_MS;
         let share = Arc::clone(&self.share);
         let asking = async move {
-            let result = http.ask::<PeerNote>(&url, &question, wait_ms).await;
+            let result = http.ask::<PeerStatus>(&url, &question, wait_ms).await;
             let body_bytes = 2 * question.have.encode().len() as u64;
             share.count_control(body_bytes, "asking");
             result
@@ -249,7 +249,7 @@
         }));
     }
 
-    fn finish(&mut self, fetch: Fetch, result: ReadResult, ctx: &mut Context<Self>) {
+    fn finish(&mut self, fetch: ChunkFetch, result: ReadResult, ctx: &mut Context<Self>) {
         let now_ms = self.now_ms();
         match (result, fetch.source) {
             (ReadResult::Origin(Ok(bytes)), _) => self.take_chunk(fetch, bytes, "origin"),
@@ -259,42 +259,46 @@
                     _ => None,
                 };
                 self.share.metrics.retried(error.label());
-                self.swarm.origin_failed(fetch, retry_after_ms, now_ms);
+                self.swarm
+                    .origin_fetch_failed(fetch, retry_after_ms, now_ms);
             }
-            (ReadResult::Peer(Ok(frame)), Source::Peer(peer)) => {
-                self.swarm.heard(peer, &frame.note.have, frame.note.queue);
+            (ReadResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
+                self.swarm
+                    .record_peer_status(peer, &frame.status.have, frame.status.queue);
                 match frame.outcome {
                     ReadOutcome::Sent => self.take_chunk(fetch, frame.chunk, "peer"),
                     ReadOutcome::Busy => self.defer(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
                         self.share.metrics.retried("peer_lacks_chunk");
-                        self.swarm.replaced(fetch, &frame.note, now_ms);
+                        self.swarm.peer_lacks_chunk(fetch, &frame.status, now_ms);
                     }
                 }
             }
             (ReadResult::Peer(Err(error)), _) => {
                 self.share.metrics.retried("peer_unavailable");
-                self.swarm.peer_failed(fetch, failure(&error), now_ms);
+                self.swarm.peer_fetch_failed(fetch, failure(&error), now_ms);
             }
-            (ReadResult::Peer(Ok(_)), Source::Origin) => {}
+            (ReadResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
         self.drive(ctx);
     }
 
-    fn defer(&mut self, fetch: Fetch, reason: &'static str) {
+    fn defer(&mut self, fetch: ChunkFetch, reason: &'static str) {
         self.share.metrics.retried(reason);
         let now_ms = self.now_ms();
-        self.swarm.deferred(fetch, now_ms);
+        self.swarm.fetch_deferred(fetch, now_ms);
     }
 
-    fn take_chunk(&mut self, fetch: Fetch, bytes: Bytes, from: &'static str) {
+    fn take_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
         let now_ms = self.now_ms();
         self.share
             .metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
         match self.version.insert(fetch.chunk, bytes) {
-            Inserted::Stored | Inserted::Duplicate => self.swarm.stored(fetch, now_ms),
-            Inserted::Rejected(reason) => {
+            InsertOutcome::Stored | InsertOutcome::Duplicate => {
+                self.swarm.chunk_stored(fetch, now_ms)
+            }
+            InsertOutcome::Rejected(reason) => {
                 self.share
                     .metrics
                     .add(Tally::ChunksRejected, 1, "reason", reason.label());
@@ -307,17 +311,17 @@
                     ],
                 );
                 match fetch.source {
-                    Source::Origin => self.swarm.origin_failed(fetch, None, now_ms),
-                    Source::Peer(_) => {
+                    ChunkSource::Origin => self.swarm.origin_fetch_failed(fetch, None, now_ms),
+                    ChunkSource::Peer(_) => {
                         self.swarm
-                            .peer_failed(fetch, PeerFailure::WrongChunk, now_ms)
+                            .peer_fetch_failed(fetch, PeerFailure::WrongChunk, now_ms)
                     }
                 }
             }
         }
-        if self.swarm.have().is_complete() && self.version.verify() == StageName::Verified {
+        if self.swarm.held_chunks().is_complete() && self.version.verify() == StageName::Verified {
             let digest = self.version.digest();
-            emit(Event::WeightsVerified, &[("manifest", &digest.short())]);
+            emit(Event::WeightsVerified, &[("manifest", &digest.short_hex())]);
         }
     }
 }
@@ -362,7 +366,7 @@
 async fn read_from_peer(
     http: &HttpClient,
     url: &str,
-    question: &PeerQuestion,
+    question: &PeerRequest,
     wait_ms: u64,
 ) -> Result<ChunkFrame, LinkError> {
     let malformed = |cause: &str| LinkError::Malformed(cause.to_owned());
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -8,22 +8,22 @@
 
 use super::weights_signal::Signal;
 use crate::weights::Announced;
+use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
 use crate::weights::Fetching;
-use crate::weights::HaveMap;
-use crate::weights::Inserted;
+use crate::weights::HoldReason;
+use crate::weights::InsertOutcome;
 use crate::weights::LoadCheck;
 use crate::weights::Loaded;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
-use crate::weights::PeerNote;
-use crate::weights::PeerQuestion;
+use crate::weights::PeerRequest;
+use crate::weights::PeerStatus;
 use crate::weights::RejectReason;
-use crate::weights::Replica;
 use crate::weights::Serving;
 use crate::weights::Verification;
 use crate::weights::Verified;
-use crate::weights::WeightsHeld;
+use crate::weights::WeightsReplica;
 
 /// Questions kept until the transfer reads them.
 const MAX_QUESTIONS: usize = 64;
@@ -31,16 +31,16 @@
 /// How far a version has come on this host.
 #[derive(Debug)]
 pub(super) enum Stage {
-    Announced(Replica<Announced>),
-    Fetching(Replica<Fetching>),
-    Verified(Replica<Verified>),
-    Loaded(Replica<Loaded>),
-    Serving(Replica<Serving>),
+    Announced(WeightsReplica<Announced>),
+    Fetching(WeightsReplica<Fetching>),
+    Verified(WeightsReplica<Verified>),
+    Loaded(WeightsReplica<Loaded>),
+    Serving(WeightsReplica<Serving>),
     /// The engine serves the version; its bytes were given up here.
     Resident {
         whole: Digest,
     },
-    Held(WeightsHeld),
+    Held(HoldReason),
 }
 
 /// Name of a [`Stage`], for reports.
@@ -65,7 +65,7 @@
 pub struct WeightsVersion {
     digest: Digest,
     stage: Mutex<Stage>,
-    questions: Mutex<Vec<PeerQuestion>>,
+    questions: Mutex<Vec<PeerRequest>>,
     uploads: AtomicU32,
     pub(super) signal: Signal,
 }
@@ -75,7 +75,7 @@
     pub fn announced(digest: Digest) -> Arc<Self> {
         Arc::new(Self {
             digest,
-            stage: Mutex::new(Stage::Announced(Replica::announced(digest))),
+            stage: Mutex::new(Stage::Announced(WeightsReplica::announced(digest))),
             questions: Mutex::default(),
             uploads: AtomicU32::new(0),
             signal: Signal::default(),
@@ -104,7 +104,7 @@
     }
 
     /// Why the version can't proceed, if so.
-    pub fn held(&self) -> Option<WeightsHeld> {
+    pub fn held(&self) -> Option<HoldReason> {
         match &*self.stage() {
             Stage::Held(held) => Some(held.clone()),
             _ => None,
@@ -132,13 +132,13 @@
     }
 
     /// Chunks held; None before the manifest is known.
-    pub fn have(&self) -> Option<HaveMap> {
+    pub fn have(&self) -> Option<ChunkBitmap> {
         match &*self.stage() {
             Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => Some(replica.have().clone()),
-            Stage::Verified(replica) => Some(replica.have().clone()),
-            Stage::Loaded(replica) => Some(replica.have().clone()),
-            Stage::Serving(replica) => Some(replica.have().clone()),
+            Stage::Fetching(replica) => Some(replica.held_chunks().clone()),
+            Stage::Verified(replica) => Some(replica.held_chunks().clone()),
+            Stage::Loaded(replica) => Some(replica.held_chunks().clone()),
+            Stage::Serving(replica) => Some(replica.held_chunks().clone()),
         }
     }
 
@@ -156,14 +156,14 @@
     /// All bytes in order; only while the engine may load them.
     pub fn whole(&self) -> Option<Vec<Bytes>> {
         match &*self.stage() {
-            Stage::Verified(replica) => Some(replica.whole().collect()),
+            Stage::Verified(replica) => Some(replica.chunks().collect()),
             _ => None,
         }
     }
 
     /// What this host tells of itself.
-    pub fn note(&self) -> Option<PeerNote> {
-        Some(PeerNote {
+    pub fn note(&self) -> Option<PeerStatus> {
+        Some(PeerStatus {
             have: self.have()?,
             queue: self.uploads.load(Ordering::Relaxed),
             serving: self.stage_name() == StageName::Serving,
@@ -187,7 +187,7 @@
         {
             let mut stage = self.stage();
             if let Stage::Announced(replica) = &*stage {
-                *stage = match replica.fetch(Arc::new(manifest), budget) {
+                *stage = match replica.start_fetching(Arc::new(manifest), budget) {
                     Ok(replica) => Stage::Fetching(replica),
                     Err(held) => Stage::Held(held),
                 };
@@ -198,12 +198,12 @@
     }
 
     /// Stores a chunk if it is correct.
-    pub(super) fn insert(&self, index: u32, bytes: Bytes) -> Inserted {
+    pub(super) fn insert(&self, index: u32, bytes: Bytes) -> InsertOutcome {
         let inserted = match &mut *self.stage() {
-            Stage::Fetching(replica) => replica.insert(index, bytes),
-            _ => Inserted::Rejected(RejectReason::UnknownIndex),
+            Stage::Fetching(replica) => replica.insert_chunk(index, bytes),
+            _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
-        if inserted == Inserted::Stored {
+        if inserted == InsertOutcome::Stored {
             self.signal.raise();
         }
         inserted
@@ -224,7 +224,7 @@
     /// Takes the engine's word for what it loaded; on a mismatch nothing moves.
     pub fn loaded(&self, found: Digest) -> StageName {
         self.advance(|stage| match stage {
-            Stage::Verified(replica) => match replica.loaded(found) {
+            Stage::Verified(replica) => match replica.confirm_loaded(found) {
                 LoadCheck::Loaded(replica) => Stage::Loaded(replica),
                 LoadCheck::Held(replica, _) => Stage::Verified(replica),
             },
@@ -235,7 +235,7 @@
     /// Opens a loaded version for requests.
     pub fn serve(&self) -> StageName {
         self.advance(|stage| match stage {
-            Stage::Loaded(replica) => Stage::Serving(replica.serve()),
+            Stage::Loaded(replica) => Stage::Serving(replica.start_serving()),
             other => other,
         })
     }
@@ -243,8 +243,8 @@
     /// Goes back to where the engine must load again, after it lost its state.
     pub(super) fn reload(&self) -> StageName {
         self.advance(|stage| match stage {
-            Stage::Serving(replica) => Stage::Verified(replica.reload()),
-            Stage::Resident { .. } => Stage::Announced(Replica::announced(self.digest)),
+            Stage::Serving(replica) => Stage::Verified(replica.require_reload()),
+            Stage::Resident { .. } => Stage::Announced(WeightsReplica::announced(self.digest)),
             other => other,
         })
     }
@@ -262,7 +262,7 @@
     /// Starts over after the version was held.
     pub(super) fn retry(&self) {
         self.advance(|stage| match stage {
-            Stage::Held(_) => Stage::Announced(Replica::announced(self.digest)),
+            Stage::Held(_) => Stage::Announced(WeightsReplica::announced(self.digest)),
             other => other,
         });
     }
@@ -271,7 +271,7 @@
     fn advance(&self, step: impl FnOnce(Stage) -> Stage) -> StageName {
         {
             let mut stage = self.stage();
-            let placeholder = Stage::Announced(Replica::announced(self.digest));
+            let placeholder = Stage::Announced(WeightsReplica::announced(self.digest));
             let before = std::mem::replace(&mut *stage, placeholder);
             *stage = step(before);
         }
@@ -280,7 +280,7 @@
     }
 
     /// Keeps what a peer told of itself for the transfer.
-    pub(super) fn keep_question(&self, question: PeerQuestion) {
+    pub(super) fn keep_question(&self, question: PeerRequest) {
         let mut questions = self
             .questions
             .lock()
@@ -291,7 +291,7 @@
     }
 
     /// What peers told since the last call.
-    pub(super) fn take_questions(&self) -> Vec<PeerQuestion> {
+    pub(super) fn take_questions(&self) -> Vec<PeerRequest> {
         std::mem::take(
             &mut *self
                 .questions
--- a/src/fleet/rendezvous.rs
+++ b/src/fleet/rendezvous.rs
@@ -1,4 +1,4 @@
-use crate::weights::mix;
+use crate::weights::mix64;
 
 /// Rendezvous rank of `name` among `names` for `seed`; 0 is the first.
 ///
@@ -41,6 +41,6 @@
 fn rendezvous_hash(name: &str, seed: u64) -> (u64, &str) {
     let hash = name
         .bytes()
-        .fold(seed, |hash, byte| mix(hash ^ u64::from(byte)));
+        .fold(seed, |hash, byte| mix64(hash ^ u64::from(byte)));
     (hash, name)
 }
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -18,7 +18,7 @@
 use crate::gateway::fetch_records;
 use crate::observe::Event;
 use crate::observe::LogLine;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 
 /// Interval of the heartbeats between entries.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
@@ -43,7 +43,7 @@
     /// Version of the weights.
     pub version: u64,
     /// Pieces that are staged and whose digests were verified.
-    pub have: HaveMap,
+    pub have: ChunkBitmap,
 }
 
 /// A UDP message between entry and endpoint processes.
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -16,10 +16,10 @@
 use crate::observe::LogLine;
 use crate::observe::Metrics;
 use crate::observe::Tally;
+use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
-use crate::weights::ReadFault;
-use crate::weights::agreed_manifest;
+use crate::weights::fetch_confirmed_manifest;
 
 /// Path on which hosts read a piece, before `MODEL/VERSION/INDEX`.
 pub const PIECE_PATH: &str = "/piece/";
@@ -126,7 +126,7 @@
         let index = parts.next()?.parse().ok()?;
         let piece = if held.is_some() {
             self.cached_piece(model, version, index)
-                .ok_or(ReadFault::Refused(404))
+                .ok_or(ExternalCallError::Refused(404))
         } else {
             let cached = self.find_or_add_version(model, version);
             self.piece(&cached, index, primary.is_some()).await
@@ -177,14 +177,14 @@
 
     /// Address of the origin, from the first service that has one.
 
-    fn origin_address(&self) -> Result<SocketAddr, ReadFault> {
+    fn origin_address(&self) -> Result<SocketAddr, ExternalCallError> {
         let state = self.state.borrow();
         let services = state.catalog.iter().flat_map(|catalog| catalog.services());
         services
             .filter_map(|service| service.origin.as_ref())
             .map(|origin| origin.address)
             .next()
-            .ok_or_else(|| ReadFault::Unreachable("no origin is configured".to_owned()))
+            .ok_or_else(|| ExternalCallError::Unreachable("no origin is configured".to_owned()))
     }
 
     /// Manifest of the version, read from the origin on first use.
@@ -192,10 +192,10 @@
     pub(super) async fn manifest(
         &self,
         cached: &CachedVersion,
-    ) -> Result<Rc<PieceManifest>, ReadFault> {
+    ) -> Result<Rc<PieceManifest>, ExternalCallError> {
         let read = async || {
             let origin = self.origin_address()?;
-            agreed_manifest(&self.origin, origin, &cached.model, cached.version)
+            fetch_confirmed_manifest(&self.origin, origin, &cached.model, cached.version)
                 .await
                 .map(Rc::new)
         };
@@ -209,14 +209,14 @@
         cached: &CachedVersion,
         index: u32,
         as_primary: bool,
-    ) -> Result<Rc<Vec<u8>>, ReadFault> {
+    ) -> Result<Rc<Vec<u8>>, ExternalCallError> {
         let manifest = self.manifest(cached).await?;
         let cell = {
             let mut pieces = cached.pieces.borrow_mut();
             pieces.resize_with(manifest.digests.len(), Rc::default);
             match pieces.get(index as usize) {
                 Some(cell) => cell.clone(),
-                None => return Err(ReadFault::Refused(404)),
+                None => return Err(ExternalCallError::Refused(404)),
             }
         };
         let read = async || {
@@ -234,7 +234,7 @@
         manifest: &PieceManifest,
         index: u32,
         as_primary: bool,
-    ) -> Result<Vec<u8>, ReadFault> {
+    ) -> Result<Vec<u8>, ExternalCallError> {
         let holders = self.ranked_holders(index);
         let primary = holders.first().copied().flatten().filter(|_| !as_primary);
         let Some(primary) = primary else {
@@ -334,8 +334,8 @@
         cached: &CachedVersion,
         manifest: &PieceManifest,
         index: u32,
-    ) -> Result<Vec<u8>, ReadFault> {
-        let mut fault = ReadFault::Spoilt;
+    ) -> Result<Vec<u8>, ExternalCallError> {
+        let mut fault = ExternalCallError::Corrupt;
         for _ in 0..MAX_ORIGIN_READS {
             let origin = self.origin_address()?;
             let read = self
@@ -358,7 +358,7 @@
                         .number("piece", index)
                         .text("from", "origin")
                         .write();
-                    fault = ReadFault::Spoilt;
+                    fault = ExternalCallError::Corrupt;
                 }
                 Err(error) => fault = error,
             }
@@ -379,7 +379,7 @@
 
 /// Reply to a call for weights that could not be read.
 
-fn unavailable_reply(error: &ReadFault) -> InternalReply {
+fn unavailable_reply(error: &ExternalCallError) -> InternalReply {
     log::debug!("cannot provide weights: {error}");
     InternalReply::status(503)
 }
--- a/src/gateway/read_ahead.rs
+++ b/src/gateway/read_ahead.rs
@@ -7,8 +7,8 @@
 use crate::gateway::piece_cache::PieceCache;
 use crate::observe::Event;
 use crate::observe::LogLine;
+use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
-use crate::weights::ReadFault;
 
 /// Pause after a failure before reading ahead is retried.
 const READ_AHEAD_RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -51,11 +51,11 @@
     /// Each read starts at the time at which the origin's link, shared by all entries,
     /// is expected to reach that index, so that pieces arrive in the order in which
     /// hosts request them.
-    async fn read_primary_pieces(&self, cached: &CachedVersion) -> Result<(), ReadFault> {
+    async fn read_primary_pieces(&self, cached: &CachedVersion) -> Result<(), ExternalCallError> {
         let manifest = self.manifest(cached).await?;
         let began = Instant::now();
         let piece_time = self.origin_piece_time();
-        for index in 0..manifest.chunks() {
+        for index in 0..manifest.piece_count() {
             if self.ranked_holders(index).first() == Some(&None) {
                 tokio::time::sleep_until(began + piece_time * index).await;
                 self.piece(cached, index, true).await?;
--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -10,7 +10,7 @@
 use crate::staging::weights_download::WeightsDownload;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
-use crate::weights::agreed_manifest;
+use crate::weights::fetch_confirmed_manifest;
 
 /// Timeout of a request for a manifest to another host or an entry.
 const MANIFEST_TIMEOUT: Duration = Duration::from_millis(500);
@@ -116,7 +116,7 @@
     /// Fetches the manifest from the origin.
     async fn fetch_manifest_from_origin(&self) -> Option<PieceManifest> {
         let origin = self.state.borrow().origin()?.address;
-        match agreed_manifest(self.origin, origin, self.model, self.version).await {
+        match fetch_confirmed_manifest(self.origin, origin, self.model, self.version).await {
             Ok(manifest) => Some(manifest),
             Err(error) => {
                 log::debug!("cannot fetch a manifest from the origin: {error}");
--- a/src/staging/ports.rs
+++ b/src/staging/ports.rs
@@ -1,6 +1,6 @@
 use std::future::Future;
 
-use crate::weights::ReadFault;
+use crate::weights::ExternalCallError;
 
 /// State of an engine as the engine itself reports it.
 #[derive(Debug, Clone, PartialEq)]
@@ -38,24 +38,24 @@
 /// The staging area holds one piece for each index of a model, of any version.
 pub trait EnginePort: Clone + 'static {
     /// Reads the state of the engine.
-    fn report(&mut self) -> impl Future<Output = Result<EngineReport, ReadFault>>;
+    fn report(&mut self) -> impl Future<Output = Result<EngineReport, ExternalCallError>>;
     /// Reads one piece from the staging area; `None` when there is none.
     fn read_piece(
         &mut self,
         model: &str,
         index: u32,
-    ) -> impl Future<Output = Result<Option<Vec<u8>>, ReadFault>>;
+    ) -> impl Future<Output = Result<Option<Vec<u8>>, ExternalCallError>>;
     /// Writes one piece into the staging area.
     fn write_piece(
         &mut self,
         model: &str,
         index: u32,
         bytes: &[u8],
-    ) -> impl Future<Output = Result<(), ReadFault>>;
+    ) -> impl Future<Output = Result<(), ExternalCallError>>;
     /// Orders the engine to load the staged version once its running requests have ended.
     fn order_load(
         &mut self,
         model: &str,
         version: u64,
-    ) -> impl Future<Output = Result<(), ReadFault>>;
+    ) -> impl Future<Output = Result<(), ExternalCallError>>;
 }
--- a/src/staging/staged_model.rs
+++ b/src/staging/staged_model.rs
@@ -1,7 +1,7 @@
 use std::rc::Rc;
 
 use crate::staging::DownloadProgress;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 use crate::weights::PieceManifest;
 
 /// Versions kept of one model: the loaded one and the next two.
@@ -134,9 +134,9 @@
     }
 
     /// Returns the pieces of `version` that are staged or buffered.
-    pub fn held_pieces(&self, version: u64) -> HaveMap {
+    pub fn held_pieces(&self, version: u64) -> ChunkBitmap {
         let mut have =
-            HaveMap::empty(u32::try_from(self.staged_versions.len()).unwrap_or(u32::MAX));
+            ChunkBitmap::empty(u32::try_from(self.staged_versions.len()).unwrap_or(u32::MAX));
         for (index, staged) in (0u32..).zip(&self.staged_versions) {
             if *staged == version || self.buffered_piece(version, index).is_some() {
                 have.insert(index);
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -27,7 +27,7 @@
 use crate::staging::next_load::NextLoad;
 use crate::staging::next_load::NextLoadInput;
 use crate::staging::next_load::next_load;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
 
 /// Version to load while no version has been declared.
 const INITIAL_VERSION: u64 = 1;
@@ -71,7 +71,7 @@
     /// Version of the weights.
     pub version: u64,
     /// Pieces that the host holds.
-    pub have: HaveMap,
+    pub have: ChunkBitmap,
     /// Monotonic time at which the report was received, in ms.
     pub last_received_ms: u64,
 }
--- a/src/staging/swarm_fetches.rs
+++ b/src/staging/swarm_fetches.rs
@@ -4,17 +4,17 @@
 use crate::staging::weights_download::PieceFetch;
 use crate::staging::weights_download::PieceSource;
 use crate::staging::weights_download::WeightsDownload;
+use crate::weights::ChunkBitmap;
+use crate::weights::ChunkFetch;
+use crate::weights::ChunkRanking;
+use crate::weights::ChunkSource;
 use crate::weights::Digest;
-use crate::weights::Fetch;
-use crate::weights::HaveMap;
-use crate::weights::Homes;
-use crate::weights::Neighbour;
 use crate::weights::OriginPort;
 use crate::weights::PeerKey;
+use crate::weights::PeerState;
 use crate::weights::PieceManifest;
 use crate::weights::PlanInput;
 use crate::weights::PlanSettings;
-use crate::weights::Source;
 use crate::weights::SwarmHost;
 use crate::weights::next_fetches;
 
@@ -28,9 +28,9 @@
 
 /// Limits of the fetches in progress at a time.
 const PLAN_SETTINGS: PlanSettings = PlanSettings {
-    max_fetches: 3,
-    max_per_peer: 2,
-    max_duties: 3,
+    max_regional_fetches: 3,
+    max_fetches_per_peer: 2,
+    max_imports: 3,
     takeover_wait_ms: 500,
 };
 
@@ -39,7 +39,7 @@
     /// Addresses of the endpoint processes, ascending; a `PeerKey` is an index here.
     pub(super) addresses: Vec<SocketAddr>,
     /// Primary holders of each piece.
-    pub(super) primary_holders: Homes,
+    pub(super) primary_holders: ChunkRanking,
     /// Key of this host.
     pub(super) own_key: PeerKey,
 }
@@ -85,8 +85,9 @@
         let origin_region = state.origin().map_or_else(String::new, |origin| {
             settings.region(&origin.failure_domain).to_owned()
         });
-        let digest = Digest::of(manifest.digests.as_flattened());
-        let primary_holders = Homes::new(digest, manifest.chunks(), &hosts, &origin_region);
+        let digest = Digest::of_bytes(manifest.digests.as_flattened());
+        let primary_holders =
+            ChunkRanking::new(digest, manifest.piece_count(), &hosts, &origin_region);
         let own_index = addresses
             .iter()
             .position(|address| *address == settings.internal)
@@ -107,7 +108,7 @@
     pub(super) fn swarm_fetches(
         &self,
         swarm: &SwarmView,
-        have: &HaveMap,
+        have: &ChunkBitmap,
         in_flight: &[PieceFetch],
         blocked: &[(PieceSource, u64)],
         (started_ms, progress_ms): (u64, u64),
@@ -121,7 +122,7 @@
                 PieceSource::Entry(_) => {
                     held_or_expected.insert(fetch.index);
                 }
-                PieceSource::Swarm(source) => planned.push(Fetch {
+                PieceSource::Swarm(source) => planned.push(ChunkFetch {
                     chunk: fetch.index,
                     source,
                 }),
@@ -129,13 +130,13 @@
         }
         let state = self.state.borrow();
         let now_ms = state.now_ms();
-        let blocked_until = |source: Source| {
+        let blocked_until = |source: ChunkSource| {
             let blocks = blocked
                 .iter()
                 .filter(|block| block.0 == PieceSource::Swarm(source));
             blocks.map(|block| block.1).max().unwrap_or(0)
         };
-        let neighbours: Vec<Neighbour> = (0u32..)
+        let neighbours: Vec<PeerState> = (0u32..)
             .zip(&swarm.addresses)
             .map(|(index, address)| {
                 let key = PeerKey(index);
@@ -148,28 +149,31 @@
                     Some(peer) => now_ms.saturating_sub(peer.last_received_ms) >= PEER_TIMEOUT_MS,
                     None => now_ms.saturating_sub(started_ms) >= PEER_STARTUP_MS,
                 };
-                Neighbour {
+                PeerState {
                     key,
-                    have: reported
-                        .filter(|peer| peer.have.len() == have.len())
-                        .map_or_else(|| HaveMap::empty(have.len()), |peer| peer.have.clone()),
-                    queue: 0,
-                    blocked_until_ms: blocked_until(Source::Peer(key)),
-                    lost: is_lost && key != swarm.own_key,
+                    held_chunks: reported
+                        .filter(|peer| peer.have.chunk_count() == have.chunk_count())
+                        .map_or_else(
+                            || ChunkBitmap::empty(have.chunk_count()),
+                            |peer| peer.have.clone(),
+                        ),
+                    queued_reads: 0,
+                    blocked_until_ms: blocked_until(ChunkSource::Peer(key)),
+                    unavailable: is_lost && key != swarm.own_key,
                 }
             })
             .collect();
         let fetches = next_fetches(&PlanInput {
             now_ms,
             progress_ms,
-            me: swarm.own_key,
-            homes: &swarm.primary_holders,
-            have: &held_or_expected,
+            local: swarm.own_key,
+            ranking: &swarm.primary_holders,
+            held_chunks: &held_or_expected,
             in_flight: &planned,
-            neighbours: &neighbours,
+            peers: &neighbours,
             // While entries are available, only they fetch from the origin.
             origin_blocked_until_ms: if state.relay_entries().is_empty() {
-                blocked_until(Source::Origin)
+                blocked_until(ChunkSource::Origin)
             } else {
                 u64::MAX
             },
--- a/src/staging/weights_download.rs
+++ b/src/staging/weights_download.rs
@@ -16,11 +16,11 @@
 use crate::staging::EnginePort;
 use crate::staging::StagingState;
 use crate::staging::assign_pieces;
-use crate::weights::HaveMap;
+use crate::weights::ChunkBitmap;
+use crate::weights::ChunkSource;
+use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
-use crate::weights::ReadFault;
-use crate::weights::Source;
 
 /// Longest time between two passes that plan the next fetches.
 const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(60);
@@ -50,7 +50,7 @@
     /// An entry, which relays the piece.
     Entry(SocketAddr),
     /// Another host of the swarm, or the origin.
-    Swarm(Source),
+    Swarm(ChunkSource),
 }
 
 impl PieceSource {
@@ -99,8 +99,8 @@
         LogLine::new(Event::TransferStarted)
             .text("model", self.model)
             .number("version", self.version)
-            .number("held", self.held_pieces().count())
-            .number("pieces", manifest.chunks())
+            .number("held", self.held_pieces().held_count())
+            .number("pieces", manifest.piece_count())
             .write();
         self.fetch_missing(&manifest).await;
     }
@@ -111,7 +111,7 @@
     }
 
     /// Returns the pieces of this version that the host holds.
-    pub(super) fn held_pieces(&self) -> HaveMap {
+    pub(super) fn held_pieces(&self) -> ChunkBitmap {
         self.state
             .borrow_mut()
             .staged_model(self.model)
@@ -121,7 +121,7 @@
     /// Verifies the staged pieces whose version is unknown, as after a restart.
     async fn verify_unknown_pieces(&self, manifest: &PieceManifest) {
         let mut engine = self.engine.clone();
-        for index in 0..manifest.chunks() {
+        for index in 0..manifest.piece_count() {
             let staged_version = self
                 .state
                 .borrow_mut()
@@ -141,7 +141,7 @@
         };
         let mut engine = self.engine.clone();
         let mut all_staged = true;
-        for index in 0..manifest.chunks() {
+        for index in 0..manifest.piece_count() {
             let (staged_version, bytes) = {
                 let mut state = self.state.borrow_mut();
                 let staged_model = state.staged_model(self.model);
@@ -244,8 +244,10 @@
                 in_flight.push(fetch);
                 let address = match fetch.source {
                     PieceSource::Entry(address) => Some(address),
-                    PieceSource::Swarm(Source::Origin) => None,
-                    PieceSource::Swarm(Source::Peer(key)) => Some(swarm.addresses[key.0 as usize]),
+                    PieceSource::Swarm(ChunkSource::Origin) => None,
+                    PieceSource::Swarm(ChunkSource::Peer(key)) => {
+                        Some(swarm.addresses[key.0 as usize])
+                    }
                 };
                 fetches.push(async move {
                     (fetch, now_ms, self.fetch_piece(fetch.index, address).await)
@@ -275,7 +277,7 @@
     /// nothing is fetched from it.
     fn entry_fetches(
         &self,
-        have: &HaveMap,
+        have: &ChunkBitmap,
         in_flight: &[PieceFetch],
         blocked: &[(PieceSource, u64)],
         is_slow: bool,
@@ -295,11 +297,11 @@
         if free_slots == 0 {
             return Some(Vec::new());
         }
-        let assigned = assign_pieces(have.len(), &entries);
+        let assigned = assign_pieces(have.chunk_count(), &entries);
         let is_missing = |index: &u32| {
             !have.contains(*index) && in_flight.iter().all(|fetch| fetch.index != *index)
         };
-        let indices = (0..have.len()).filter(is_missing).take(free_slots);
+        let indices = (0..have.chunk_count()).filter(is_missing).take(free_slots);
         Some(
             indices
                 .filter_map(|index| {
@@ -316,11 +318,13 @@
         &self,
         index: u32,
         address: Option<SocketAddr>,
-    ) -> Result<Vec<u8>, ReadFault> {
+    ) -> Result<Vec<u8>, ExternalCallError> {
         let Some(address) = address else {
             let origin = self.state.borrow().origin().map(|origin| origin.address);
             let Some(origin) = origin else {
-                return Err(ReadFault::Unreachable("no origin is configured".to_owned()));
+                return Err(ExternalCallError::Unreachable(
+                    "no origin is configured".to_owned(),
+                ));
             };
             let piece = self.origin.piece(origin, self.model, self.version, index);
             return piece.await;
@@ -329,8 +333,8 @@
         let mut client = Client::new(address, Duration::ZERO);
         match client.ask(&Ask::get(&target, PIECE_TIMEOUT)).await {
             Ok(reply) if reply.status == 200 => Ok(reply.body),
-            Ok(reply) => Err(ReadFault::Refused(reply.status)),
-            Err(error) => Err(ReadFault::Unreachable(error.to_string())),
+            Ok(reply) => Err(ExternalCallError::Refused(reply.status)),
+            Err(error) => Err(ExternalCallError::Unreachable(error.to_string())),
         }
     }
 
@@ -340,7 +344,7 @@
         &self,
         manifest: &PieceManifest,
         fetch: PieceFetch,
-        result: Result<Vec<u8>, ReadFault>,
+        result: Result<Vec<u8>, ExternalCallError>,
         engine: &mut E,
     ) -> bool {
         let bytes = match result {
@@ -352,8 +356,8 @@
         };
         let from = match fetch.source {
             PieceSource::Entry(_) => "entry",
-            PieceSource::Swarm(Source::Origin) => "origin",
-            PieceSource::Swarm(Source::Peer(_)) => "host",
+            PieceSource::Swarm(ChunkSource::Origin) => "origin",
+            PieceSource::Swarm(ChunkSource::Peer(_)) => "host",
         };
         self.metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
--- a/src/standin/origin_library.rs
+++ b/src/standin/origin_library.rs
@@ -118,7 +118,7 @@
         }
         let mut bytes = vec![0; len];
         Pcg64Mcg::seed_from_u64(publication.seed).fill_bytes(&mut bytes);
-        let manifest = Manifest::describe(
+        let manifest = Manifest::for_content(
             &publication.model,
             &publication.version,
             publication.base,
@@ -151,7 +151,7 @@
             .find(|title| title.manifest.model == model && title.manifest.version == version)?;
         let mut manifest = found.manifest.clone();
         if self.faults.manifest_wrong {
-            manifest.whole = Digest::of(b"another whole");
+            manifest.whole = Digest::of_bytes(b"another whole");
         }
         self.stats.manifests_sent += 1;
         Some(manifest)
@@ -172,7 +172,7 @@
             return ChunkAnswer::Missing;
         };
         let title = &self.titles[at];
-        let Some(len) = title.manifest.chunk_len(index) else {
+        let Some(len) = title.manifest.chunk_len_bytes(index) else {
             return ChunkAnswer::Missing;
         };
         let start = index as usize * title.manifest.chunk_bytes as usize;
--- a/src/weights/chunk_store.rs
+++ b/src/weights/chunk_store.rs
@@ -2,26 +2,26 @@
 
 use bytes::Bytes;
 
+use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
-use crate::weights::HaveMap;
+use crate::weights::HoldReason;
 use crate::weights::Manifest;
 use crate::weights::MemoryBudget;
 use crate::weights::Reservation;
-use crate::weights::WeightsHeld;
 
-/// Why a chunk was not stored.
+/// Why a received chunk was not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The manifest has no such chunk.
+    /// The manifest has no chunk of this index.
     UnknownIndex,
-    /// The bytes are fewer or more than the manifest says.
+    /// The length differs from that in the manifest.
     WrongLength,
-    /// The bytes are not those the manifest names.
+    /// The digest differs from that in the manifest.
     WrongDigest,
 }
 
 impl RejectReason {
-    /// Label in counters.
+    /// Label of the reason in metrics and logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::UnknownIndex => "unknown_index",
@@ -31,94 +31,96 @@
     }
 }
 
-/// What became of a chunk given to a store.
+/// Result of inserting a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Inserted {
-    /// It is new and correct.
+pub enum InsertOutcome {
+    /// The chunk is correct and was stored.
     Stored,
-    /// It was there already.
+    /// The chunk was stored before; the new bytes were dropped unchecked.
     Duplicate,
-    /// It was dropped.
+    /// The chunk was dropped as incorrect.
     Rejected(RejectReason),
 }
 
-/// The verified chunks of one manifest.
+/// In-memory store of the chunks of one version, each verified by its digest.
 #[derive(Debug)]
 pub struct ChunkStore {
     manifest: Arc<Manifest>,
-    slots: Vec<Option<Bytes>>,
-    have: HaveMap,
+    chunks: Vec<Option<Bytes>>,
+    held_chunks: ChunkBitmap,
+    /// Keeps the memory reserved for as long as the store exists.
     _reservation: Reservation,
 }
 
 impl ChunkStore {
-    /// An empty store for `manifest`, with its memory reserved from `budget`.
+    /// Creates an empty store and reserves the version's size from `budget`.
     ///
     /// # Errors
     ///
-    /// Returns [`WeightsHeld::OverBudget`] when the version doesn't fit.
-    pub fn new(manifest: Arc<Manifest>, budget: &Arc<MemoryBudget>) -> Result<Self, WeightsHeld> {
+    /// Returns [`HoldReason::OverBudget`] when the version doesn't fit.
+    pub fn new(manifest: Arc<Manifest>, budget: &Arc<MemoryBudget>) -> Result<Self, HoldReason> {
         let size_bytes = manifest.size_bytes;
         let reservation = budget
             .reserve(size_bytes)
-            .ok_or_else(|| WeightsHeld::OverBudget {
+            .ok_or_else(|| HoldReason::OverBudget {
                 size_bytes,
                 used_bytes: budget.used_bytes(),
                 limit_bytes: budget.limit_bytes(),
             })?;
         let count = manifest.chunk_count();
         Ok(Self {
-            slots: vec![None; count as usize],
-            have: HaveMap::empty(count),
+            chunks: vec![None; count as usize],
+            held_chunks: ChunkBitmap::empty(count),
             manifest,
             _reservation: reservation,
         })
     }
 
-    /// Stores `bytes` as chunk `index` if length and digest match.
-    pub fn insert(&mut self, index: u32, bytes: Bytes) -> Inserted {
-        let Some(len) = self.manifest.chunk_len(index) else {
-            return Inserted::Rejected(RejectReason::UnknownIndex);
+    /// Stores `bytes` as chunk `index` if their length and digest are correct.
+    pub fn insert(&mut self, index: u32, bytes: Bytes) -> InsertOutcome {
+        let Some(len) = self.manifest.chunk_len_bytes(index) else {
+            return InsertOutcome::Rejected(RejectReason::UnknownIndex);
         };
-        if self.have.contains(index) {
-            return Inserted::Duplicate;
+        if self.held_chunks.contains(index) {
+            return InsertOutcome::Duplicate;
         }
         if bytes.len() != len as usize {
-            return Inserted::Rejected(RejectReason::WrongLength);
+            return InsertOutcome::Rejected(RejectReason::WrongLength);
         }
-        if Digest::of(&bytes) != self.manifest.chunks[index as usize] {
-            return Inserted::Rejected(RejectReason::WrongDigest);
+        if Digest::of_bytes(&bytes) != self.manifest.chunks[index as usize] {
+            return InsertOutcome::Rejected(RejectReason::WrongDigest);
         }
-        self.slots[index as usize] = Some(bytes);
-        self.have.insert(index);
-        Inserted::Stored
+        self.chunks[index as usize] = Some(bytes);
+        self.held_chunks.insert(index);
+        InsertOutcome::Stored
     }
 
-    /// Chunk `index`, if held.
+    /// Returns chunk `index`; None when it is not stored.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
-        self.slots.get(index as usize)?.clone()
+        self.chunks.get(index as usize)?.clone()
     }
 
-    /// What is held.
-    pub fn have(&self) -> &HaveMap {
-        &self.have
+    /// Set of the chunks that are stored.
+    pub fn held_chunks(&self) -> &ChunkBitmap {
+        &self.held_chunks
     }
 
-    /// The manifest the chunks belong to.
+    /// Manifest of the version.
     pub fn manifest(&self) -> &Arc<Manifest> {
         &self.manifest
     }
 
-    /// Digest of all chunks in order; None while one is missing.
-    pub fn whole_digest(&self) -> Option<Digest> {
+    /// Digest of the complete content; None while a chunk is missing.
+    pub fn content_digest(&self) -> Option<Digest> {
         let mut hasher = blake3::Hasher::new();
-        for slot in &self.slots {
-            hasher.update(slot.as_ref()?);
+        for chunk in &self.chunks {
+            hasher.update(chunk.as_ref()?);
         }
         Some(hasher.finalize().into())
     }
 
+    /// Chunks that are stored, in order.
     pub(super) fn chunks(&self) -> impl Iterator<Item = Bytes> {
-        self.slots.iter().flatten().cloned()
+        self.chunks.iter().flatten().cloned()
     }
 }
--- a/src/weights/errors.rs
+++ b/src/weights/hold_reason.rs
@@ -3,48 +3,49 @@
 use crate::weights::Digest;
 use crate::weights::ManifestError;
 
-/// Why a version can't proceed on a host.
+/// Why a version is held on a host, that is, can't proceed to serving.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum WeightsHeld {
-    /// The version doesn't fit into the memory set aside for weights.
+pub enum HoldReason {
+    /// The version doesn't fit into the memory budget for weights.
     OverBudget {
-        /// Size of the version.
+        /// Size of the version, in bytes.
         size_bytes: u64,
-        /// What other versions hold.
+        /// Bytes reserved by other versions.
         used_bytes: u64,
-        /// The whole budget.
+        /// Total budget, in bytes.
         limit_bytes: u64,
     },
-    /// The manifest is not usable.
+    /// The manifest is invalid.
     Manifest(ManifestError),
-    /// The origin has no such manifest.
+    /// The origin has no manifest of the version.
     ManifestMissing,
-    /// The base model of an adapter is not loaded.
+    /// The engine has not loaded the base model of this adapter.
     BaseNotLoaded { base: Digest },
-    /// The chunks are correct, but the whole is not what the manifest names.
-    WrongWhole { expected: Digest, found: Digest },
-    /// The engine reports other bytes than it was given.
+    /// Each chunk matches its digest, but all of them together do not match the
+    /// manifest's digest of the content.
+    ContentMismatch { expected: Digest, found: Digest },
+    /// The engine reports another content digest than that of the manifest.
     EngineMismatch { expected: Digest, found: Digest },
-    /// The engine doesn't take the order.
+    /// The engine refused the order to load the version.
     EngineRefused { reason: String },
 }
 
-impl WeightsHeld {
-    /// Label in counters and reports.
+impl HoldReason {
+    /// Label of the reason in metrics and reports.
     pub fn label(&self) -> &'static str {
         match self {
             Self::OverBudget { .. } => "over_budget",
             Self::Manifest(_) => "manifest_invalid",
             Self::ManifestMissing => "manifest_missing",
             Self::BaseNotLoaded { .. } => "base_not_loaded",
-            Self::WrongWhole { .. } => "wrong_whole",
+            Self::ContentMismatch { .. } => "wrong_whole",
             Self::EngineMismatch { .. } => "engine_mismatch",
             Self::EngineRefused { .. } => "engine_refused",
         }
     }
 }
 
-impl fmt::Display for WeightsHeld {
+impl fmt::Display for HoldReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::OverBudget {
@@ -57,8 +58,8 @@
             ),
             Self::Manifest(error) => error.fmt(f),
             Self::ManifestMissing => f.write_str("the origin has no such manifest"),
-            Self::BaseNotLoaded { base } => write!(f, "base {} is not loaded", base.short()),
-            Self::WrongWhole { expected, found } => {
+            Self::BaseNotLoaded { base } => write!(f, "base {} is not loaded", base.short_hex()),
+            Self::ContentMismatch { expected, found } => {
                 write!(f, "all chunks together have digest {found}, not {expected}")
             }
             Self::EngineMismatch { expected, found } => {
@@ -69,9 +70,9 @@
     }
 }
 
-impl std::error::Error for WeightsHeld {}
+impl std::error::Error for HoldReason {}
 
-impl From<ManifestError> for WeightsHeld {
+impl From<ManifestError> for HoldReason {
     fn from(error: ManifestError) -> Self {
         Self::Manifest(error)
     }
--- a/src/weights/mod.rs
+++ b/src/weights/mod.rs
@@ -1,68 +1,75 @@
-//! Weights: digests, manifests, chunks, the transfer plan and life cycle.
+//! Model weights: digests, manifests, chunks, transfer planning and life cycle.
 //!
-//! A version is named by the digest of its manifest, and chunks by that digest
-//! and an index, so that versions never mix. A [`Replica`] walks through the
-//! states of its life cycle; only [`Verified`] gives out the whole bytes. The
-//! plan ([`next_fetches`]) is a pure function of what a host knows.
+//! A version is identified by the digest of its manifest, and a chunk by that
+//! digest and its index, so chunks of different versions never mix. A
+//! [`WeightsReplica`] is one version on one host; its type states encode the life
+//! cycle, and the complete content can be read only once it is [`Verified`].
+//!
+//! Hosts of a swarm fetch chunks from the origin and from each other.
+//! [`SwarmState`] tracks one such transfer, and [`next_fetches`] plans its reads as
+//! a pure function of what the host knows.
+//!
+//! [`PieceManifest`] and [`OriginPort`] are used by `gateway` and `staging`, where a
+//! version has a number and its parts are called pieces.
 
+mod chunk_bitmap;
+mod chunk_frame;
+mod chunk_ranking;
 mod chunk_store;
 mod digest;
-mod errors;
-mod frame;
-mod have_map;
-mod homes;
+mod hold_reason;
 mod manifest;
 mod memory_budget;
-mod peer_note;
-mod pieces;
+mod peer_messages;
+mod piece_origin;
 mod placement;
 mod plan;
-mod replica;
-mod swarm;
 mod swarm_probes;
+mod swarm_state;
+mod weights_replica;
 
+pub use chunk_bitmap::ChunkBitmap;
+pub use chunk_frame::ChunkFrame;
+pub use chunk_ranking::ChunkRanking;
+pub use chunk_ranking::PeerKey;
+pub use chunk_ranking::SwarmHost;
+pub(crate) use chunk_ranking::mix64;
 pub use chunk_store::ChunkStore;
-pub use chunk_store::Inserted;
+pub use chunk_store::InsertOutcome;
 pub use chunk_store::RejectReason;
 pub use digest::Digest;
 pub use digest::DigestError;
-pub use errors::WeightsHeld;
-pub use frame::ChunkFrame;
-pub use have_map::HaveMap;
-pub use homes::Homes;
-pub use homes::PeerKey;
-pub use homes::SwarmHost;
-pub(crate) use homes::mix;
+pub use hold_reason::HoldReason;
 pub use manifest::Manifest;
 pub use manifest::ManifestError;
 pub use memory_budget::MemoryBudget;
 pub use memory_budget::Reservation;
-pub use peer_note::PeerNote;
-pub use peer_note::PeerQuestion;
-pub use peer_note::ReadOutcome;
-pub use pieces::OriginPort;
-pub use pieces::PieceManifest;
-pub use pieces::ReadFault;
-pub use pieces::agreed_manifest;
-pub use placement::Ahead;
-pub use placement::may_change;
-pub use placement::placement;
-pub use plan::Fetch;
-pub use plan::Neighbour;
+pub use peer_messages::PeerRequest;
+pub use peer_messages::PeerStatus;
+pub use peer_messages::ReadOutcome;
+pub use piece_origin::ExternalCallError;
+pub use piece_origin::OriginPort;
+pub use piece_origin::PieceManifest;
+pub use piece_origin::fetch_confirmed_manifest;
+pub use placement::PredecessorState;
+pub use placement::may_switch_version;
+pub use placement::replica_hosts;
+pub use plan::ChunkFetch;
+pub use plan::ChunkSource;
+pub use plan::PeerState;
 pub use plan::PlanInput;
 pub use plan::PlanSettings;
-pub use plan::Source;
 pub use plan::next_fetches;
-pub use replica::Announced;
-pub use replica::Fetching;
-pub use replica::LoadCheck;
-pub use replica::Loaded;
-pub use replica::Replica;
-pub use replica::Serving;
-pub use replica::Verification;
-pub use replica::Verified;
-pub use swarm::Actions;
-pub use swarm::PeerFailure;
-pub use swarm::Swarm;
-pub use swarm::SwarmSettings;
-pub use swarm_probes::Probe;
+pub use swarm_probes::PeerProbe;
+pub use swarm_state::PeerFailure;
+pub use swarm_state::SwarmActions;
+pub use swarm_state::SwarmSettings;
+pub use swarm_state::SwarmState;
+pub use weights_replica::Announced;
+pub use weights_replica::Fetching;
+pub use weights_replica::LoadCheck;
+pub use weights_replica::Loaded;
+pub use weights_replica::Serving;
+pub use weights_replica::Verification;
+pub use weights_replica::Verified;
+pub use weights_replica::WeightsReplica;
--- /dev/null
+++ b/src/weights/piece_origin.rs
@@ -0,0 +1,102 @@
+use std::fmt;
+use std::future::Future;
+use std::net::SocketAddr;
+
+use serde::Deserialize;
+use serde::Serialize;
+use sha2::Digest as _;
+use sha2::Sha256;
+
+/// Failure of a call to an engine, an origin or another process.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ExternalCallError {
+    /// No response arrived, or it could not be parsed; holds the cause.
+    Unreachable(String),
+    /// The response had this unexpected HTTP status.
+    Refused(u16),
+    /// The received bytes do not match their digest.
+    Corrupt,
+}
+
+impl fmt::Display for ExternalCallError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Unreachable(why) => write!(f, "no answer: {why}"),
+            Self::Refused(status) => write!(f, "refused with status {status}"),
+            Self::Corrupt => f.write_str("the bytes do not match their digest"),
+        }
+    }
+}
+
+impl std::error::Error for ExternalCallError {}
+
+/// Digests of the pieces of one weights version on the platform.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PieceManifest {
+    /// Version number, as assigned by the platform.
+    pub version: u64,
+    /// SHA-256 digest of each piece, in order.
+    pub digests: Vec<[u8; 32]>,
+}
+
+impl PieceManifest {
+    /// Whether `bytes` have the digest of piece `index`.
+    pub fn matches(&self, index: u32, bytes: &[u8]) -> bool {
+        self.digests
+            .get(index as usize)
+            .is_some_and(|digest| Sha256::digest(bytes).as_slice() == digest)
+    }
+
+    /// Number of pieces in the version.
+    pub fn piece_count(&self) -> u32 {
+        u32::try_from(self.digests.len()).unwrap_or(u32::MAX)
+    }
+}
+
+/// Client interface to the origin that publishes weights.
+pub trait OriginPort: Clone + 'static {
+    /// Fetches the piece digests of `version`.
+    fn manifest(
+        &self,
+        origin: SocketAddr,
+        model: &str,
+        version: u64,
+    ) -> impl Future<Output = Result<PieceManifest, ExternalCallError>>;
+    /// Fetches the bytes of piece `index`, without verifying them.
+    fn piece(
+        &self,
+        origin: SocketAddr,
+        model: &str,
+        version: u64,
+        index: u32,
+    ) -> impl Future<Output = Result<Vec<u8>, ExternalCallError>>;
+}
+
+/// Reads of a manifest before giving up on two consecutive equal ones.
+const MAX_MANIFEST_READS: u32 = 4;
+
+/// Fetches a manifest repeatedly until two consecutive responses are equal.
+///
+/// A response may be corrupted in transit, and no other check would reveal a
+/// wrong digest in it.
+///
+/// # Errors
+///
+/// Returns the error of a failed read, and [`ExternalCallError::Corrupt`] when no
+/// two consecutive reads were equal.
+pub async fn fetch_confirmed_manifest(
+    port: &impl OriginPort,
+    origin: SocketAddr,
+    model: &str,
+    version: u64,
+) -> Result<PieceManifest, ExternalCallError> {
+    let mut last: Option<PieceManifest> = None;
+    for _ in 0..MAX_MANIFEST_READS {
+        let manifest = port.manifest(origin, model, version).await?;
+        if last.as_ref() == Some(&manifest) {
+            return Ok(manifest);
+        }
+        last = Some(manifest);
+    }
+    Err(ExternalCallError::Corrupt)
+}
--- a/src/weights/placement.rs
+++ b/src/weights/placement.rs
@@ -1,47 +1,52 @@
-use crate::weights::homes::mix;
-use crate::weights::homes::seed_of;
+use crate::weights::chunk_ranking::hash64;
+use crate::weights::chunk_ranking::mix64;
 
-/// The hosts that should serve `model`, best first: at most `replicas` of `hosts`.
+/// Hosts that should serve `model`, best rank first: at most `replicas` of `hosts`.
 ///
-/// Rendezvous hashing by name: a host that comes or goes moves only its own
-/// replicas, and every process that knows the same hosts finds the same ones.
-pub fn placement<'a>(
+/// Hosts are ranked by rendezvous hashing of their names. A host that joins or
+/// leaves moves only its own replicas, and processes that know the same hosts
+/// select the same ones.
+pub fn replica_hosts<'a>(
     model: &str,
     replicas: u32,
     hosts: impl Iterator<Item = &'a str>,
 ) -> Vec<&'a str> {
-    let model_seed = seed_of(model.as_bytes());
+    let model_seed = hash64(model.as_bytes());
     let mut ranked: Vec<(u64, &str)> = hosts
-        .map(|host| (mix(model_seed ^ seed_of(host.as_bytes())), host))
+        .map(|host| (mix64(model_seed ^ hash64(host.as_bytes())), host))
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.truncate(replicas as usize);
     ranked.into_iter().map(|(_, host)| host).collect()
 }
 
-/// What a host ahead in the order of a rollout told.
+/// State of a host that comes earlier in the order of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ahead {
-    /// It serves the new version.
+pub enum PredecessorState {
+    /// The host serves the new version.
     Serving,
-    /// It has not come so far.
+    /// The host doesn't serve the new version yet.
     Pending,
-    /// It is gone or can't proceed: the one ahead of it decides.
+    /// The host is unreachable or can't proceed; its own predecessor decides.
     Skipped,
 }
 
-/// Whether the host at `rank` may change to the new version.
+/// Whether the host at `rank` in the rollout may switch to the new version.
 ///
-/// A host follows the one `step_replicas` ahead of it, so each of
-/// `step_replicas` chains changes one host at a time.
-pub fn may_change(rank: usize, step_replicas: u32, ahead: impl Fn(usize) -> Ahead) -> bool {
+/// A host waits for the host `step_replicas` ranks before it. The hosts thus form
+/// `step_replicas` chains, and each chain switches one host at a time.
+pub fn may_switch_version(
+    rank: usize,
+    step_replicas: u32,
+    ahead: impl Fn(usize) -> PredecessorState,
+) -> bool {
     let step = step_replicas.max(1) as usize;
     let mut at = rank;
     while let Some(before) = at.checked_sub(step) {
         match ahead(before) {
-            Ahead::Serving => return true,
-            Ahead::Pending => return false,
-            Ahead::Skipped => at = before,
+            PredecessorState::Serving => return true,
+            PredecessorState::Pending => return false,
+            PredecessorState::Skipped => at = before,
         }
     }
     true
--- a/tests/spec_permits/model_state.rs
+++ b/tests/spec_permits/model_state.rs
@@ -246,7 +246,7 @@
         if self.omits(Rule::CheckedEpoch) {
             permit.epoch = self.table.epoch();
         }
-        let request = Digest::of(b"request");
+        let request = Digest::of_bytes(b"request");
         let reply = match self.table.begin_call(&permit, request, self.now_ms) {
             CallDecision::Run => {
                 self.running = true;
--- a/tests/spec_weights/main.rs
+++ b/tests/spec_weights/main.rs
@@ -1,55 +1,62 @@
-//! The activation of a version on one host, explored in all states.
+//! Explores all states of a model of activating a version on one host.
 //!
-//! Two versions of the same sizes; chunks that arrive correct, corrupted or of
-//! the other version; a document that changes its mind; an engine that reads the
-//! bytes whole or cut short, whose reply may be lost and which may restart. The
-//! model drives the life cycle of the product. Each protective rule is then taken
-//! out in turn, and the exploration must find a violation.
+//! The model has two versions of the same sizes and drives the life cycle of the
+//! implementation. Chunks arrive correct, corrupted or from the other version, the
+//! configuration switches between the versions, and the engine reads the content
+//! complete or truncated; its reply may be lost, and it may restart. Each protective
+//! rule is then disabled in turn, and the exploration must find a violation.
 
-mod world;
+mod model;
 
 use pathfinding::directed::bfs::bfs;
 use pathfinding::directed::bfs::bfs_reach;
 
-use crate::world::Rule;
-use crate::world::World;
+use crate::model::Activation;
+use crate::model::Rule;
 
-/// Fewest states that make the exploration worth its name.
-const LEAST_STATES: usize = 1000;
+/// Lower bound of the number of states, which detects a model that explores nothing.
+const MIN_STATES: usize = 1000;
 
-fn violation_without(rule: Rule) -> Option<Vec<World>> {
-    bfs(&World::new(Some(rule)), World::successors, |world| {
-        world.violation().is_some()
-    })
+/// Shortest path to a violation when `rule` is disabled.
+fn violation_without(rule: Rule) -> Option<Vec<Activation>> {
+    bfs(
+        &Activation::new(Some(rule)),
+        Activation::successors,
+        |state| state.violation().is_some(),
+    )
 }
 
 #[test]
-fn activation_holds_in_all_states() {
+fn activation_no_violation_in_any_state() {
     let mut states = 0;
-    for world in bfs_reach(World::new(None), World::successors) {
-        assert_eq!(world.violation(), None, "{world:?}");
+    for state in bfs_reach(Activation::new(None), Activation::successors) {
+        assert_eq!(state.violation(), None, "{state:?}");
         states += 1;
     }
-    assert!(states > LEAST_STATES, "{states} states");
+    assert!(states > MIN_STATES, "{states} states");
 }
 
 #[test]
 fn activation_reaches_serving() {
-    let path = bfs(&World::new(None), World::successors, World::serves_wanted);
+    let path = bfs(
+        &Activation::new(None),
+        Activation::successors,
+        Activation::serves_wanted,
+    );
     assert!(path.is_some());
 }
 
 #[test]
-fn activation_fails_without_the_whole_verified() {
-    assert!(violation_without(Rule::VerifyWhole).is_some());
+fn activation_violated_without_verify_content() {
+    assert!(violation_without(Rule::VerifyContent).is_some());
 }
 
 #[test]
-fn activation_fails_without_chunk_digests() {
+fn activation_violated_without_check_chunks() {
     assert!(violation_without(Rule::CheckChunks).is_some());
 }
 
 #[test]
-fn activation_fails_without_the_digest_of_the_engine() {
+fn activation_violated_without_compare_loaded() {
     assert!(violation_without(Rule::CompareLoaded).is_some());
 }
--- a/tests/staging/main.rs
+++ b/tests/staging/main.rs
@@ -183,7 +183,7 @@
     model.buffer_piece(3, 0, vec![1], 20);
     assert!(model.is_complete(2));
     assert!(!model.is_complete(3));
-    assert_eq!(model.held_pieces(3).count(), 1);
+    assert_eq!(model.held_pieces(3).held_count(), 1);
     model.buffer_piece(3, 1, vec![1], 20);
     model.buffer_piece(3, 2, vec![1], 20);
     assert!(model.is_complete(2) && model.is_complete(3));
--- a/tests/weights/homes.rs
+++ b/tests/weights/ranking.rs
@@ -1,19 +1,19 @@
 use arbtest::arbtest;
 
-use crate::world::homes;
-use crate::world::hosts;
+use crate::samples::sample_hosts;
+use crate::samples::sample_ranking;
 use bergamotfork::weights::PeerKey;
 
 #[test]
-fn ranked_same_for_any_order_of_hosts() {
+fn ranked_hosts_any_list_order() {
     arbtest(|u| {
-        let sorted = hosts(u.int_in_range(3..=30)?, 3);
+        let sorted = sample_hosts(u.int_in_range(3..=30)?, 3);
         let mut shuffled = sorted.clone();
         for at in 0..shuffled.len() {
             shuffled.swap(at, u.choose_index(sorted.len())?);
         }
-        let one = homes(20, &sorted);
-        let other = homes(20, &shuffled);
+        let one = sample_ranking(20, &sorted);
+        let other = sample_ranking(20, &shuffled);
         for chunk in 0..20 {
             for region in 0..one.region_count() {
                 let names = |keys: &[PeerKey], list: &[bergamotfork::weights::SwarmHost]| {
@@ -22,8 +22,8 @@
                         .collect::<Vec<_>>()
                 };
                 assert_eq!(
-                    names(one.ranked(chunk, region), &sorted),
-                    names(other.ranked(chunk, region), &shuffled)
+                    names(one.ranked_hosts(chunk, region), &sorted),
+                    names(other.ranked_hosts(chunk, region), &shuffled)
                 );
             }
         }
@@ -32,15 +32,15 @@
 }
 
 #[test]
-fn feeder_forms_one_chain_from_the_origin() {
+fn upstream_region_chain_ends_at_origin() {
     for regions in 1..6 {
-        let homes = homes(200, &hosts(12, regions));
+        let ranking = sample_ranking(200, &sample_hosts(12, regions));
         for chunk in 0..200 {
             for region in 0..regions {
                 let mut at = region;
                 let mut steps = 0;
-                while let Some(feeder) = homes.feeder(chunk, at) {
-                    at = feeder;
+                while let Some(upstream) = ranking.upstream_region(chunk, at) {
+                    at = upstream;
                     steps += 1;
                 }
                 assert_eq!(at, 0);
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn feeder_splits_three_regions_in_halves() {
-    let homes = homes(400, &hosts(12, 3));
+fn upstream_region_three_regions_split_evenly() {
+    let ranking = sample_ranking(400, &sample_hosts(12, 3));
     let direct = (0..400)
-        .filter(|chunk| homes.feeder(*chunk, 1) == Some(0))
+        .filter(|chunk| ranking.upstream_region(*chunk, 1) == Some(0))
         .count();
     assert!(
         (160..240).contains(&direct),
@@ -62,8 +62,8 @@
     );
     for chunk in 0..400 {
         assert_ne!(
-            homes.feeder(chunk, 1) == Some(0),
-            homes.feeder(chunk, 2) == Some(0)
+            ranking.upstream_region(chunk, 1) == Some(0),
+            ranking.upstream_region(chunk, 2) == Some(0)
         );
     }
 }
--- a/tests/weights_rollout/main.rs
+++ b/tests/weights_rollout/main.rs
@@ -1,9 +1,10 @@
-//! Rollouts by separate processes: turns, holds, lost replies, paused and restarted parts.
+//! Tests of rollouts with separate processes: load slots, held versions, lost replies,
+//! paused and restarted processes.
 
 #[path = "../support/mod.rs"]
 mod support;
 
 mod holds;
+mod load_slots;
 mod proxy;
 mod site;
-mod turns;
