--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -100,7 +100,6 @@
 }
 
 /// Serves the requests of one connection, one after the other.
-
 async fn serve_client<D: Dialect>(mut client: Connection, gateway: &Gateway<D>) {
     loop {
         let head = match read_next_head(&mut client, gateway).await {
@@ -164,7 +163,6 @@
 }
 
 /// Reads the body of a request within the configured limits.
-
 async fn read_body<D: Dialect>(
     client: &mut Connection,
     gateway: &Gateway<D>,
@@ -294,7 +292,6 @@
 }
 
 /// Chooses a service of the route at random, by the weights of its traffic split.
-
 fn choose_service(route: &Route, random: u64) -> String {
     let total: u64 = route.services.iter().map(|s| u64::from(s.1)).sum();
     let mut at = random % total.max(1);
@@ -311,7 +308,6 @@
 }
 
 /// Sends a refusal, and logs and counts it.
-
 async fn refuse<D: Dialect>(
     client: &Connection,
     gateway: &Gateway<D>,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -153,7 +153,6 @@
     }
 
     /// Whether the request is refused because it is suspected of several crashes.
-
     fn is_refused_as_suspect(&self, request: &AdmittedRequest) -> bool {
         let state = self.state.borrow();
         state
@@ -208,7 +207,6 @@
     }
 
     /// Whether the retry budget of the request's service allows one more send.
-
     fn has_retry_budget(&self, request: &AdmittedRequest) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
@@ -378,7 +376,6 @@
 }
 
 /// Logs a send that failed or that the replica refused.
-
 fn log_failed_attempt(request: &AdmittedRequest, chosen: &ChosenReplica, cause: &str) {
     LogLine::new(Event::AttemptFailed)
         .text("id", &request.facts.attempt_id)
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -176,7 +176,6 @@
     }
 
     /// Address of the origin, from the first service that has one.
-
     fn origin_address(&self) -> Result<SocketAddr, ExternalCallError> {
         let state = self.state.borrow();
         let services = state.catalog.iter().flat_map(|catalog| catalog.services());
@@ -188,7 +187,6 @@
     }
 
     /// Manifest of the version, read from the origin on first use.
-
     pub(super) async fn manifest(
         &self,
         cached: &CachedVersion,
@@ -328,7 +326,6 @@
     }
 
     /// Reads a piece from the origin, again if it fails or its digest does not match.
-
     async fn read_from_origin(
         &self,
         cached: &CachedVersion,
@@ -378,7 +375,6 @@
 }
 
 /// Reply to a call for weights that could not be read.
-
 fn unavailable_reply(error: &ExternalCallError) -> InternalReply {
     log::debug!("cannot provide weights: {error}");
     InternalReply::status(503)
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -100,7 +100,6 @@
 }
 
 /// Binds the addresses of the settings, and spawns their handlers.
-
 async fn start_listeners(
     settings: &GatewaySettings,
     state: &Rc<RefCell<GatewayState>>,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -406,7 +406,6 @@
     }
 
     /// Newest version of `model` whose bound ends within `ahead_ms`, or has ended.
-
     fn version_due_in(&self, model: &str, ahead_ms: u64) -> Option<u64> {
         let now_ms = self.now_ms() as i64;
         let due_ms = self.settings.weights_apply_ms.saturating_sub(ahead_ms) as i64;
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -102,7 +102,6 @@
     }
 
     /// Applies a configuration or a declaration of weights.
-
     fn apply_operator_record(
         &mut self,
         key: &str,
@@ -127,7 +126,6 @@
     }
 
     /// Adds a declared version of weights, and wakes the read-ahead if it is new.
-
     fn apply_declaration(&mut self, model: String, version: u64, offset: u64) {
         let record = DeclarationRecord {
             model,
@@ -143,7 +141,6 @@
     }
 
     /// Adds or updates a replica; a record that can't be decoded removes it.
-
     fn apply_replica_record(
         &mut self,
         key: &str,
