--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -34,6 +34,7 @@
         }
         self.ledger_mut(topic).mark_listed();
     }
+
     /// Applies records that follow those already applied; `next_offset` is the offset
     /// after the last.
     fn handle_records(
