--- a/src/hosts/beat.rs
+++ b/src/hosts/heartbeat.rs
@@ -13,9 +13,9 @@
 
 /// Key that seals datagrams, derived from the shared key.
 #[derive(Debug, Clone)]
-pub struct BeatKey([u8; 32]);
+pub struct HeartbeatKey([u8; 32]);
 
-impl BeatKey {
+impl HeartbeatKey {
     /// Derives the key from the `shared_key` of the processes.
     pub fn derive(shared_key: &str) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, shared_key.as_bytes()))
@@ -59,7 +59,7 @@
 
 /// Sign of life of a process, sent every second as a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Who sends it.
     pub name: NameTag,
     /// Incarnation of the sender.
@@ -84,7 +84,7 @@
 
 /// What an entry answers to a beat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeatAnswer {
+pub struct HeartbeatAnswer {
     /// Who answers.
     pub name: NameTag,
     /// Incarnation that sent the beat; a later one must not draw on the answer.
@@ -105,21 +105,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// A sign of life.
-    Beat(Beat),
+    Beat(Heartbeat),
     /// An entry's answer.
-    Answer(BeatAnswer),
+    Answer(HeartbeatAnswer),
 }
 
 impl Datagram {
     /// The datagram as bytes, sealed with `key`.
-    pub fn seal(&self, key: &BeatKey) -> Vec<u8> {
+    pub fn seal(&self, key: &HeartbeatKey) -> Vec<u8> {
         let mut bytes = rmp_serde::to_vec(self).expect("numbers and flags always encode");
         bytes.extend(key.seal(&bytes));
         bytes
     }
 
     /// The datagram in `bytes`; `None` unless it was sealed with `key`.
-    pub fn open(bytes: &[u8], key: &BeatKey) -> Option<Self> {
+    pub fn open(bytes: &[u8], key: &HeartbeatKey) -> Option<Self> {
         let (body, seal) = bytes.split_at_checked(bytes.len().checked_sub(SEAL_BYTES)?)?;
         // Comparing digests takes the same time whatever the given seal is.
         if blake3::hash(seal) != blake3::hash(&key.seal(body)) {
--- a/src/hosts/mod.rs
+++ b/src/hosts/mod.rs
@@ -4,19 +4,19 @@
 //! when something seldom changed. The platform's list lags and may be empty or
 //! halved, so what a process hears itself goes before it.
 
-mod beat;
+mod heartbeat;
 mod host;
 mod host_key;
 mod host_record;
 mod report;
 mod roster;
 
-pub use beat::Beat;
-pub use beat::BeatAnswer;
-pub use beat::BeatKey;
-pub use beat::Datagram;
-pub use beat::NameTag;
-pub use beat::StateTag;
+pub use heartbeat::Datagram;
+pub use heartbeat::Heartbeat;
+pub use heartbeat::HeartbeatAnswer;
+pub use heartbeat::HeartbeatKey;
+pub use heartbeat::NameTag;
+pub use heartbeat::StateTag;
 pub use host::Host;
 pub use host::SILENCE_MS;
 pub use host::Standing;
@@ -30,9 +30,9 @@
 pub use report::Report;
 pub use report::ReportAnswer;
 pub use report::Served;
-pub use roster::BeatHeard;
 pub use roster::DOUBT_MS;
 pub use roster::FORGET_MS;
 pub use roster::Heard;
+pub use roster::HeartbeatOutcome;
 pub use roster::ListTaken;
 pub use roster::Roster;
--- a/src/hosts/roster.rs
+++ b/src/hosts/roster.rs
@@ -1,5 +1,5 @@
 use crate::clients::HostList;
-use crate::hosts::Beat;
+use crate::hosts::Heartbeat;
 use crate::hosts::Host;
 use crate::hosts::HostKey;
 use crate::hosts::HostRole;
@@ -38,7 +38,7 @@
 
 /// What a beat told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeatHeard {
+pub enum HeartbeatOutcome {
     /// The sender is as its last full report said.
     Known,
     /// The sender is not known as it is now; a full report is needed.
@@ -223,15 +223,15 @@
     }
 
     /// Merges a sign of life.
-    pub fn beat(&mut self, beat: &Beat, now_ms: u64) -> BeatHeard {
+    pub fn beat(&mut self, beat: &Heartbeat, now_ms: u64) -> HeartbeatOutcome {
         let Some(host) = self.tagged(beat.name).and_then(|key| self.host_mut(key)) else {
-            return BeatHeard::NeedsReport;
+            return HeartbeatOutcome::NeedsReport;
         };
         if beat.incarnation < host.incarnation {
-            return BeatHeard::Outdated;
+            return HeartbeatOutcome::Outdated;
         }
         if beat.incarnation > host.incarnation {
-            return BeatHeard::NeedsReport;
+            return HeartbeatOutcome::NeedsReport;
         }
         host.heard_ms = Some(now_ms);
         host.beat_sent_ms = beat.sent_ms;
@@ -240,9 +240,9 @@
         host.load = beat.load;
         host.permit_epoch = beat.permit_epoch;
         if host.state == Some(beat.state) {
-            BeatHeard::Known
+            HeartbeatOutcome::Known
         } else {
-            BeatHeard::NeedsReport
+            HeartbeatOutcome::NeedsReport
         }
     }
 
--- a/src/node/beat_receiver.rs
+++ b/src/node/beat_receiver.rs
@@ -6,10 +6,10 @@
 use actix_rt::time::sleep;
 
 use crate::document::follow::PeerMark;
-use crate::hosts::Beat;
-use crate::hosts::BeatAnswer;
-use crate::hosts::BeatHeard;
 use crate::hosts::Datagram;
+use crate::hosts::Heartbeat;
+use crate::hosts::HeartbeatAnswer;
+use crate::hosts::HeartbeatOutcome;
 use crate::node::Node;
 use crate::node::config_pull::take_mark;
 use crate::node::pull_config;
@@ -48,13 +48,13 @@
 }
 
 /// Merges a beat, and answers when the sender lacks something or asks.
-fn take_beat(node: &Node, wire: &Wire, beat: &Beat, from: SocketAddr) {
+fn take_beat(node: &Node, wire: &Wire, beat: &Heartbeat, from: SocketAddr) {
     let now_ms = node.now_ms();
     let wants_report = match node.roster().beat(beat, now_ms) {
         // Reports exchange what both know of suspects.
-        BeatHeard::Known => beat.suspects != node.suspects_tag(),
-        BeatHeard::NeedsReport => true,
-        BeatHeard::Outdated => return,
+        HeartbeatOutcome::Known => beat.suspects != node.suspects_tag(),
+        HeartbeatOutcome::NeedsReport => true,
+        HeartbeatOutcome::Outdated => return,
     };
     let is_behind = beat.config_offset < node.config_mark().offset;
     if wants_report || is_behind || beat.wants_answer {
@@ -65,7 +65,7 @@
 }
 
 /// Draws on an entry's answer: reports, pulls, or trusts what it confirms.
-async fn take_answer(node: &Arc<Node>, answer: &BeatAnswer) {
+async fn take_answer(node: &Arc<Node>, answer: &HeartbeatAnswer) {
     if answer.to != node.incarnation() {
         return;
     }
@@ -89,7 +89,7 @@
 }
 
 /// The entry that answers, if it is known here.
-fn answering(node: &Node, answer: &BeatAnswer) -> Option<Target> {
+fn answering(node: &Node, answer: &HeartbeatAnswer) -> Option<Target> {
     let roster = node.roster();
     let key = roster.tagged(answer.name)?;
     let host = roster.host(key)?;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -19,9 +19,9 @@
 use crate::document::Document;
 use crate::document::follow::Follower;
 use crate::document::follow::PeerAnswer;
-use crate::hosts::Beat;
-use crate::hosts::BeatAnswer;
 use crate::hosts::ConfigMark;
+use crate::hosts::Heartbeat;
+use crate::hosts::HeartbeatAnswer;
 use crate::hosts::HostRole;
 use crate::hosts::Load;
 use crate::hosts::NameTag;
@@ -307,9 +307,9 @@
     }
 
     /// The process's sign of life.
-    pub fn beat(&self, wants_answer: bool) -> Beat {
+    pub fn beat(&self, wants_answer: bool) -> Heartbeat {
         let report = self.report();
-        Beat {
+        Heartbeat {
             name: NameTag::of(&self.process.name),
             incarnation: self.incarnation,
             sent_ms: self.now_ms(),
@@ -324,9 +324,9 @@
     }
 
     /// What the process answers to a beat sent at `asked_ms` of the sender's clock.
-    pub fn beat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> BeatAnswer {
+    pub fn beat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> HeartbeatAnswer {
         let answer = self.report_answer();
-        BeatAnswer {
+        HeartbeatAnswer {
             name: NameTag::of(&self.process.name),
             to,
             asked_ms,
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -9,8 +9,8 @@
 use actix::WrapFuture;
 use actix_rt::net::UdpSocket;
 
-use crate::hosts::BeatKey;
 use crate::hosts::Datagram;
+use crate::hosts::HeartbeatKey;
 use crate::hosts::HostRole;
 use crate::hosts::ReportAnswer;
 use crate::node::Node;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(super) struct Wire {
     pub(super) socket: UdpSocket,
-    pub(super) key: BeatKey,
+    pub(super) key: HeartbeatKey,
 }
 
 impl Reporter {
@@ -61,7 +61,7 @@
         socket.set_nonblocking(true)?;
         let wire = Wire {
             socket: UdpSocket::from_std(socket)?,
-            key: BeatKey::derive(&node.cluster().shared_key),
+            key: HeartbeatKey::derive(&node.cluster().shared_key),
         };
         Ok(Self {
             node,
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -12,10 +12,10 @@
 use crate::support::until;
 use bergamotfork::conf::PartitionPolicy;
 use bergamotfork::document::Fold;
-use bergamotfork::hosts::BeatAnswer;
-use bergamotfork::hosts::BeatKey;
 use bergamotfork::hosts::ConfigMark;
 use bergamotfork::hosts::Datagram;
+use bergamotfork::hosts::HeartbeatAnswer;
+use bergamotfork::hosts::HeartbeatKey;
 use bergamotfork::hosts::NameTag;
 use bergamotfork::node::Admission;
 use bergamotfork::node::CUT_OFF_MS;
@@ -128,7 +128,7 @@
     let url = format!("{}/v1/hosts/entry-1", cluster.hosts_url());
     let put = cluster.call(Method::PUT, &url, Some(&record)).await;
     put.expect("the host list takes a host");
-    let answer = BeatAnswer {
+    let answer = HeartbeatAnswer {
         name: NameTag::of("entry-1"),
         to: 1,
         asked_ms: 1_000,
@@ -140,7 +140,7 @@
         is_voter: true,
         confirmed_age_ms: Some(0),
     };
-    let key = BeatKey::derive(Cluster::SHARED_KEY);
+    let key = HeartbeatKey::derive(Cluster::SHARED_KEY);
     let datagram = Datagram::Answer(answer).seal(&key);
     let to = entry.strip_prefix("http://").expect("a URL");
     until_in_force(&cluster, &entry, 0, 2).await;
--- a/tests/hosts/beat.rs
+++ b/tests/hosts/heartbeat.rs
@@ -1,9 +1,9 @@
 use super::report;
 use super::standing;
-use bergamotfork::hosts::Beat;
-use bergamotfork::hosts::BeatHeard;
-use bergamotfork::hosts::BeatKey;
 use bergamotfork::hosts::Datagram;
+use bergamotfork::hosts::Heartbeat;
+use bergamotfork::hosts::HeartbeatKey;
+use bergamotfork::hosts::HeartbeatOutcome;
 use bergamotfork::hosts::NameTag;
 use bergamotfork::hosts::Progress;
 use bergamotfork::hosts::Report;
@@ -18,8 +18,8 @@
 /// Bytes of the IP and UDP headers.
 const HEADER_BYTES: usize = 28;
 
-fn beat(report: &Report) -> Beat {
-    Beat {
+fn beat(report: &Report) -> Heartbeat {
+    Heartbeat {
         name: NameTag::of(&report.name),
         incarnation: report.incarnation,
         sent_ms: 86_400_000,
@@ -35,11 +35,11 @@
 
 #[test]
 fn open_sealed() {
-    let key = BeatKey::derive("a shared key of the hosts");
+    let key = HeartbeatKey::derive("a shared key of the hosts");
     let datagram = Datagram::Beat(beat(&report(0, 1 << 50)));
     let bytes = datagram.seal(&key);
     assert_eq!(Datagram::open(&bytes, &key), Some(datagram));
-    let other = BeatKey::derive("another key");
+    let other = HeartbeatKey::derive("another key");
     assert_eq!(Datagram::open(&bytes, &other), None);
     for index in 0..bytes.len() {
         let mut changed = bytes.clone();
@@ -51,7 +51,7 @@
 
 #[test]
 fn seal_size() {
-    let key = BeatKey::derive("a shared key of the hosts");
+    let key = HeartbeatKey::derive("a shared key of the hosts");
     let bytes = Datagram::Beat(beat(&report(0, 1 << 50))).seal(&key);
     // Sixty endpoints and eight entries beat every second.
     assert!(
@@ -65,9 +65,12 @@
 fn beat_unknown_then_reported() {
     let mut roster = Roster::new();
     let told = report(0, 5);
-    assert_eq!(roster.beat(&beat(&told), 1000), BeatHeard::NeedsReport);
+    assert_eq!(
+        roster.beat(&beat(&told), 1000),
+        HeartbeatOutcome::NeedsReport
+    );
     roster.heard(&told, 1100);
-    assert_eq!(roster.beat(&beat(&told), 3000), BeatHeard::Known);
+    assert_eq!(roster.beat(&beat(&told), 3000), HeartbeatOutcome::Known);
     assert_eq!(standing(&roster, 0, 5000), Some(Standing::Usable));
     assert_eq!(standing(&roster, 0, 6000), Some(Standing::Silent));
 }
@@ -85,9 +88,12 @@
         present_percent: 100,
         held: None,
     });
-    assert_eq!(roster.beat(&beat(&told), 1100), BeatHeard::NeedsReport);
+    assert_eq!(
+        roster.beat(&beat(&told), 1100),
+        HeartbeatOutcome::NeedsReport
+    );
     roster.heard(&told, 1200);
-    assert_eq!(roster.beat(&beat(&told), 1300), BeatHeard::Known);
+    assert_eq!(roster.beat(&beat(&told), 1300), HeartbeatOutcome::Known);
 }
 
 #[test]
@@ -95,10 +101,10 @@
     let mut roster = Roster::new();
     roster.heard(&report(0, 5), 1000);
     let old = beat(&report(0, 4));
-    assert_eq!(roster.beat(&old, 9000), BeatHeard::Outdated);
+    assert_eq!(roster.beat(&old, 9000), HeartbeatOutcome::Outdated);
     assert_eq!(standing(&roster, 0, 9000), Some(Standing::Silent));
     let new = beat(&report(0, 6));
-    assert_eq!(roster.beat(&new, 9000), BeatHeard::NeedsReport);
+    assert_eq!(roster.beat(&new, 9000), HeartbeatOutcome::NeedsReport);
     assert_eq!(standing(&roster, 0, 9000), Some(Standing::Silent));
 }
 
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -1,6 +1,6 @@
 //! The merged live list under a lagging, empty or halved list of the platform.
 
-mod beat;
+mod heartbeat;
 
 use arbtest::arbtest;
 
