--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -37,10 +37,10 @@
 use crate::entry::EntryState;
 use crate::entry::generate_route;
 use crate::hosts::HostRole;
+use crate::hosts::HostedVersion;
 use crate::hosts::Load;
-use crate::hosts::Progress;
 use crate::hosts::Report;
-use crate::hosts::Served;
+use crate::hosts::VersionProgress;
 use crate::links::ServeOptions;
 use crate::links::read_rmp;
 use crate::links::serve;
@@ -284,11 +284,11 @@
                     leaving: false,
                     config: state.node.config_mark(),
                     load: loads[number],
-                    served: vec![Served {
+                    served: vec![HostedVersion {
                         model: MODEL.to_owned(),
                         version: "1".to_owned(),
                         manifest: manifest(),
-                        progress: Progress::Serving,
+                        progress: VersionProgress::Serving,
                         present_percent: 100,
                         held: None,
                     }],
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -7,8 +7,8 @@
 use super::Transfer;
 use super::WeightsVersion;
 use crate::document::ModelSection;
-use crate::hosts::Progress;
-use crate::hosts::Served;
+use crate::hosts::HostedVersion;
+use crate::hosts::VersionProgress;
 use crate::weights::Digest;
 use crate::weights::WeightsHeld;
 
@@ -81,18 +81,18 @@
     }
 
     /// What the reports say of it; None once it is retired.
-    pub(super) fn report(&self) -> Option<Served> {
+    pub(super) fn report(&self) -> Option<HostedVersion> {
         if self.retired_ms.is_some() {
             return None;
         }
         let held = self.version.held().or_else(|| self.waiting.clone());
         let progress = match (self.version.stage_name(), &held) {
-            (StageName::Serving, _) => Progress::Serving,
-            (_, Some(_)) => Progress::Held,
-            (StageName::Verified | StageName::Loaded, None) => Progress::Verified,
-            (_, None) => Progress::Fetching,
+            (StageName::Serving, _) => VersionProgress::Serving,
+            (_, Some(_)) => VersionProgress::Held,
+            (StageName::Verified | StageName::Loaded, None) => VersionProgress::Verified,
+            (_, None) => VersionProgress::Fetching,
         };
-        Some(Served {
+        Some(HostedVersion {
             model: self.model.name.clone(),
             version: self.model.version.clone(),
             manifest: self.digest(),
--- a/src/entry/admin/in_force.rs
+++ b/src/entry/admin/in_force.rs
@@ -10,7 +10,7 @@
 use super::team::team;
 use crate::entry::ApiError;
 use crate::entry::EntryState;
-use crate::hosts::Standing;
+use crate::hosts::HostStatus;
 
 /// Longest wait of one call.
 const MAX_WAIT_MS: u64 = 60_000;
@@ -54,7 +54,7 @@
         lacking.push(node.name().to_owned());
     }
     for (_, host) in node.roster().hosts() {
-        if host.name == node.name() || host.standing(now_ms) == Standing::Leaving {
+        if host.name == node.name() || host.status(now_ms) == HostStatus::Leaving {
             continue;
         }
         processes += 1;
--- a/src/entry/generate_routing.rs
+++ b/src/entry/generate_routing.rs
@@ -12,8 +12,8 @@
 use crate::hosts::Host;
 use crate::hosts::HostKey;
 use crate::hosts::HostRole;
-use crate::hosts::Progress;
 use crate::hosts::Roster;
+use crate::hosts::VersionProgress;
 use crate::node::Node;
 use crate::weights::Digest;
 
@@ -148,7 +148,7 @@
     let mut serving = host
         .served
         .iter()
-        .filter(|served| served.progress == Progress::Serving)
+        .filter(|served| served.progress == VersionProgress::Serving)
         .filter(|served| served.model == call.model)
         .map(|served| served.manifest);
     if let Some(pinned) = pinned {
--- a/src/entry/status_view.rs
+++ b/src/entry/status_view.rs
@@ -5,14 +5,14 @@
 
 use crate::document::Document;
 use crate::document::ModelSection;
-use crate::hosts::ConfigMark;
+use crate::hosts::ConfigPosition;
 use crate::hosts::Host;
 use crate::hosts::HostRole;
+use crate::hosts::HostStatus;
+use crate::hosts::HostedVersion;
 use crate::hosts::Load;
-use crate::hosts::Progress;
 use crate::hosts::Roster;
-use crate::hosts::Served;
-use crate::hosts::Standing;
+use crate::hosts::VersionProgress;
 use crate::weights::Digest;
 
 /// What one entry knows of the whole system.
@@ -23,7 +23,7 @@
     /// Whether its configuration is confirmed.
     pub ready: bool,
     /// Configuration in force on it.
-    pub config: ConfigMark,
+    pub config: ConfigPosition,
     /// Hosts that are behind this configuration, by name.
     pub behind: Vec<String>,
     /// Every model of the configuration.
@@ -88,7 +88,7 @@
     /// How busy it is.
     pub load: Load,
     /// Versions on it.
-    pub versions: Vec<Served>,
+    pub versions: Vec<HostedVersion>,
 }
 
 impl StatusView {
@@ -96,7 +96,7 @@
     pub fn new(
         answered_by: &str,
         ready: bool,
-        config: ConfigMark,
+        config: ConfigPosition,
         document: &Document,
         roster: &Roster,
         now_ms: u64,
@@ -147,19 +147,19 @@
         view
     }
 
-    fn count(&mut self, host: &str, served: &Served) {
+    fn count(&mut self, host: &str, served: &HostedVersion) {
         if served.model != self.name {
             return;
         }
         if served.manifest != self.manifest {
-            self.other_versions += u32::from(served.progress == Progress::Serving);
+            self.other_versions += u32::from(served.progress == VersionProgress::Serving);
             return;
         }
         match served.progress {
-            Progress::Serving => self.serving += 1,
-            Progress::Verified => self.verified += 1,
-            Progress::Fetching => self.fetching += 1,
-            Progress::Held => self.held.push(HoldView {
+            VersionProgress::Serving => self.serving += 1,
+            VersionProgress::Verified => self.verified += 1,
+            VersionProgress::Fetching => self.fetching += 1,
+            VersionProgress::Held => self.held.push(HoldView {
                 host: host.to_owned(),
                 cause: served.held.clone().unwrap_or_default(),
             }),
@@ -169,9 +169,9 @@
 
 impl HostView {
     /// The answering entry, which does not report to itself.
-    fn of_self(host: &Host, config: ConfigMark) -> Self {
+    fn of_self(host: &Host, config: ConfigPosition) -> Self {
         Self {
-            standing: standing_name(Standing::Usable).to_owned(),
+            standing: standing_name(HostStatus::Usable).to_owned(),
             silent_ms: Some(0),
             config_offset: Some(config.offset),
             ..Self::new(host, 0)
@@ -186,7 +186,7 @@
             region: host.region.clone(),
             domain: host.domain.clone(),
             service: host.service.clone(),
-            standing: standing_name(host.standing(now_ms)).to_owned(),
+            standing: standing_name(host.status(now_ms)).to_owned(),
             silent_ms: host.silent_ms(now_ms),
             config_offset: host.config_offset,
             load: host.load,
@@ -196,10 +196,15 @@
 }
 
 /// Hosts that are heard and have not folded as far as this entry.
-fn behind(roster: &Roster, config: ConfigMark, now_ms: u64) -> Vec<String> {
+fn behind(roster: &Roster, config: ConfigPosition, now_ms: u64) -> Vec<String> {
     roster
         .hosts()
-        .filter(|(_, host)| matches!(host.standing(now_ms), Standing::Usable | Standing::Leaving))
+        .filter(|(_, host)| {
+            matches!(
+                host.status(now_ms),
+                HostStatus::Usable | HostStatus::Leaving
+            )
+        })
         .filter(|(_, host)| {
             host.config_offset
                 .is_some_and(|offset| offset < config.offset)
@@ -208,12 +213,12 @@
         .collect()
 }
 
-fn standing_name(standing: Standing) -> &'static str {
+fn standing_name(standing: HostStatus) -> &'static str {
     match standing {
-        Standing::Usable => "usable",
-        Standing::Unheard => "unheard",
-        Standing::Silent => "silent",
-        Standing::Failed => "failed",
-        Standing::Leaving => "leaving",
+        HostStatus::Usable => "usable",
+        HostStatus::NeverReported => "unheard",
+        HostStatus::Silent => "silent",
+        HostStatus::Failed => "failed",
+        HostStatus::Leaving => "leaving",
     }
 }
--- a/src/hosts/heartbeat.rs
+++ b/src/hosts/heartbeat.rs
@@ -1,7 +1,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::hosts::ConfigMark;
+use crate::hosts::ConfigPosition;
 use crate::hosts::Load;
 use crate::weights::Digest;
 
@@ -94,7 +94,7 @@
     /// Whether the entry wants a full report.
     pub wants_report: bool,
     /// Configuration in force on the entry.
-    pub config: ConfigMark,
+    pub config: ConfigPosition,
     /// Whether the entry is past its own bootstrap.
     pub is_voter: bool,
     /// Time since its configuration was known to be the end of the log.
--- a/src/hosts/host.rs
+++ b/src/hosts/host.rs
@@ -3,9 +3,9 @@
 use crate::hosts::HostRecord;
 use crate::hosts::HostRole;
 use crate::hosts::HostState;
+use crate::hosts::HostedVersion;
 use crate::hosts::Load;
 use crate::hosts::Report;
-use crate::hosts::Served;
 use crate::hosts::StateTag;
 
 /// Silence after which a host gets no new work.
@@ -13,11 +13,11 @@
 
 /// Whether a host may get new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum HostStatus {
     /// It was heard lately and takes work.
     Usable,
     /// The list shows it, and it has not been heard yet.
-    Unheard,
+    NeverReported,
     /// It has not been heard for [`SILENCE_MS`].
     Silent,
     /// A call to it failed after it was last heard.
@@ -46,7 +46,7 @@
     /// How busy it was when last heard.
     pub load: Load,
     /// Versions on it when last heard.
-    pub served: Vec<Served>,
+    pub served: Vec<HostedVersion>,
     /// Epoch that new permits for it should name.
     pub permit_epoch: u64,
     /// Configuration in force on it when last heard.
@@ -111,26 +111,26 @@
     }
 
     /// Whether the host may get new work at `now_ms`.
-    pub fn standing(&self, now_ms: u64) -> Standing {
+    pub fn status(&self, now_ms: u64) -> HostStatus {
         if self.listed_leaving || self.said_leaving {
-            return Standing::Leaving;
+            return HostStatus::Leaving;
         }
         let Some(heard_ms) = self.heard_ms else {
             return match self.failed_ms {
-                Some(_) => Standing::Failed,
-                None => Standing::Unheard,
+                Some(_) => HostStatus::Failed,
+                None => HostStatus::NeverReported,
             };
         };
         if self
             .failed_ms
             .is_some_and(|failed_ms| failed_ms >= heard_ms)
         {
-            return Standing::Failed;
+            return HostStatus::Failed;
         }
         if now_ms.saturating_sub(heard_ms) > SILENCE_MS {
-            return Standing::Silent;
+            return HostStatus::Silent;
         }
-        Standing::Usable
+        HostStatus::Usable
     }
 
     /// The host's own clock when it sent its last beat.
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -11,7 +11,7 @@
 
 /// How far a process has folded the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ConfigMark {
+pub struct ConfigPosition {
     /// Next offset of the log the process wants.
     pub offset: u64,
     /// Digest of the document there.
@@ -21,7 +21,7 @@
 /// How far a version has come on a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Progress {
+pub enum VersionProgress {
     /// Chunks are on their way.
     Fetching,
     /// Every chunk is present and the whole digest matches.
@@ -34,7 +34,7 @@
 
 /// One version on a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Served {
+pub struct HostedVersion {
     /// Name of the model.
     pub model: String,
     /// Version of the model.
@@ -42,7 +42,7 @@
     /// Digest of the manifest.
     pub manifest: Digest,
     /// How far it has come.
-    pub progress: Progress,
+    pub progress: VersionProgress,
     /// Share of the chunks present.
     pub present_percent: u8,
     /// Why it is held.
@@ -80,11 +80,11 @@
     /// Whether it finishes its work and goes.
     pub leaving: bool,
     /// Configuration in force on it.
-    pub config: ConfigMark,
+    pub config: ConfigPosition,
     /// How busy it is.
     pub load: Load,
     /// Versions on it.
-    pub served: Vec<Served>,
+    pub served: Vec<HostedVersion>,
     /// Epoch that new permits for it should name.
     pub permit_epoch: u64,
     /// Requests that ran when endpoints crashed.
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportAnswer {
     /// Configuration in force on the entry.
-    pub config: ConfigMark,
+    pub config: ConfigPosition,
     /// Requests that ran when endpoints crashed.
     pub suspects: Vec<SuspectRecord>,
     /// Whether the entry is past its own bootstrap.
--- a/src/hosts/roster.rs
+++ b/src/hosts/roster.rs
@@ -4,28 +4,28 @@
 use crate::hosts::HostKey;
 use crate::hosts::HostRole;
 use crate::hosts::HostState;
+use crate::hosts::HostStatus;
 use crate::hosts::NameTag;
 use crate::hosts::Report;
-use crate::hosts::Standing;
 
 /// Time a list that lost more than half of its hosts must stand before it is believed.
-pub const DOUBT_MS: u64 = 30_000;
+pub const REMOVAL_DELAY_MS: u64 = 30_000;
 
 /// Time after which a host neither listed nor heard is forgotten.
-pub const FORGET_MS: u64 = 30_000;
+pub const HOST_EXPIRY_MS: u64 = 30_000;
 
 /// What became of a list from the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListTaken {
+pub enum ListOutcome {
     /// The list was merged.
     Applied,
     /// Its additions were merged; its removals wait, because too many went at once.
-    Doubted,
+    RemovalsDeferred,
 }
 
 /// What a report told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportOutcome {
     /// A host that was not known or not heard before.
     New,
     /// A later incarnation at a known name.
@@ -129,19 +129,19 @@
     /// Hosts of `role` that may get new work.
     pub fn usable(&self, role: HostRole, now_ms: u64) -> impl Iterator<Item = (HostKey, &Host)> {
         self.hosts()
-            .filter(move |(_, host)| host.role == role && host.standing(now_ms) == Standing::Usable)
+            .filter(move |(_, host)| host.role == role && host.status(now_ms) == HostStatus::Usable)
     }
 
     /// Hosts of `role` worth asking: usable ones and those not heard yet.
     pub fn askable(&self, role: HostRole, now_ms: u64) -> impl Iterator<Item = (HostKey, &Host)> {
         self.hosts().filter(move |(_, host)| {
-            let standing = host.standing(now_ms);
-            host.role == role && matches!(standing, Standing::Usable | Standing::Unheard)
+            let status = host.status(now_ms);
+            host.role == role && matches!(status, HostStatus::Usable | HostStatus::NeverReported)
         })
     }
 
     /// Merges a list of the platform.
-    pub fn take_list(&mut self, list: &HostList, now_ms: u64) -> ListTaken {
+    pub fn take_list(&mut self, list: &HostList, now_ms: u64) -> ListOutcome {
         let mut names: Vec<&str> = list.hosts.iter().map(|host| host.name.as_str()).collect();
         names.sort_unstable();
         let is_named = |host: &Host| names.binary_search(&host.name.as_str()).is_ok();
@@ -164,7 +164,7 @@
             }
         }
         if doubted {
-            return ListTaken::Doubted;
+            return ListOutcome::RemovalsDeferred;
         }
         self.list_version = list.version;
         for slot in &mut self.slots {
@@ -177,7 +177,7 @@
             }
         }
         self.forget(now_ms);
-        ListTaken::Applied
+        ListOutcome::Applied
     }
 
     /// Whether removals of a list are held back.
@@ -189,7 +189,7 @@
         }
         let since_ms = *self.doubted_since_ms.get_or_insert(now_ms);
         // An empty list is an outage of the list: the last known hosts stay.
-        if still_listed > 0 && now_ms.saturating_sub(since_ms) >= DOUBT_MS {
+        if still_listed > 0 && now_ms.saturating_sub(since_ms) >= REMOVAL_DELAY_MS {
             self.doubted_since_ms = None;
             return false;
         }
@@ -197,24 +197,24 @@
     }
 
     /// Merges what a host says of itself.
-    pub fn heard(&mut self, report: &Report, now_ms: u64) -> Heard {
+    pub fn heard(&mut self, report: &Report, now_ms: u64) -> ReportOutcome {
         let Some(host) = self.key(&report.name).and_then(|key| self.host_mut(key)) else {
             self.insert(Host::from_report(report, now_ms));
-            return Heard::New;
+            return ReportOutcome::New;
         };
         if report.incarnation < host.incarnation {
-            return Heard::Outdated;
+            return ReportOutcome::Outdated;
         }
         let heard = match host.incarnation {
-            0 => Heard::New,
-            known if known < report.incarnation => Heard::Replaced,
-            _ => Heard::Known,
+            0 => ReportOutcome::New,
+            known if known < report.incarnation => ReportOutcome::Replaced,
+            _ => ReportOutcome::Known,
         };
         let mut told = Host::from_report(report, now_ms);
         told.listed = host.listed;
         told.unlisted_ms = host.unlisted_ms;
-        told.listed_leaving = host.listed_leaving && heard != Heard::Replaced;
-        if heard == Heard::Known {
+        told.listed_leaving = host.listed_leaving && heard != ReportOutcome::Replaced;
+        if heard == ReportOutcome::Known {
             told.said_leaving |= host.said_leaving;
             told.beat_sent_ms = host.beat_sent_ms;
         }
@@ -266,7 +266,7 @@
             .hosts()
             .filter(|(_, host)| {
                 let unheard_since_ms = host.heard_ms.unwrap_or(0).max(host.unlisted_ms);
-                !host.listed && now_ms.saturating_sub(unheard_since_ms) > FORGET_MS
+                !host.listed && now_ms.saturating_sub(unheard_since_ms) > HOST_EXPIRY_MS
             })
             .map(|(key, _)| key)
             .collect();
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -19,16 +19,16 @@
 use crate::document::Document;
 use crate::document::follow::Follower;
 use crate::document::follow::PeerAnswer;
-use crate::hosts::ConfigMark;
+use crate::hosts::ConfigPosition;
 use crate::hosts::Heartbeat;
 use crate::hosts::HeartbeatAnswer;
 use crate::hosts::HostRole;
+use crate::hosts::HostedVersion;
 use crate::hosts::Load;
 use crate::hosts::NameTag;
 use crate::hosts::Report;
 use crate::hosts::ReportAnswer;
 use crate::hosts::Roster;
-use crate::hosts::Served;
 use crate::hosts::StateTag;
 use crate::links::Cuts;
 use crate::links::HttpClient;
@@ -55,7 +55,7 @@
     /// How busy it is.
     pub load: Load,
     /// Versions on it.
-    pub served: Vec<Served>,
+    pub served: Vec<HostedVersion>,
     /// Epoch that new permits should name.
     pub permit_epoch: u64,
 }
@@ -244,10 +244,10 @@
     }
 
     /// How far the configuration has been folded.
-    pub fn config_mark(&self) -> ConfigMark {
+    pub fn config_mark(&self) -> ConfigPosition {
         let follower = self.follower();
         let fold = follower.fold();
-        ConfigMark {
+        ConfigPosition {
             offset: fold.head(),
             digest: fold.digest(),
         }
@@ -289,7 +289,7 @@
     pub fn report_answer(&self) -> ReportAnswer {
         let mark = self.follower().mark(self.now_ms());
         ReportAnswer {
-            config: ConfigMark {
+            config: ConfigPosition {
                 offset: mark.head,
                 digest: mark.digest,
             },
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -6,8 +6,8 @@
 use actix_web::web::Bytes;
 use actix_web::web::ServiceConfig;
 
-use crate::hosts::Heard;
 use crate::hosts::Report;
+use crate::hosts::ReportOutcome;
 use crate::links::open_call;
 use crate::links::rmp_response;
 use crate::node::ConfigPull;
@@ -35,7 +35,7 @@
     };
     let now_ms = node.now_ms();
     let heard = node.roster().heard(&report, now_ms);
-    if matches!(heard, Heard::New | Heard::Replaced) {
+    if matches!(heard, ReportOutcome::New | ReportOutcome::Replaced) {
         emit(
             Event::HostJoined,
             &[("host", &report.name), ("incarnation", &report.incarnation)],
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -12,7 +12,7 @@
 use crate::support::until;
 use bergamotfork::conf::PartitionPolicy;
 use bergamotfork::document::Fold;
-use bergamotfork::hosts::ConfigMark;
+use bergamotfork::hosts::ConfigPosition;
 use bergamotfork::hosts::Datagram;
 use bergamotfork::hosts::HeartbeatAnswer;
 use bergamotfork::hosts::HeartbeatKey;
@@ -133,7 +133,7 @@
         to: 1,
         asked_ms: 1_000,
         wants_report: false,
-        config: ConfigMark {
+        config: ConfigPosition {
             offset: 0,
             digest: Fold::new().digest(),
         },
--- a/tests/hosts/heartbeat.rs
+++ b/tests/hosts/heartbeat.rs
@@ -1,15 +1,15 @@
 use super::report;
-use super::standing;
+use super::status;
 use bergamotfork::hosts::Datagram;
 use bergamotfork::hosts::Heartbeat;
 use bergamotfork::hosts::HeartbeatKey;
 use bergamotfork::hosts::HeartbeatOutcome;
+use bergamotfork::hosts::HostStatus;
+use bergamotfork::hosts::HostedVersion;
 use bergamotfork::hosts::NameTag;
-use bergamotfork::hosts::Progress;
 use bergamotfork::hosts::Report;
 use bergamotfork::hosts::Roster;
-use bergamotfork::hosts::Served;
-use bergamotfork::hosts::Standing;
+use bergamotfork::hosts::VersionProgress;
 use bergamotfork::weights::Digest;
 
 /// Bytes a second that control may cost a node.
@@ -71,8 +71,8 @@
     );
     roster.heard(&told, 1100);
     assert_eq!(roster.beat(&beat(&told), 3000), HeartbeatOutcome::Known);
-    assert_eq!(standing(&roster, 0, 5000), Some(Standing::Usable));
-    assert_eq!(standing(&roster, 0, 6000), Some(Standing::Silent));
+    assert_eq!(status(&roster, 0, 5000), Some(HostStatus::Usable));
+    assert_eq!(status(&roster, 0, 6000), Some(HostStatus::Silent));
 }
 
 #[test]
@@ -80,11 +80,11 @@
     let mut roster = Roster::new();
     let mut told = report(0, 5);
     roster.heard(&told, 1000);
-    told.served.push(Served {
+    told.served.push(HostedVersion {
         model: "chat".to_owned(),
         version: "v1".to_owned(),
         manifest: Digest::of(b"v1"),
-        progress: Progress::Serving,
+        progress: VersionProgress::Serving,
         present_percent: 100,
         held: None,
     });
@@ -102,10 +102,10 @@
     roster.heard(&report(0, 5), 1000);
     let old = beat(&report(0, 4));
     assert_eq!(roster.beat(&old, 9000), HeartbeatOutcome::Outdated);
-    assert_eq!(standing(&roster, 0, 9000), Some(Standing::Silent));
+    assert_eq!(status(&roster, 0, 9000), Some(HostStatus::Silent));
     let new = beat(&report(0, 6));
     assert_eq!(roster.beat(&new, 9000), HeartbeatOutcome::NeedsReport);
-    assert_eq!(standing(&roster, 0, 9000), Some(Standing::Silent));
+    assert_eq!(status(&roster, 0, 9000), Some(HostStatus::Silent));
 }
 
 #[test]
@@ -117,5 +117,5 @@
     roster.beat(&beat(&told), 1100);
     told.leaving = false;
     roster.beat(&beat(&told), 1200);
-    assert_eq!(standing(&roster, 0, 1200), Some(Standing::Leaving));
+    assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Leaving));
 }
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -5,19 +5,19 @@
 use arbtest::arbtest;
 
 use bergamotfork::clients::HostList;
-use bergamotfork::hosts::ConfigMark;
-use bergamotfork::hosts::DOUBT_MS;
-use bergamotfork::hosts::FORGET_MS;
-use bergamotfork::hosts::Heard;
+use bergamotfork::hosts::ConfigPosition;
+use bergamotfork::hosts::HOST_EXPIRY_MS;
 use bergamotfork::hosts::HostRecord;
 use bergamotfork::hosts::HostRole;
 use bergamotfork::hosts::HostState;
-use bergamotfork::hosts::ListTaken;
+use bergamotfork::hosts::HostStatus;
+use bergamotfork::hosts::ListOutcome;
 use bergamotfork::hosts::Load;
+use bergamotfork::hosts::REMOVAL_DELAY_MS;
 use bergamotfork::hosts::Report;
+use bergamotfork::hosts::ReportOutcome;
 use bergamotfork::hosts::Roster;
 use bergamotfork::hosts::SILENCE_MS;
-use bergamotfork::hosts::Standing;
 use bergamotfork::weights::Digest;
 
 /// The brief allows a few seconds; the project promises this.
@@ -55,7 +55,7 @@
         service: None,
         incarnation,
         leaving: false,
-        config: ConfigMark {
+        config: ConfigPosition {
             offset: 0,
             digest: Digest::of(b""),
         },
@@ -66,9 +66,9 @@
     }
 }
 
-fn standing(roster: &Roster, number: usize, now_ms: u64) -> Option<Standing> {
+fn status(roster: &Roster, number: usize, now_ms: u64) -> Option<HostStatus> {
     let key = roster.key(&record(number).name)?;
-    roster.host(key).map(|host| host.standing(now_ms))
+    roster.host(key).map(|host| host.status(now_ms))
 }
 
 #[test]
@@ -76,11 +76,11 @@
     let mut roster = Roster::new();
     roster.take_list(&list(1, 3), 0);
     roster.heard(&report(0, 1), 1000);
-    assert_eq!(standing(&roster, 0, 1000), Some(Standing::Usable));
+    assert_eq!(status(&roster, 0, 1000), Some(HostStatus::Usable));
     roster.take_list(&list(1, 3), 1000 + NO_NEW_WORK_MS);
     assert_eq!(
-        standing(&roster, 0, 1000 + NO_NEW_WORK_MS),
-        Some(Standing::Silent)
+        status(&roster, 0, 1000 + NO_NEW_WORK_MS),
+        Some(HostStatus::Silent)
     );
     const { assert!(SILENCE_MS < NO_NEW_WORK_MS) };
 }
@@ -91,9 +91,9 @@
     roster.heard(&report(0, 1), 1000);
     let key = roster.key("host-000").expect("the host was heard");
     roster.failed(key, 1100);
-    assert_eq!(standing(&roster, 0, 1100), Some(Standing::Failed));
+    assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Failed));
     roster.heard(&report(0, 1), 1200);
-    assert_eq!(standing(&roster, 0, 1200), Some(Standing::Usable));
+    assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Usable));
 }
 
 #[test]
@@ -102,10 +102,10 @@
     roster.heard(&report(0, 5), 1000);
     let key = roster.key("host-000").expect("the host was heard");
     roster.leaving(key);
-    assert_eq!(roster.heard(&report(0, 4), 1100), Heard::Outdated);
-    assert_eq!(standing(&roster, 0, 1100), Some(Standing::Leaving));
-    assert_eq!(roster.heard(&report(0, 6), 1200), Heard::Replaced);
-    assert_eq!(standing(&roster, 0, 1200), Some(Standing::Usable));
+    assert_eq!(roster.heard(&report(0, 4), 1100), ReportOutcome::Outdated);
+    assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Leaving));
+    assert_eq!(roster.heard(&report(0, 6), 1200), ReportOutcome::Replaced);
+    assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Usable));
 }
 
 #[test]
@@ -116,16 +116,22 @@
     roster.heard(&last_words, 1000);
     // A report sent before the last one arrives after it.
     roster.heard(&report(0, 5), 1100);
-    assert_eq!(standing(&roster, 0, 1100), Some(Standing::Leaving));
+    assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Leaving));
 }
 
 #[test]
 fn take_list_empty_keeps_hosts() {
     let mut roster = Roster::new();
     roster.take_list(&list(1, 4), 0);
-    assert_eq!(roster.take_list(&list(2, 0), 1000), ListTaken::Doubted);
-    let later_ms = 1000 + 10 * DOUBT_MS;
-    assert_eq!(roster.take_list(&list(2, 0), later_ms), ListTaken::Doubted);
+    assert_eq!(
+        roster.take_list(&list(2, 0), 1000),
+        ListOutcome::RemovalsDeferred
+    );
+    let later_ms = 1000 + 10 * REMOVAL_DELAY_MS;
+    assert_eq!(
+        roster.take_list(&list(2, 0), later_ms),
+        ListOutcome::RemovalsDeferred
+    );
     assert_eq!(roster.hosts().count(), 4);
 }
 
@@ -133,14 +139,17 @@
 fn take_list_halved_waits() {
     let mut roster = Roster::new();
     roster.take_list(&list(1, 8), 0);
-    assert_eq!(roster.take_list(&list(2, 4), 1000), ListTaken::Doubted);
+    assert_eq!(
+        roster.take_list(&list(2, 4), 1000),
+        ListOutcome::RemovalsDeferred
+    );
     assert_eq!(roster.hosts().count(), 8);
-    let believed_ms = 1000 + DOUBT_MS;
+    let believed_ms = 1000 + REMOVAL_DELAY_MS;
     assert_eq!(
         roster.take_list(&list(2, 4), believed_ms),
-        ListTaken::Applied
+        ListOutcome::Applied
     );
-    roster.forget(believed_ms + FORGET_MS + 1);
+    roster.forget(believed_ms + HOST_EXPIRY_MS + 1);
     assert_eq!(roster.hosts().count(), 4);
 }
 
@@ -161,9 +170,9 @@
     let mut roster = Roster::new();
     roster.heard(&report(0, 1), 0);
     let key = roster.key("host-000").expect("the host was heard");
-    roster.forget(FORGET_MS + 1);
+    roster.forget(HOST_EXPIRY_MS + 1);
     assert!(roster.host(key).is_none());
-    roster.heard(&report(1, 1), FORGET_MS + 2);
+    roster.heard(&report(1, 1), HOST_EXPIRY_MS + 2);
     assert!(
         roster.host(key).is_none(),
         "a stale key names no other host"
@@ -184,13 +193,13 @@
             } else {
                 let number = u.choose_index(4)?;
                 let incarnation = u.int_in_range(1..=3)?;
-                if roster.heard(&report(number, incarnation), now_ms) != Heard::Outdated {
+                if roster.heard(&report(number, incarnation), now_ms) != ReportOutcome::Outdated {
                     last_heard_ms[number] = Some(now_ms);
                 }
             }
             for (number, heard_ms) in last_heard_ms.iter().enumerate() {
                 let Some(heard_ms) = heard_ms else { continue };
-                let usable = standing(&roster, number, now_ms) == Some(Standing::Usable);
+                let usable = status(&roster, number, now_ms) == Some(HostStatus::Usable);
                 let silent_ms = now_ms - heard_ms;
                 assert!(usable || silent_ms > SILENCE_MS, "heard and not usable");
                 assert!(!usable || silent_ms < NO_NEW_WORK_MS, "silent and usable");
