--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -295,7 +295,7 @@
                     permit_epoch: 0,
                     suspects: Vec::new(),
                 };
-                state.node.roster().heard(&report, now_ms);
+                state.node.roster().merge_report(&report, now_ms);
             }
         }
     }
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -172,7 +172,7 @@
         };
         let roster = node.roster();
         let others = roster
-            .askable(HostRole::Endpoint, node.now_ms())
+            .contactable(HostRole::Endpoint, node.now_ms())
             .filter(|(_, host)| host.service.is_none() && host.name != node.name())
             .map(|(_, host)| SwarmMember {
                 host: SwarmHost {
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -132,7 +132,7 @@
     fn endpoint_leaves(&self) {
         let mut roster = self.state.node.roster();
         if let Some(key) = roster.key(&self.permit.endpoint) {
-            roster.leaving(key);
+            roster.record_leaving(key);
         }
     }
 
@@ -141,7 +141,7 @@
         let now_ms = node.now_ms();
         let mut roster = node.roster();
         if let Some(key) = roster.key(&self.permit.endpoint) {
-            roster.failed(key, now_ms);
+            roster.record_failure(key, now_ms);
         }
     }
 
--- a/src/entry/call_repeatable.rs
+++ b/src/entry/call_repeatable.rs
@@ -127,11 +127,11 @@
         CallOutcome::NotRun {
             reason: RefusalReason::Unreachable,
             ..
-        } => state.node.roster().failed(key, now_ms),
+        } => state.node.roster().record_failure(key, now_ms),
         CallOutcome::NotRun {
             reason: RefusalReason::Leaving,
             ..
-        } => state.node.roster().leaving(key),
+        } => state.node.roster().record_leaving(key),
         _ => {}
     }
     outcome
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -327,8 +327,8 @@
     fn note_failure(&self, key: HostKey, reason: RetryReason) {
         let now_ms = self.state.node.now_ms();
         match reason {
-            RetryReason::NotSent => self.state.node.roster().failed(key, now_ms),
-            RetryReason::Leaving => self.state.node.roster().leaving(key),
+            RetryReason::NotSent => self.state.node.roster().record_failure(key, now_ms),
+            RetryReason::Leaving => self.state.node.roster().record_leaving(key),
             _ => {}
         }
     }
--- a/src/hosts/host.rs
+++ b/src/hosts/host.rs
@@ -51,14 +51,14 @@
     pub permit_epoch: u64,
     /// Configuration in force on it when last heard.
     pub config_offset: Option<u64>,
-    pub(super) state: Option<StateTag>,
-    pub(super) beat_sent_ms: u64,
-    pub(super) listed: bool,
-    pub(super) listed_leaving: bool,
-    pub(super) said_leaving: bool,
-    pub(super) heard_ms: Option<u64>,
-    pub(super) failed_ms: Option<u64>,
-    pub(super) unlisted_ms: u64,
+    pub(super) state_tag: Option<StateTag>,
+    pub(super) heartbeat_sent_ms: u64,
+    pub(super) is_listed: bool,
+    pub(super) is_listed_leaving: bool,
+    pub(super) has_reported_leaving: bool,
+    pub(super) last_received_ms: Option<u64>,
+    pub(super) last_failed_ms: Option<u64>,
+    pub(super) unlisted_since_ms: u64,
 }
 
 impl Host {
@@ -75,14 +75,14 @@
             served: Vec::new(),
             permit_epoch: 0,
             config_offset: None,
-            state: None,
-            beat_sent_ms: 0,
-            listed: true,
-            listed_leaving: record.state == HostState::Leaving,
-            said_leaving: false,
-            heard_ms: None,
-            failed_ms: None,
-            unlisted_ms: 0,
+            state_tag: None,
+            heartbeat_sent_ms: 0,
+            is_listed: true,
+            is_listed_leaving: record.state == HostState::Leaving,
+            has_reported_leaving: false,
+            last_received_ms: None,
+            last_failed_ms: None,
+            unlisted_since_ms: 0,
         }
     }
 
@@ -99,48 +99,48 @@
             served: report.served.clone(),
             permit_epoch: report.permit_epoch,
             config_offset: Some(report.config.offset),
-            state: Some(report.state_tag()),
-            beat_sent_ms: 0,
-            listed: false,
-            listed_leaving: false,
-            said_leaving: report.leaving,
-            heard_ms: Some(now_ms),
-            failed_ms: None,
-            unlisted_ms: now_ms,
+            state_tag: Some(report.state_tag()),
+            heartbeat_sent_ms: 0,
+            is_listed: false,
+            is_listed_leaving: false,
+            has_reported_leaving: report.leaving,
+            last_received_ms: Some(now_ms),
+            last_failed_ms: None,
+            unlisted_since_ms: now_ms,
         }
     }
 
     /// Whether the host may get new work at `now_ms`.
     pub fn status(&self, now_ms: u64) -> HostStatus {
-        if self.listed_leaving || self.said_leaving {
+        if self.is_listed_leaving || self.has_reported_leaving {
             return HostStatus::Leaving;
         }
-        let Some(heard_ms) = self.heard_ms else {
-            return match self.failed_ms {
+        let Some(last_received_ms) = self.last_received_ms else {
+            return match self.last_failed_ms {
                 Some(_) => HostStatus::Failed,
                 None => HostStatus::NeverReported,
             };
         };
         if self
-            .failed_ms
-            .is_some_and(|failed_ms| failed_ms >= heard_ms)
+            .last_failed_ms
+            .is_some_and(|last_failed_ms| last_failed_ms >= last_received_ms)
         {
             return HostStatus::Failed;
         }
-        if now_ms.saturating_sub(heard_ms) > SILENCE_MS {
+        if now_ms.saturating_sub(last_received_ms) > SILENCE_MS {
             return HostStatus::Silent;
         }
         HostStatus::Usable
     }
 
     /// The host's own clock when it sent its last beat.
-    pub fn beat_sent_ms(&self) -> u64 {
-        self.beat_sent_ms
+    pub fn heartbeat_sent_ms(&self) -> u64 {
+        self.heartbeat_sent_ms
     }
 
     /// Time since the host was last heard.
     pub fn silent_ms(&self, now_ms: u64) -> Option<u64> {
-        self.heard_ms
-            .map(|heard_ms| now_ms.saturating_sub(heard_ms))
+        self.last_received_ms
+            .map(|last_received_ms| now_ms.saturating_sub(last_received_ms))
     }
 }
--- a/src/hosts/roster.rs
+++ b/src/hosts/roster.rs
@@ -63,7 +63,7 @@
     by_name: Vec<HostKey>,
     by_tag: Vec<(NameTag, HostKey)>,
     list_version: u64,
-    doubted_since_ms: Option<u64>,
+    removals_deferred_since_ms: Option<u64>,
 }
 
 impl Roster {
@@ -107,7 +107,7 @@
     }
 
     /// Key of the host whose name has the given tag.
-    pub fn tagged(&self, tag: NameTag) -> Option<HostKey> {
+    pub fn key_of_tag(&self, tag: NameTag) -> Option<HostKey> {
         let at = self.by_tag.binary_search_by_key(&tag, |(tag, _)| *tag);
         at.ok().map(|at| self.by_tag[at].1)
     }
@@ -122,7 +122,7 @@
     /// Number of hosts of `role` that the platform lists.
     pub fn listed_count(&self, role: HostRole) -> usize {
         self.hosts()
-            .filter(|(_, host)| host.role == role && host.listed)
+            .filter(|(_, host)| host.role == role && host.is_listed)
             .count()
     }
 
@@ -133,7 +133,11 @@
     }
 
     /// Hosts of `role` worth asking: usable ones and those not heard yet.
-    pub fn askable(&self, role: HostRole, now_ms: u64) -> impl Iterator<Item = (HostKey, &Host)> {
+    pub fn contactable(
+        &self,
+        role: HostRole,
+        now_ms: u64,
+    ) -> impl Iterator<Item = (HostKey, &Host)> {
         self.hosts().filter(move |(_, host)| {
             let status = host.status(now_ms);
             host.role == role && matches!(status, HostStatus::Usable | HostStatus::NeverReported)
@@ -141,63 +145,63 @@
     }
 
     /// Merges a list of the platform.
-    pub fn take_list(&mut self, list: &HostList, now_ms: u64) -> ListOutcome {
+    pub fn merge_list(&mut self, list: &HostList, now_ms: u64) -> ListOutcome {
         let mut names: Vec<&str> = list.hosts.iter().map(|host| host.name.as_str()).collect();
         names.sort_unstable();
         let is_named = |host: &Host| names.binary_search(&host.name.as_str()).is_ok();
-        let listed_before = self.hosts().filter(|(_, host)| host.listed).count();
+        let listed_before = self.hosts().filter(|(_, host)| host.is_listed).count();
         let still_listed = self
             .hosts()
-            .filter(|(_, host)| host.listed && is_named(host))
+            .filter(|(_, host)| host.is_listed && is_named(host))
             .count();
-        let doubted = self.doubts(listed_before, still_listed, now_ms);
+        let removals_deferred = self.defers_removals(listed_before, still_listed, now_ms);
         for record in &list.hosts {
             match self.key(&record.name).and_then(|key| self.host_mut(key)) {
                 Some(host) => {
-                    host.listed = true;
-                    host.listed_leaving = record.state == HostState::Leaving;
-                    if host.heard_ms.is_none() {
+                    host.is_listed = true;
+                    host.is_listed_leaving = record.state == HostState::Leaving;
+                    if host.last_received_ms.is_none() {
                         host.address = record.address;
                     }
                 }
                 None => self.insert(Host::from_record(record)),
             }
         }
-        if doubted {
+        if removals_deferred {
             return ListOutcome::RemovalsDeferred;
         }
         self.list_version = list.version;
         for slot in &mut self.slots {
             if let Some(host) = &mut slot.host
-                && host.listed
+                && host.is_listed
                 && !is_named(host)
             {
-                host.listed = false;
-                host.unlisted_ms = now_ms;
+                host.is_listed = false;
+                host.unlisted_since_ms = now_ms;
             }
         }
-        self.forget(now_ms);
+        self.remove_expired(now_ms);
         ListOutcome::Applied
     }
 
     /// Whether removals of a list are held back.
-    fn doubts(&mut self, listed_before: usize, still_listed: usize, now_ms: u64) -> bool {
+    fn defers_removals(&mut self, listed_before: usize, still_listed: usize, now_ms: u64) -> bool {
         let halved = still_listed * 2 <= listed_before && listed_before > 1;
         if !halved {
-            self.doubted_since_ms = None;
+            self.removals_deferred_since_ms = None;
             return false;
         }
-        let since_ms = *self.doubted_since_ms.get_or_insert(now_ms);
+        let since_ms = *self.removals_deferred_since_ms.get_or_insert(now_ms);
         // An empty list is an outage of the list: the last known hosts stay.
         if still_listed > 0 && now_ms.saturating_sub(since_ms) >= REMOVAL_DELAY_MS {
-            self.doubted_since_ms = None;
+            self.removals_deferred_since_ms = None;
             return false;
         }
         true
     }
 
     /// Merges what a host says of itself.
-    pub fn heard(&mut self, report: &Report, now_ms: u64) -> ReportOutcome {
+    pub fn merge_report(&mut self, report: &Report, now_ms: u64) -> ReportOutcome {
         let Some(host) = self.key(&report.name).and_then(|key| self.host_mut(key)) else {
             self.insert(Host::from_report(report, now_ms));
             return ReportOutcome::New;
@@ -211,20 +215,23 @@
             _ => ReportOutcome::Known,
         };
         let mut told = Host::from_report(report, now_ms);
-        told.listed = host.listed;
-        told.unlisted_ms = host.unlisted_ms;
-        told.listed_leaving = host.listed_leaving && heard != ReportOutcome::Replaced;
+        told.is_listed = host.is_listed;
+        told.unlisted_since_ms = host.unlisted_since_ms;
+        told.is_listed_leaving = host.is_listed_leaving && heard != ReportOutcome::Replaced;
         if heard == ReportOutcome::Known {
-            told.said_leaving |= host.said_leaving;
-            told.beat_sent_ms = host.beat_sent_ms;
+            told.has_reported_leaving |= host.has_reported_leaving;
+            told.heartbeat_sent_ms = host.heartbeat_sent_ms;
         }
         *host = told;
         heard
     }
 
     /// Merges a sign of life.
-    pub fn beat(&mut self, beat: &Heartbeat, now_ms: u64) -> HeartbeatOutcome {
-        let Some(host) = self.tagged(beat.name).and_then(|key| self.host_mut(key)) else {
+    pub fn merge_heartbeat(&mut self, beat: &Heartbeat, now_ms: u64) -> HeartbeatOutcome {
+        let Some(host) = self
+            .key_of_tag(beat.name)
+            .and_then(|key| self.host_mut(key))
+        else {
             return HeartbeatOutcome::NeedsReport;
         };
         if beat.incarnation < host.incarnation {
@@ -233,13 +240,13 @@
         if beat.incarnation > host.incarnation {
             return HeartbeatOutcome::NeedsReport;
         }
-        host.heard_ms = Some(now_ms);
-        host.beat_sent_ms = beat.sent_ms;
-        host.said_leaving |= beat.leaving;
+        host.last_received_ms = Some(now_ms);
+        host.heartbeat_sent_ms = beat.sent_ms;
+        host.has_reported_leaving |= beat.leaving;
         host.config_offset = Some(beat.config_offset);
         host.load = beat.load;
         host.permit_epoch = beat.permit_epoch;
-        if host.state == Some(beat.state) {
+        if host.state_tag == Some(beat.state) {
             HeartbeatOutcome::Known
         } else {
             HeartbeatOutcome::NeedsReport
@@ -247,26 +254,29 @@
     }
 
     /// Notes that a call to `key` failed in a way that shows its process is gone.
-    pub fn failed(&mut self, key: HostKey, now_ms: u64) {
+    pub fn record_failure(&mut self, key: HostKey, now_ms: u64) {
         if let Some(host) = self.host_mut(key) {
-            host.failed_ms = Some(now_ms);
+            host.last_failed_ms = Some(now_ms);
         }
     }
 
     /// Notes that the host of `key` refused work because it is leaving.
-    pub fn leaving(&mut self, key: HostKey) {
+    pub fn record_leaving(&mut self, key: HostKey) {
         if let Some(host) = self.host_mut(key) {
-            host.said_leaving = true;
+            host.has_reported_leaving = true;
         }
     }
 
     /// Drops hosts that are neither listed nor heard for long.
-    pub fn forget(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         let gone: Vec<HostKey> = self
             .hosts()
             .filter(|(_, host)| {
-                let unheard_since_ms = host.heard_ms.unwrap_or(0).max(host.unlisted_ms);
-                !host.listed && now_ms.saturating_sub(unheard_since_ms) > HOST_EXPIRY_MS
+                let unheard_since_ms = host
+                    .last_received_ms
+                    .unwrap_or(0)
+                    .max(host.unlisted_since_ms);
+                !host.is_listed && now_ms.saturating_sub(unheard_since_ms) > HOST_EXPIRY_MS
             })
             .map(|(key, _)| key)
             .collect();
--- a/src/node/beat_receiver.rs
+++ b/src/node/beat_receiver.rs
@@ -50,7 +50,7 @@
 /// Merges a beat, and answers when the sender lacks something or asks.
 fn take_beat(node: &Node, wire: &Wire, beat: &Heartbeat, from: SocketAddr) {
     let now_ms = node.now_ms();
-    let wants_report = match node.roster().beat(beat, now_ms) {
+    let wants_report = match node.roster().merge_heartbeat(beat, now_ms) {
         // Reports exchange what both know of suspects.
         HeartbeatOutcome::Known => beat.suspects != node.suspects_tag(),
         HeartbeatOutcome::NeedsReport => true,
@@ -91,7 +91,7 @@
 /// The entry that answers, if it is known here.
 fn answering(node: &Node, answer: &HeartbeatAnswer) -> Option<Target> {
     let roster = node.roster();
-    let key = roster.tagged(answer.name)?;
+    let key = roster.key_of_tag(answer.name)?;
     let host = roster.host(key)?;
     Some(Target {
         key,
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -104,7 +104,7 @@
             .hosts()
             .filter(|(_, host)| host.config_offset.is_some_and(|offset| offset < head))
             .filter(|(_, host)| host.silent_ms(now_ms).is_some())
-            .map(|(_, host)| (host.address, host.incarnation, host.beat_sent_ms()))
+            .map(|(_, host)| (host.address, host.incarnation, host.heartbeat_sent_ms()))
             .collect();
         for (address, to, asked_ms) in behind {
             let answer = self.node.beat_answer(to, asked_ms, false);
@@ -163,7 +163,7 @@
         Ok(answer) => take_mark(node, asked_ms, &target.name, answer.mark()),
         Err(error) if error.is_not_sent() => {
             let now_ms = node.now_ms();
-            node.roster().failed(target.key, now_ms);
+            node.roster().record_failure(target.key, now_ms);
         }
         Err(_) => {}
     }
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -34,7 +34,7 @@
         Err(fault) => return fault.response(),
     };
     let now_ms = node.now_ms();
-    let heard = node.roster().heard(&report, now_ms);
+    let heard = node.roster().merge_report(&report, now_ms);
     if matches!(heard, ReportOutcome::New | ReportOutcome::Replaced) {
         emit(
             Event::HostJoined,
--- a/src/node/watcher.rs
+++ b/src/node/watcher.rs
@@ -51,9 +51,9 @@
     let now_ms = node.now_ms();
     match read {
         Ok(Some(list)) => {
-            node.roster().take_list(&list, now_ms);
+            node.roster().merge_list(&list, now_ms);
         }
         // An outage of the list keeps the last known hosts.
-        Ok(None) | Err(_) => node.roster().forget(now_ms),
+        Ok(None) | Err(_) => node.roster().remove_expired(now_ms),
     }
 }
--- a/tests/hosts/heartbeat.rs
+++ b/tests/hosts/heartbeat.rs
@@ -66,11 +66,14 @@
     let mut roster = Roster::new();
     let told = report(0, 5);
     assert_eq!(
-        roster.beat(&beat(&told), 1000),
+        roster.merge_heartbeat(&beat(&told), 1000),
         HeartbeatOutcome::NeedsReport
     );
-    roster.heard(&told, 1100);
-    assert_eq!(roster.beat(&beat(&told), 3000), HeartbeatOutcome::Known);
+    roster.merge_report(&told, 1100);
+    assert_eq!(
+        roster.merge_heartbeat(&beat(&told), 3000),
+        HeartbeatOutcome::Known
+    );
     assert_eq!(status(&roster, 0, 5000), Some(HostStatus::Usable));
     assert_eq!(status(&roster, 0, 6000), Some(HostStatus::Silent));
 }
@@ -79,7 +82,7 @@
 fn beat_changed_state() {
     let mut roster = Roster::new();
     let mut told = report(0, 5);
-    roster.heard(&told, 1000);
+    roster.merge_report(&told, 1000);
     told.served.push(HostedVersion {
         model: "chat".to_owned(),
         version: "v1".to_owned(),
@@ -89,22 +92,31 @@
         held: None,
     });
     assert_eq!(
-        roster.beat(&beat(&told), 1100),
+        roster.merge_heartbeat(&beat(&told), 1100),
         HeartbeatOutcome::NeedsReport
     );
-    roster.heard(&told, 1200);
-    assert_eq!(roster.beat(&beat(&told), 1300), HeartbeatOutcome::Known);
+    roster.merge_report(&told, 1200);
+    assert_eq!(
+        roster.merge_heartbeat(&beat(&told), 1300),
+        HeartbeatOutcome::Known
+    );
 }
 
 #[test]
 fn beat_other_incarnation() {
     let mut roster = Roster::new();
-    roster.heard(&report(0, 5), 1000);
+    roster.merge_report(&report(0, 5), 1000);
     let old = beat(&report(0, 4));
-    assert_eq!(roster.beat(&old, 9000), HeartbeatOutcome::Outdated);
+    assert_eq!(
+        roster.merge_heartbeat(&old, 9000),
+        HeartbeatOutcome::Outdated
+    );
     assert_eq!(status(&roster, 0, 9000), Some(HostStatus::Silent));
     let new = beat(&report(0, 6));
-    assert_eq!(roster.beat(&new, 9000), HeartbeatOutcome::NeedsReport);
+    assert_eq!(
+        roster.merge_heartbeat(&new, 9000),
+        HeartbeatOutcome::NeedsReport
+    );
     assert_eq!(status(&roster, 0, 9000), Some(HostStatus::Silent));
 }
 
@@ -112,10 +124,10 @@
 fn beat_leaving_stays() {
     let mut roster = Roster::new();
     let mut told = report(0, 5);
-    roster.heard(&told, 1000);
+    roster.merge_report(&told, 1000);
     told.leaving = true;
-    roster.beat(&beat(&told), 1100);
+    roster.merge_heartbeat(&beat(&told), 1100);
     told.leaving = false;
-    roster.beat(&beat(&told), 1200);
+    roster.merge_heartbeat(&beat(&told), 1200);
     assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Leaving));
 }
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -74,10 +74,10 @@
 #[test]
 fn standing_dead_host_still_listed() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 3), 0);
-    roster.heard(&report(0, 1), 1000);
+    roster.merge_list(&list(1, 3), 0);
+    roster.merge_report(&report(0, 1), 1000);
     assert_eq!(status(&roster, 0, 1000), Some(HostStatus::Usable));
-    roster.take_list(&list(1, 3), 1000 + NO_NEW_WORK_MS);
+    roster.merge_list(&list(1, 3), 1000 + NO_NEW_WORK_MS);
     assert_eq!(
         status(&roster, 0, 1000 + NO_NEW_WORK_MS),
         Some(HostStatus::Silent)
@@ -88,23 +88,29 @@
 #[test]
 fn standing_failed_until_heard_again() {
     let mut roster = Roster::new();
-    roster.heard(&report(0, 1), 1000);
+    roster.merge_report(&report(0, 1), 1000);
     let key = roster.key("host-000").expect("the host was heard");
-    roster.failed(key, 1100);
+    roster.record_failure(key, 1100);
     assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Failed));
-    roster.heard(&report(0, 1), 1200);
+    roster.merge_report(&report(0, 1), 1200);
     assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Usable));
 }
 
 #[test]
 fn heard_replaced_at_same_address() {
     let mut roster = Roster::new();
-    roster.heard(&report(0, 5), 1000);
+    roster.merge_report(&report(0, 5), 1000);
     let key = roster.key("host-000").expect("the host was heard");
-    roster.leaving(key);
-    assert_eq!(roster.heard(&report(0, 4), 1100), ReportOutcome::Outdated);
+    roster.record_leaving(key);
+    assert_eq!(
+        roster.merge_report(&report(0, 4), 1100),
+        ReportOutcome::Outdated
+    );
     assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Leaving));
-    assert_eq!(roster.heard(&report(0, 6), 1200), ReportOutcome::Replaced);
+    assert_eq!(
+        roster.merge_report(&report(0, 6), 1200),
+        ReportOutcome::Replaced
+    );
     assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Usable));
 }
 
@@ -113,23 +119,23 @@
     let mut roster = Roster::new();
     let mut last_words = report(0, 5);
     last_words.leaving = true;
-    roster.heard(&last_words, 1000);
+    roster.merge_report(&last_words, 1000);
     // A report sent before the last one arrives after it.
-    roster.heard(&report(0, 5), 1100);
+    roster.merge_report(&report(0, 5), 1100);
     assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Leaving));
 }
 
 #[test]
 fn take_list_empty_keeps_hosts() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 4), 0);
+    roster.merge_list(&list(1, 4), 0);
     assert_eq!(
-        roster.take_list(&list(2, 0), 1000),
+        roster.merge_list(&list(2, 0), 1000),
         ListOutcome::RemovalsDeferred
     );
     let later_ms = 1000 + 10 * REMOVAL_DELAY_MS;
     assert_eq!(
-        roster.take_list(&list(2, 0), later_ms),
+        roster.merge_list(&list(2, 0), later_ms),
         ListOutcome::RemovalsDeferred
     );
     assert_eq!(roster.hosts().count(), 4);
@@ -138,28 +144,28 @@
 #[test]
 fn take_list_halved_waits() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 8), 0);
+    roster.merge_list(&list(1, 8), 0);
     assert_eq!(
-        roster.take_list(&list(2, 4), 1000),
+        roster.merge_list(&list(2, 4), 1000),
         ListOutcome::RemovalsDeferred
     );
     assert_eq!(roster.hosts().count(), 8);
     let believed_ms = 1000 + REMOVAL_DELAY_MS;
     assert_eq!(
-        roster.take_list(&list(2, 4), believed_ms),
+        roster.merge_list(&list(2, 4), believed_ms),
         ListOutcome::Applied
     );
-    roster.forget(believed_ms + HOST_EXPIRY_MS + 1);
+    roster.remove_expired(believed_ms + HOST_EXPIRY_MS + 1);
     assert_eq!(roster.hosts().count(), 4);
 }
 
 #[test]
 fn take_list_one_by_one() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 8), 0);
+    roster.merge_list(&list(1, 8), 0);
     for left in (1..8).rev() {
         let version = 9 - left as u64;
-        roster.take_list(&list(version, left), version * 1000);
+        roster.merge_list(&list(version, left), version * 1000);
     }
     // The last removal, of one host in two, is the only one in doubt.
     assert_eq!(roster.list_version(), 7);
@@ -168,11 +174,11 @@
 #[test]
 fn host_forgotten_key() {
     let mut roster = Roster::new();
-    roster.heard(&report(0, 1), 0);
+    roster.merge_report(&report(0, 1), 0);
     let key = roster.key("host-000").expect("the host was heard");
-    roster.forget(HOST_EXPIRY_MS + 1);
+    roster.remove_expired(HOST_EXPIRY_MS + 1);
     assert!(roster.host(key).is_none());
-    roster.heard(&report(1, 1), HOST_EXPIRY_MS + 2);
+    roster.merge_report(&report(1, 1), HOST_EXPIRY_MS + 2);
     assert!(
         roster.host(key).is_none(),
         "a stale key names no other host"
@@ -189,11 +195,13 @@
             now_ms += u64::from(u.int_in_range(0..=4000u16)?);
             if u.ratio(1, 3)? {
                 let count = u.int_in_range(0..=4)?;
-                roster.take_list(&list(now_ms, count), now_ms);
+                roster.merge_list(&list(now_ms, count), now_ms);
             } else {
                 let number = u.choose_index(4)?;
                 let incarnation = u.int_in_range(1..=3)?;
-                if roster.heard(&report(number, incarnation), now_ms) != ReportOutcome::Outdated {
+                if roster.merge_report(&report(number, incarnation), now_ms)
+                    != ReportOutcome::Outdated
+                {
                     last_heard_ms[number] = Some(now_ms);
                 }
             }
--- a/tests/routing/router.rs
+++ b/tests/routing/router.rs
@@ -30,7 +30,7 @@
     };
     let hosts = (0..count).map(record).collect();
     let mut roster = Roster::new();
-    roster.take_list(&HostList { version: 1, hosts }, 0);
+    roster.merge_list(&HostList { version: 1, hosts }, 0);
     let hosts = roster.hosts();
     hosts
         .map(|(key, host)| Candidate {
