--- a/src/document/adopted.rs
+++ b/src/document/checkpoint_outcome.rs
@@ -1,6 +1,6 @@
 /// What adopting a checkpoint did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Adopted {
+pub enum CheckpointOutcome {
     /// The fold moved forward to the checkpoint.
     Advanced,
     /// The fold is at or past the checkpoint; nothing changed.
--- a/src/document/edit.rs
+++ b/src/document/edit.rs
@@ -63,7 +63,7 @@
         .chars()
         .all(|c| !c.is_control() && c != '[' && c != ']');
     if word.is_empty() || word.len() > max_bytes || !printable || word.trim() != word {
-        return Err(DocumentError::InvalidWord {
+        return Err(DocumentError::InvalidIdentifier {
             what,
             word: word.to_owned(),
         });
--- a/src/document/errors.rs
+++ b/src/document/errors.rs
@@ -16,7 +16,7 @@
         reason: String,
     },
     /// An id, team or section name is empty, too long or holds control characters or brackets.
-    InvalidWord {
+    InvalidIdentifier {
         /// Which field.
         what: &'static str,
         /// Its value.
@@ -40,7 +40,7 @@
             Self::Empty => write!(f, "the record is empty"),
             Self::UnknownVersion { version } => write!(f, "record version {version} is unknown"),
             Self::Undecodable { reason } => write!(f, "the record does not decode: {reason}"),
-            Self::InvalidWord { what, word } => write!(f, "{word:?} is not a valid {what}"),
+            Self::InvalidIdentifier { what, word } => write!(f, "{word:?} is not a valid {what}"),
             Self::HeaderInBody { line } => {
                 write!(f, "a body cannot hold the section header {line:?}")
             }
--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -1,14 +1,14 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::document::Adopted;
-use crate::document::Applied;
 use crate::document::Checkpoint;
+use crate::document::CheckpointOutcome;
 use crate::document::Document;
 use crate::document::Edit;
 use crate::document::EditEntry;
 use crate::document::EditOutcome;
 use crate::document::LogRecord;
+use crate::document::RecordOutcome;
 use crate::document::Section;
 use crate::document::checkpoint::state_digest;
 use crate::document::past_digests::PastDigests;
@@ -27,7 +27,7 @@
     // Offsets of the entries, ascending by edit id.
     offset_by_id: Vec<(String, u64)>,
     digest: Digest,
-    past: PastDigests,
+    past_digests: PastDigests,
 }
 
 impl Fold {
@@ -35,30 +35,30 @@
     pub fn new() -> Self {
         let document = Document::default();
         let digest = state_digest(0, &document, &[]);
-        let mut past = PastDigests::default();
-        past.push(0, digest);
+        let mut past_digests = PastDigests::default();
+        past_digests.push(0, digest);
         Self {
             head: 0,
             document: Arc::new(document),
             edits: VecDeque::new(),
             offset_by_id: Vec::new(),
             digest,
-            past,
+            past_digests,
         }
     }
 
     /// Applies the record at `offset`; anything but the next offset changes nothing.
-    pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> Applied {
+    pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> RecordOutcome {
         if offset < self.head {
-            return Applied::Past;
+            return RecordOutcome::AlreadyApplied;
         }
         if offset > self.head {
-            return Applied::Gap { wanted: self.head };
+            return RecordOutcome::Gap { wanted: self.head };
         }
         let applied = match LogRecord::decode(bytes) {
             Ok(LogRecord::Edit(edit)) => self.apply_edit(offset, edit),
             Ok(LogRecord::Checkpoint(checkpoint)) => self.compare(&checkpoint),
-            Err(error) => Applied::Skipped(error),
+            Err(error) => RecordOutcome::Skipped(error),
         };
         self.advance_to(offset + 1);
         applied
@@ -106,7 +106,7 @@
 
     /// The digest this fold had at `offset`, if it is remembered.
     pub fn digest_at(&self, offset: u64) -> Option<Digest> {
-        self.past.at(offset)
+        self.past_digests.at(offset)
     }
 
     /// The state at the head.
@@ -116,17 +116,17 @@
     }
 
     /// Moves forward to a checkpoint; never moves back.
-    pub fn adopt(&mut self, checkpoint: &Checkpoint) -> Adopted {
+    pub fn adopt(&mut self, checkpoint: &Checkpoint) -> CheckpointOutcome {
         if checkpoint.check_digest().is_err() {
-            return Adopted::Corrupt;
+            return CheckpointOutcome::Corrupt;
         }
         if checkpoint.as_of <= self.head {
-            let known = self.past.at(checkpoint.as_of);
+            let known = self.past_digests.at(checkpoint.as_of);
             let differs = known.is_some_and(|digest| digest != checkpoint.digest);
             return if differs {
-                Adopted::Differs
+                CheckpointOutcome::Differs
             } else {
-                Adopted::NotNewer
+                CheckpointOutcome::NotNewer
             };
         }
         self.document = Arc::new(checkpoint.document());
@@ -134,13 +134,13 @@
         self.offset_by_id = offsets_by_id(&checkpoint.edits);
         self.head = checkpoint.as_of;
         self.digest = checkpoint.digest;
-        self.past.push(self.head, self.digest);
-        Adopted::Advanced
+        self.past_digests.push(self.head, self.digest);
+        CheckpointOutcome::Advanced
     }
 
-    fn apply_edit(&mut self, offset: u64, edit: Edit) -> Applied {
+    fn apply_edit(&mut self, offset: u64, edit: Edit) -> RecordOutcome {
         if let Some(outcome) = self.outcome(&edit.edit_id) {
-            return Applied::Repeated(*outcome);
+            return RecordOutcome::Repeated(*outcome);
         }
         let current = self.document.revision(&edit.section);
         let accepted = edit.base_revision == current;
@@ -157,7 +157,7 @@
         if accepted {
             self.change(offset + 1, edit);
         }
-        Applied::Decided(outcome)
+        RecordOutcome::Decided(outcome)
     }
 
     fn change(&mut self, revision: u64, edit: Edit) {
@@ -200,19 +200,21 @@
         }
     }
 
-    fn compare(&self, checkpoint: &Checkpoint) -> Applied {
+    fn compare(&self, checkpoint: &Checkpoint) -> RecordOutcome {
         let as_of = checkpoint.as_of;
-        match self.past.at(as_of) {
-            Some(digest) if digest == checkpoint.digest => Applied::CheckpointAgreed { as_of },
-            Some(_) => Applied::CheckpointDiffers { as_of },
-            None => Applied::CheckpointUnchecked { as_of },
+        match self.past_digests.at(as_of) {
+            Some(digest) if digest == checkpoint.digest => {
+                RecordOutcome::CheckpointMatches { as_of }
+            }
+            Some(_) => RecordOutcome::CheckpointDiffers { as_of },
+            None => RecordOutcome::CheckpointUnchecked { as_of },
         }
     }
 
     fn advance_to(&mut self, head: u64) {
         self.head = head;
         self.digest = state_digest(head, &self.document, self.edits.make_contiguous());
-        self.past.push(head, self.digest);
+        self.past_digests.push(head, self.digest);
     }
 
     fn id_index(&self, edit_id: &str) -> Result<usize, usize> {
--- a/src/document/follow/scan.rs
+++ b/src/document/follow/checkpoint_search.rs
@@ -1,16 +1,16 @@
 use crate::document::Checkpoint;
 use crate::document::LogRecord;
-use crate::document::follow::LoggedRecord;
+use crate::document::follow::RawLogRecord;
 
 /// Search of a trimmed log for a checkpoint to go on from.
 #[derive(Debug, Clone)]
-pub struct Scan {
+pub struct CheckpointSearch {
     position: u64,
     found: Vec<Checkpoint>,
     contested: Vec<u64>,
 }
 
-impl Scan {
+impl CheckpointSearch {
     /// Starts at the lowest offset still kept.
     pub fn new(earliest: u64) -> Self {
         Self {
@@ -26,7 +26,7 @@
     }
 
     /// Looks at the records read.
-    pub fn look(&mut self, records: &[LoggedRecord]) {
+    pub fn look(&mut self, records: &[RawLogRecord]) {
         for record in records {
             self.position = self.position.max(record.offset + 1);
             if let Ok(LogRecord::Checkpoint(checkpoint)) = LogRecord::decode(&record.bytes) {
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -1,17 +1,17 @@
-use crate::document::Adopted;
-use crate::document::Applied;
 use crate::document::Checkpoint;
+use crate::document::CheckpointOutcome;
 use crate::document::DocumentError;
 use crate::document::Fold;
+use crate::document::RecordOutcome;
+use crate::document::follow::ConfigUpdate;
 use crate::document::follow::LogPage;
-use crate::document::follow::LoggedRecord;
 use crate::document::follow::Notice;
 use crate::document::follow::PeerAnswer;
-use crate::document::follow::PeerMark;
+use crate::document::follow::PeerStatus;
+use crate::document::follow::RawLogRecord;
 use crate::document::follow::Readiness;
-use crate::document::follow::Update;
+use crate::document::follow::checkpoint_search::CheckpointSearch;
 use crate::document::follow::recent_records::RecentRecords;
-use crate::document::follow::scan::Scan;
 
 /// Time between two ticks that only a pause explains.
 const PAUSE_MS: u64 = 5_000;
@@ -22,7 +22,7 @@
     fold: Fold,
     recent: RecentRecords,
     readiness: Readiness,
-    scan: Option<Scan>,
+    scan: Option<CheckpointSearch>,
     last_tick_ms: u64,
     // Answers to what was asked before this say nothing about the present.
     awake_since_ms: u64,
@@ -62,7 +62,9 @@
 
     /// Offset to read the log from.
     pub fn read_from(&self) -> u64 {
-        self.scan.as_ref().map_or(self.fold.head(), Scan::position)
+        self.scan
+            .as_ref()
+            .map_or(self.fold.head(), CheckpointSearch::position)
     }
 
     /// Time since the head was known to be the end of the log.
@@ -110,8 +112,8 @@
     }
 
     /// How far this process is.
-    pub fn mark(&self, now_ms: u64) -> PeerMark {
-        PeerMark {
+    pub fn mark(&self, now_ms: u64) -> PeerStatus {
+        PeerStatus {
             head: self.fold.head(),
             digest: self.fold.digest(),
             is_voter: self.readiness.is_voter(),
@@ -122,11 +124,11 @@
     /// What to answer a process whose head is `from`.
     pub fn answer(&self, now_ms: u64, from: u64) -> PeerAnswer {
         let update = if from >= self.fold.head() {
-            Update::None
+            ConfigUpdate::None
         } else if let Some(records) = self.recent.since(from) {
-            Update::Records(records)
+            ConfigUpdate::Records(records)
         } else {
-            Update::Checkpoint(Box::new(self.fold.checkpoint()))
+            ConfigUpdate::Checkpoint(Box::new(self.fold.checkpoint()))
         };
         PeerAnswer {
             mark: self.mark(now_ms),
@@ -145,9 +147,9 @@
     ) -> Vec<Notice> {
         self.tick(now_ms);
         let mut notices = match &answer.update {
-            Update::None => Vec::new(),
-            Update::Records(records) => self.apply(asked_ms, records),
-            Update::Checkpoint(checkpoint) => self.adopt(checkpoint),
+            ConfigUpdate::None => Vec::new(),
+            ConfigUpdate::Records(records) => self.apply(asked_ms, records),
+            ConfigUpdate::Checkpoint(checkpoint) => self.adopt(checkpoint),
         };
         if self.diverges_from(&answer.mark) {
             notices.push(Notice::Diverged {
@@ -162,13 +164,13 @@
         notices
     }
 
-    fn diverges_from(&self, mark: &PeerMark) -> bool {
+    fn diverges_from(&self, mark: &PeerStatus) -> bool {
         let own = self.fold.digest_at(mark.head);
         own.is_some_and(|digest| digest != mark.digest)
     }
 
     /// Draws on what a peer knows, once this process holds all that the peer holds.
-    fn trust(&mut self, asked_ms: u64, peer: &str, listed: usize, mark: &PeerMark) {
+    fn trust(&mut self, asked_ms: u64, peer: &str, listed: usize, mark: &PeerStatus) {
         if let Some(age_ms) = mark.confirmed_age_ms {
             let at_ms = asked_ms.saturating_sub(age_ms);
             self.confirm(at_ms);
@@ -186,16 +188,19 @@
         now_ms.saturating_sub(self.last_tick_ms) >= PAUSE_MS
     }
 
-    fn apply(&mut self, now_ms: u64, records: &[LoggedRecord]) -> Vec<Notice> {
+    fn apply(&mut self, now_ms: u64, records: &[RawLogRecord]) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
         for record in records {
             let applied = self.fold.apply(record.offset, &record.bytes);
-            if matches!(applied, Applied::Past | Applied::Gap { .. }) {
+            if matches!(
+                applied,
+                RecordOutcome::AlreadyApplied | RecordOutcome::Gap { .. }
+            ) {
                 continue;
             }
             self.recent.push(record.offset, &record.bytes);
-            if matches!(applied, Applied::CheckpointAgreed { .. }) {
+            if matches!(applied, RecordOutcome::CheckpointMatches { .. }) {
                 self.checkpoint_seen_ms = now_ms;
             }
             notices.extend(notice_of(record.offset, applied));
@@ -208,18 +213,23 @@
         let before = self.fold.head();
         let mut notices = Vec::new();
         match self.fold.adopt(checkpoint) {
-            Adopted::Advanced => self.recent.clear(),
-            Adopted::NotNewer => {}
-            Adopted::Differs | Adopted::Corrupt => notices.push(Notice::CheckpointDiffers {
-                as_of: checkpoint.as_of,
-            }),
+            CheckpointOutcome::Advanced => self.recent.clear(),
+            CheckpointOutcome::NotNewer => {}
+            CheckpointOutcome::Differs | CheckpointOutcome::Corrupt => {
+                notices.push(Notice::CheckpointDiffers {
+                    as_of: checkpoint.as_of,
+                })
+            }
         }
         self.note_advance(before, &mut notices);
         notices
     }
 
     fn scan_page(&mut self, page: &LogPage) -> Vec<Notice> {
-        let mut scan = self.scan.take().unwrap_or_else(|| Scan::new(page.earliest));
+        let mut scan = self
+            .scan
+            .take()
+            .unwrap_or_else(|| CheckpointSearch::new(page.earliest));
         scan.look(&page.records);
         if scan.position() < page.next && !page.records.is_empty() {
             self.scan = Some(scan);
@@ -228,7 +238,7 @@
         let mut notices: Vec<Notice> = scan
             .contested()
             .iter()
-            .map(|as_of| Notice::CheckpointsContested { as_of: *as_of })
+            .map(|as_of| Notice::ConflictingCheckpoints { as_of: *as_of })
             .collect();
         match scan.best(page.earliest) {
             Some(checkpoint) => notices.extend(self.adopt(checkpoint)),
@@ -252,12 +262,12 @@
     }
 }
 
-fn notice_of(offset: u64, applied: Applied) -> Option<Notice> {
+fn notice_of(offset: u64, applied: RecordOutcome) -> Option<Notice> {
     match applied {
         // A peer passes a checkpoint on as an empty record.
-        Applied::Skipped(DocumentError::Empty) => None,
-        Applied::Skipped(error) => Some(Notice::Skipped { offset, error }),
-        Applied::CheckpointDiffers { as_of } => Some(Notice::CheckpointDiffers { as_of }),
+        RecordOutcome::Skipped(DocumentError::Empty) => None,
+        RecordOutcome::Skipped(error) => Some(Notice::Skipped { offset, error }),
+        RecordOutcome::CheckpointDiffers { as_of } => Some(Notice::CheckpointDiffers { as_of }),
         _ => None,
     }
 }
--- a/src/document/follow/log_page.rs
+++ b/src/document/follow/log_page.rs
@@ -3,7 +3,7 @@
 
 /// One record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoggedRecord {
+pub struct RawLogRecord {
     /// Offset of the record.
     pub offset: u64,
     /// Its bytes; empty in place of a checkpoint when a peer passes it on.
@@ -19,5 +19,5 @@
     /// Offset of the next append.
     pub next: u64,
     /// Records from the offset asked for.
-    pub records: Vec<LoggedRecord>,
+    pub records: Vec<RawLogRecord>,
 }
--- a/src/document/follow/log_duty.rs
+++ b/src/document/follow/log_schedule.rs
@@ -1,5 +1,5 @@
 /// Entries that always read the log.
-pub const TAILERS: usize = 3;
+pub const PERMANENT_LOG_READERS: usize = 3;
 
 /// Time without confirmation after which the next entry reads the log too.
 const PATIENCE_MS: u64 = 3_000;
@@ -51,17 +51,17 @@
 
 /// What an entry of some rank does at the log.
 #[derive(Debug, Clone, Copy)]
-pub struct LogDuty {
+pub struct LogSchedule {
     /// Rank of the entry.
     pub rank: usize,
     /// How long the log keeps a record.
     pub retention_ms: u64,
 }
 
-impl LogDuty {
+impl LogSchedule {
     /// Whether to read the log, `unconfirmed_ms` after the head was last confirmed.
     pub fn reads(&self, unconfirmed_ms: u64) -> bool {
-        let Some(later) = self.rank.checked_sub(TAILERS) else {
+        let Some(later) = self.rank.checked_sub(PERMANENT_LOG_READERS) else {
             return true;
         };
         unconfirmed_ms >= PATIENCE_MS + later as u64 * RANK_STEP_MS
--- a/src/document/follow/mod.rs
+++ b/src/document/follow/mod.rs
@@ -12,24 +12,24 @@
 //! found again by every later process, even when hosts are replaced while the
 //! log is down.
 
+mod checkpoint_search;
 mod follower;
-mod log_duty;
 mod log_page;
+mod log_schedule;
 mod notice;
 mod peer_answer;
 mod readiness;
 mod recent_records;
-mod scan;
 
 pub use follower::Follower;
-pub use log_duty::LogDuty;
-pub use log_duty::LogReader;
-pub use log_duty::TAILERS;
-pub use log_duty::log_rank;
 pub use log_page::LogPage;
-pub use log_page::LoggedRecord;
+pub use log_page::RawLogRecord;
+pub use log_schedule::LogReader;
+pub use log_schedule::LogSchedule;
+pub use log_schedule::PERMANENT_LOG_READERS;
+pub use log_schedule::log_rank;
 pub use notice::Notice;
+pub use peer_answer::ConfigUpdate;
 pub use peer_answer::PeerAnswer;
-pub use peer_answer::PeerMark;
-pub use peer_answer::Update;
+pub use peer_answer::PeerStatus;
 pub use readiness::Readiness;
--- a/src/document/follow/notice.rs
+++ b/src/document/follow/notice.rs
@@ -21,7 +21,7 @@
         as_of: u64,
     },
     /// Two checkpoints of one offset differ; neither is adopted.
-    CheckpointsContested {
+    ConflictingCheckpoints {
         /// Their offset.
         as_of: u64,
     },
--- a/src/document/follow/peer_answer.rs
+++ b/src/document/follow/peer_answer.rs
@@ -2,12 +2,12 @@
 use serde::Serialize;
 
 use crate::document::Checkpoint;
-use crate::document::follow::LoggedRecord;
+use crate::document::follow::RawLogRecord;
 use crate::weights::Digest;
 
 /// How far a peer is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerMark {
+pub struct PeerStatus {
     /// Head of the peer.
     pub head: u64,
     /// Digest of its state.
@@ -22,18 +22,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerAnswer {
     /// How far the peer is.
-    pub mark: PeerMark,
+    pub mark: PeerStatus,
     /// What the asking process lacks.
-    pub update: Update,
+    pub update: ConfigUpdate,
 }
 
 /// What a process lacks, as records or as the whole state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Update {
+pub enum ConfigUpdate {
     /// Nothing.
     None,
     /// Records from the head of the asking process.
-    Records(Vec<LoggedRecord>),
+    Records(Vec<RawLogRecord>),
     /// The state at the head of the peer.
     Checkpoint(Box<Checkpoint>),
 }
--- a/src/document/follow/recent_records.rs
+++ b/src/document/follow/recent_records.rs
@@ -1,7 +1,7 @@
 use std::collections::VecDeque;
 
 use crate::document::LogRecord;
-use crate::document::follow::LoggedRecord;
+use crate::document::follow::RawLogRecord;
 
 /// Bytes of records kept for peers.
 const MAX_RECENT_BYTES: usize = 512 * 1024;
@@ -12,7 +12,7 @@
 /// The last records applied, without a hole, for peers that lack them.
 #[derive(Debug, Clone, Default)]
 pub struct RecentRecords {
-    records: VecDeque<LoggedRecord>,
+    records: VecDeque<RawLogRecord>,
     size_bytes: usize,
 }
 
@@ -25,7 +25,7 @@
             Ok(LogRecord::Checkpoint(_)) | Err(_) => Vec::new(),
         };
         self.size_bytes += bytes.len();
-        self.records.push_back(LoggedRecord { offset, bytes });
+        self.records.push_back(RawLogRecord { offset, bytes });
         while self.size_bytes > MAX_RECENT_BYTES || self.records.len() > MAX_RECENT_RECORDS {
             self.forget_oldest();
         }
@@ -37,7 +37,7 @@
     }
 
     /// Every record from `offset`, unless some are no longer kept.
-    pub fn since(&self, offset: u64) -> Option<Vec<LoggedRecord>> {
+    pub fn since(&self, offset: u64) -> Option<Vec<RawLogRecord>> {
         let first = self.records.front()?.offset;
         let skip = usize::try_from(offset.checked_sub(first)?).ok()?;
         Some(self.records.iter().skip(skip).cloned().collect())
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -13,11 +13,10 @@
 
 pub mod follow;
 
-mod adopted;
-mod applied;
 mod branch_section;
 mod check;
 mod checkpoint;
+mod checkpoint_outcome;
 #[allow(clippy::module_inception)]
 mod document;
 mod edit;
@@ -29,13 +28,12 @@
 mod log_record;
 mod model_section;
 mod past_digests;
+mod record_outcome;
 mod section;
 mod section_fault;
 mod section_reader;
 mod service_section;
 
-pub use adopted::Adopted;
-pub use applied::Applied;
 pub use branch_section::BranchSection;
 pub use check::MAX_DOCUMENT_BYTES;
 pub use check::MAX_SECTION_BYTES;
@@ -43,6 +41,7 @@
 pub use check::check_edit;
 pub use check::inert_parts;
 pub use checkpoint::Checkpoint;
+pub use checkpoint_outcome::CheckpointOutcome;
 pub use document::Document;
 pub use edit::Edit;
 pub use edit_entry::EditEntry;
@@ -53,6 +52,7 @@
 pub use key_change::KeyChange;
 pub use log_record::LogRecord;
 pub use model_section::ModelSection;
+pub use record_outcome::RecordOutcome;
 pub use section::Section;
 pub use section::Tombstone;
 pub use section_fault::FaultReason;
--- a/src/document/applied.rs
+++ b/src/document/record_outcome.rs
@@ -3,13 +3,13 @@
 
 /// What applying one record of the log did.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum RecordOutcome {
     /// The first record of an edit; it was decided.
     Decided(EditOutcome),
     /// A further record of a decided edit; its first outcome stands.
     Repeated(EditOutcome),
     /// A checkpoint agreed with the fold's own digest at its offset.
-    CheckpointAgreed {
+    CheckpointMatches {
         /// Offset of the checkpoint.
         as_of: u64,
     },
@@ -26,7 +26,7 @@
     /// The record is not one of ours or has no valid structure.
     Skipped(DocumentError),
     /// The record was applied earlier; nothing changed.
-    Past,
+    AlreadyApplied,
     /// Records before this one are missing; nothing changed.
     Gap {
         /// Offset wanted next.
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -1,9 +1,9 @@
 use crate::clients::LogSlice;
 use crate::document::LogRecord;
-use crate::document::follow::LogDuty;
 use crate::document::follow::LogPage;
 use crate::document::follow::LogReader;
-use crate::document::follow::LoggedRecord;
+use crate::document::follow::LogSchedule;
+use crate::document::follow::RawLogRecord;
 use crate::document::follow::log_rank;
 use crate::entry::EntryState;
 use crate::hosts::HostRole;
@@ -16,7 +16,7 @@
 const READ_MAX: usize = 256;
 
 /// What this entry does at the log now, going by its rank among the live entries.
-pub fn log_duty(state: &EntryState) -> LogDuty {
+pub fn log_duty(state: &EntryState) -> LogSchedule {
     let node = &state.node;
     let own = LogReader {
         name: node.name(),
@@ -34,7 +34,7 @@
         })
         .collect();
     readers.push(own);
-    LogDuty {
+    LogSchedule {
         rank: log_rank(node.name(), &readers),
         retention_ms: state.settings.log_retention_ms,
     }
@@ -61,7 +61,7 @@
 }
 
 /// Publishes a checkpoint if it is this entry's turn.
-pub async fn publish_checkpoint(state: &EntryState, duty: LogDuty) {
+pub async fn publish_checkpoint(state: &EntryState, duty: LogSchedule) {
     let node = &state.node;
     let now_ms = node.now_ms();
     let checkpoint = {
@@ -86,7 +86,7 @@
 }
 
 fn page_of(slice: &LogSlice) -> LogPage {
-    let records = slice.records.iter().map(|entry| LoggedRecord {
+    let records = slice.records.iter().map(|entry| RawLogRecord {
         offset: entry.offset,
         bytes: entry.body(),
     });
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::calls::SuspectRecord;
-use crate::document::follow::PeerMark;
+use crate::document::follow::PeerStatus;
 use crate::hosts::HostRole;
 use crate::hosts::StateTag;
 use crate::weights::Digest;
@@ -123,8 +123,8 @@
 
 impl ReportAnswer {
     /// How far the entry has followed the log.
-    pub fn mark(&self) -> PeerMark {
-        PeerMark {
+    pub fn mark(&self) -> PeerStatus {
+        PeerStatus {
             head: self.config.offset,
             digest: self.config.digest,
             is_voter: self.is_voter,
--- a/src/node/beat_receiver.rs
+++ b/src/node/beat_receiver.rs
@@ -5,14 +5,14 @@
 
 use actix_rt::time::sleep;
 
-use crate::document::follow::PeerMark;
+use crate::document::follow::PeerStatus;
 use crate::hosts::Datagram;
 use crate::hosts::Heartbeat;
 use crate::hosts::HeartbeatAnswer;
 use crate::hosts::HeartbeatOutcome;
 use crate::node::Node;
-use crate::node::config_pull::take_mark;
-use crate::node::pull_config;
+use crate::node::config_request::take_mark;
+use crate::node::fetch_config;
 use crate::node::reporter::Wire;
 use crate::node::reporter::report_to;
 use crate::node::targets::Target;
@@ -73,9 +73,9 @@
         return;
     };
     if answer.config.offset > node.follower().fold().head() {
-        pull_config(node, &target.name, target.address).await;
+        fetch_config(node, &target.name, target.address).await;
     } else {
-        let mark = PeerMark {
+        let mark = PeerStatus {
             head: answer.config.offset,
             digest: answer.config.digest,
             is_voter: answer.is_voter,
--- a/src/node/config_pull.rs
+++ b/src/node/config_request.rs
@@ -3,10 +3,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::document::follow::ConfigUpdate;
 use crate::document::follow::Notice;
 use crate::document::follow::PeerAnswer;
-use crate::document::follow::PeerMark;
-use crate::document::follow::Update;
+use crate::document::follow::PeerStatus;
 use crate::hosts::HostRole;
 use crate::node::Node;
 use crate::observe::Event;
@@ -17,17 +17,17 @@
 
 /// Asks a peer for what this process lacks.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ConfigPull {
+pub struct ConfigRequest {
     /// Head of the asking process.
     pub from: u64,
 }
 
 /// Takes over what the peer `name` at `address` holds beyond this process.
-pub async fn pull_config(node: &Node, name: &str, address: SocketAddr) {
+pub async fn fetch_config(node: &Node, name: &str, address: SocketAddr) {
     let url = format!("http://{address}/x/config");
     let asked_ms = node.now_ms();
     let from = node.follower().fold().head();
-    let pull = ConfigPull { from };
+    let pull = ConfigRequest { from };
     let answer: Result<PeerAnswer, _> = node.ask(&url, &pull, PULL_WAIT_MS).await;
     if let Ok(answer) = answer {
         take_answer(node, asked_ms, name, &answer);
@@ -35,10 +35,10 @@
 }
 
 /// Draws on what the peer `name` says of its configuration.
-pub(super) fn take_mark(node: &Node, asked_ms: u64, name: &str, mark: PeerMark) {
+pub(super) fn take_mark(node: &Node, asked_ms: u64, name: &str, mark: PeerStatus) {
     let answer = PeerAnswer {
         mark,
-        update: Update::None,
+        update: ConfigUpdate::None,
     };
     take_answer(node, asked_ms, name, &answer);
 }
@@ -64,7 +64,7 @@
                 Event::RecordSkipped,
                 &[("host", &name), ("offset", offset), ("error", error)],
             ),
-            Notice::CheckpointDiffers { as_of } | Notice::CheckpointsContested { as_of } => emit(
+            Notice::CheckpointDiffers { as_of } | Notice::ConflictingCheckpoints { as_of } => emit(
                 Event::CheckpointDiffers,
                 &[("host", &name), ("as_of", as_of)],
             ),
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -3,7 +3,7 @@
 
 mod admission;
 mod beat_receiver;
-mod config_pull;
+mod config_request;
 #[allow(clippy::module_inception)]
 mod node;
 mod reporter;
@@ -13,9 +13,9 @@
 
 pub use admission::Admission;
 pub use admission::CUT_OFF_MS;
-pub use config_pull::ConfigPull;
-pub use config_pull::emit_notices;
-pub use config_pull::pull_config;
+pub use config_request::ConfigRequest;
+pub use config_request::emit_notices;
+pub use config_request::fetch_config;
 pub use node::Node;
 pub use reporter::Reporter;
 pub use routes::routes;
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -15,8 +15,8 @@
 use crate::hosts::ReportAnswer;
 use crate::node::Node;
 use crate::node::beat_receiver::receive;
-use crate::node::config_pull::take_mark;
-use crate::node::pull_config;
+use crate::node::config_request::take_mark;
+use crate::node::fetch_config;
 use crate::node::targets::Target;
 use crate::node::targets::targets;
 use crate::observe::Event;
@@ -158,7 +158,7 @@
     }
     match answer {
         Ok(answer) if answer.config.offset > node.follower().fold().head() => {
-            pull_config(node, &target.name, target.address).await;
+            fetch_config(node, &target.name, target.address).await;
         }
         Ok(answer) => take_mark(node, asked_ms, &target.name, answer.mark()),
         Err(error) if error.is_not_sent() => {
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -10,7 +10,7 @@
 use crate::hosts::ReportOutcome;
 use crate::links::open_call;
 use crate::links::rmp_response;
-use crate::node::ConfigPull;
+use crate::node::ConfigRequest;
 use crate::node::Node;
 use crate::observe::Event;
 use crate::observe::emit;
@@ -49,7 +49,7 @@
 }
 
 async fn config(node: web::Data<Node>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let pull: ConfigPull = match open_call(&request, &body, &node.cluster().shared_key) {
+    let pull: ConfigRequest = match open_call(&request, &body, &node.cluster().shared_key) {
         Ok(pull) => pull,
         Err(fault) => return fault.response(),
     };
--- a/tests/document/fold.rs
+++ b/tests/document/fold.rs
@@ -1,23 +1,23 @@
 use crate::support::apply;
 use crate::support::delete;
 use crate::support::edit;
-use bergamotfork::document::Adopted;
-use bergamotfork::document::Applied;
 use bergamotfork::document::Checkpoint;
+use bergamotfork::document::CheckpointOutcome;
 use bergamotfork::document::EditOutcome;
 use bergamotfork::document::Fold;
 use bergamotfork::document::LogRecord;
 use bergamotfork::document::MAX_EDIT_ENTRIES;
+use bergamotfork::document::RecordOutcome;
 
-fn accepted(offset: u64) -> Applied {
-    Applied::Decided(EditOutcome::Accepted {
+fn accepted(offset: u64) -> RecordOutcome {
+    RecordOutcome::Decided(EditOutcome::Accepted {
         offset,
         revision: offset + 1,
     })
 }
 
-fn conflict(offset: u64, revision: u64) -> Applied {
-    Applied::Decided(EditOutcome::Conflict { offset, revision })
+fn conflict(offset: u64, revision: u64) -> RecordOutcome {
+    RecordOutcome::Decided(EditOutcome::Conflict { offset, revision })
 }
 
 #[test]
@@ -41,13 +41,13 @@
     apply(&mut fold, edit("b", "s x", 0, "k = 2"));
     let first = *fold.outcome("a").expect("remembered");
     let again = apply(&mut fold, edit("a", "s x", 0, "k = 1"));
-    assert_eq!(again, Applied::Repeated(first));
+    assert_eq!(again, RecordOutcome::Repeated(first));
     let again = apply(&mut fold, edit("b", "s x", 0, "k = 2"));
     let outcome = EditOutcome::Conflict {
         offset: 1,
         revision: 1,
     };
-    assert_eq!(again, Applied::Repeated(outcome));
+    assert_eq!(again, RecordOutcome::Repeated(outcome));
     assert_eq!(fold.history().count(), 2);
 }
 
@@ -72,16 +72,19 @@
 fn apply_out_of_order() {
     let mut fold = Fold::new();
     let record = LogRecord::Edit(edit("a", "s x", 0, "k = 1")).encode();
-    assert_eq!(fold.apply(1, &record), Applied::Gap { wanted: 0 });
+    assert_eq!(fold.apply(1, &record), RecordOutcome::Gap { wanted: 0 });
     fold.apply(0, &record);
-    assert_eq!(fold.apply(0, &record), Applied::Past);
+    assert_eq!(fold.apply(0, &record), RecordOutcome::AlreadyApplied);
     assert_eq!(fold.head(), 1);
 }
 
 #[test]
 fn apply_undecodable() {
     let mut fold = Fold::new();
-    assert!(matches!(fold.apply(0, b"\xffnoise"), Applied::Skipped(_)));
+    assert!(matches!(
+        fold.apply(0, b"\xffnoise"),
+        RecordOutcome::Skipped(_)
+    ));
     assert_eq!(fold.head(), 1);
     assert_eq!(apply(&mut fold, edit("a", "s x", 0, "k = 1")), accepted(1));
 }
@@ -93,7 +96,7 @@
     let checkpoint = LogRecord::Checkpoint(fold.checkpoint()).encode();
     apply(&mut fold, edit("b", "s y", 0, "k = 1"));
     let applied = fold.apply(2, &checkpoint);
-    assert_eq!(applied, Applied::CheckpointAgreed { as_of: 1 });
+    assert_eq!(applied, RecordOutcome::CheckpointMatches { as_of: 1 });
 }
 
 #[test]
@@ -103,9 +106,9 @@
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     let applied = fold.apply(1, &LogRecord::Checkpoint(other.checkpoint()).encode());
-    assert_eq!(applied, Applied::CheckpointDiffers { as_of: 1 });
+    assert_eq!(applied, RecordOutcome::CheckpointDiffers { as_of: 1 });
     assert!(fold.document().section("s z").is_none());
-    assert_eq!(fold.adopt(&other.checkpoint()), Adopted::Differs);
+    assert_eq!(fold.adopt(&other.checkpoint()), CheckpointOutcome::Differs);
 }
 
 #[test]
@@ -115,14 +118,17 @@
     let early = ahead.checkpoint();
     apply(&mut ahead, edit("b", "s x", 1, "k = 2"));
     let mut fresh = Fold::new();
-    assert_eq!(fresh.adopt(&ahead.checkpoint()), Adopted::Advanced);
+    assert_eq!(
+        fresh.adopt(&ahead.checkpoint()),
+        CheckpointOutcome::Advanced
+    );
     assert_eq!(fresh.digest(), ahead.digest());
     assert_eq!(fresh.outcome("a"), ahead.outcome("a"));
-    assert_eq!(fresh.adopt(&early), Adopted::NotNewer);
+    assert_eq!(fresh.adopt(&early), CheckpointOutcome::NotNewer);
     assert_eq!(fresh.head(), 2);
     let mut altered = early;
     altered.as_of = 9;
-    assert_eq!(fresh.adopt(&altered), Adopted::Corrupt);
+    assert_eq!(fresh.adopt(&altered), CheckpointOutcome::Corrupt);
 }
 
 #[test]
@@ -144,7 +150,7 @@
         .collect();
     let as_of = MAX_EDIT_ENTRIES as u64;
     let full = Checkpoint::seal(as_of, fold.document(), &checkpoint.edits);
-    assert_eq!(fold.adopt(&full), Adopted::Advanced);
+    assert_eq!(fold.adopt(&full), CheckpointOutcome::Advanced);
     apply(&mut fold, edit("last", "s x", 1, "k = 2"));
     assert!(fold.outcome("id-0").is_none());
     assert!(fold.outcome("id-1").is_some());
@@ -152,6 +158,6 @@
     let late = apply(&mut fold, edit("id-0", "s x", 0, "k = 1"));
     assert!(matches!(
         late,
-        Applied::Decided(EditOutcome::Conflict { .. })
+        RecordOutcome::Decided(EditOutcome::Conflict { .. })
     ));
 }
--- a/tests/document/follow.rs
+++ b/tests/document/follow.rs
@@ -1,26 +1,26 @@
 use crate::support::edit;
 use bergamotfork::document::LogRecord;
+use bergamotfork::document::follow::ConfigUpdate;
 use bergamotfork::document::follow::Follower;
-use bergamotfork::document::follow::LogDuty;
 use bergamotfork::document::follow::LogPage;
 use bergamotfork::document::follow::LogReader;
-use bergamotfork::document::follow::LoggedRecord;
+use bergamotfork::document::follow::LogSchedule;
 use bergamotfork::document::follow::Notice;
-use bergamotfork::document::follow::Update;
+use bergamotfork::document::follow::RawLogRecord;
 use bergamotfork::document::follow::log_rank;
 
 const RETENTION_MS: u64 = 64_000;
 
-fn record(offset: u64) -> LoggedRecord {
+fn record(offset: u64) -> RawLogRecord {
     let id = format!("id-{offset}");
     let name = format!("service s{offset}");
-    LoggedRecord {
+    RawLogRecord {
         offset,
         bytes: LogRecord::Edit(edit(&id, &name, 0, "timeout_ms = 5")).encode(),
     }
 }
 
-fn page(earliest: u64, records: Vec<LoggedRecord>) -> LogPage {
+fn page(earliest: u64, records: Vec<RawLogRecord>) -> LogPage {
     let next = records.last().map_or(earliest, |last| last.offset + 1);
     LogPage {
         earliest,
@@ -35,8 +35,8 @@
     follower
 }
 
-fn checkpoint_of(follower: &Follower, offset: u64) -> LoggedRecord {
-    LoggedRecord {
+fn checkpoint_of(follower: &Follower, offset: u64) -> RawLogRecord {
+    RawLogRecord {
         offset,
         bytes: LogRecord::Checkpoint(follower.fold().checkpoint()).encode(),
     }
@@ -99,7 +99,7 @@
     let checkpoint = checkpoint_of(&entry, 2);
     entry.log_page(0, 0, &page(0, vec![checkpoint, record(3)]));
     let answer = entry.answer(0, 1);
-    let Update::Records(records) = &answer.update else {
+    let ConfigUpdate::Records(records) = &answer.update else {
         panic!("the records are recent");
     };
     assert_eq!(records.len(), 3);
@@ -119,7 +119,7 @@
         0,
         &page(
             0,
-            vec![LoggedRecord {
+            vec![RawLogRecord {
                 offset: 0,
                 bytes: vec![9],
             }],
@@ -152,7 +152,7 @@
 fn follower_contested_checkpoints() {
     let entry = read(0, 5);
     let mut other = Follower::new(0);
-    let foreign = (0..5).map(|offset| LoggedRecord {
+    let foreign = (0..5).map(|offset| RawLogRecord {
         offset,
         bytes: vec![9],
     });
@@ -166,7 +166,7 @@
         checkpoint_of(&earlier, 7),
     ];
     let notices = fresh.log_page(0, 0, &page(4, kept));
-    let contested = Notice::CheckpointsContested { as_of: 5 };
+    let contested = Notice::ConflictingCheckpoints { as_of: 5 };
     assert_eq!(notices, [contested, Notice::Advanced { head: 4 }]);
 }
 
@@ -200,7 +200,7 @@
 
 #[test]
 fn log_duty_takes_over_by_rank() {
-    let duty = |rank| LogDuty {
+    let duty = |rank| LogSchedule {
         rank,
         retention_ms: RETENTION_MS,
     };
--- a/tests/document/properties.rs
+++ b/tests/document/properties.rs
@@ -2,11 +2,11 @@
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
 
-use bergamotfork::document::Applied;
 use bergamotfork::document::Edit;
 use bergamotfork::document::EditOutcome;
 use bergamotfork::document::Fold;
 use bergamotfork::document::LogRecord;
+use bergamotfork::document::RecordOutcome;
 
 /// Draws one record: an edit, a checkpoint of some prefix, or noise.
 fn record(u: &mut Unstructured<'_>, prefixes: &[Fold]) -> arbitrary::Result<Vec<u8>> {
@@ -96,7 +96,7 @@
         let mut chain: Vec<(String, u64)> = Vec::new();
         for (offset, bytes) in records.iter().enumerate() {
             let applied = fold.apply(offset as u64, bytes);
-            let Applied::Decided(EditOutcome::Accepted { revision, .. }) = applied else {
+            let RecordOutcome::Decided(EditOutcome::Accepted { revision, .. }) = applied else {
                 continue;
             };
             let Ok(LogRecord::Edit(edit)) = LogRecord::decode(bytes) else {
--- a/tests/document/records.rs
+++ b/tests/document/records.rs
@@ -35,7 +35,7 @@
     for name in ["", " model", "model\nchat", "model]"] {
         let name = LogRecord::Edit(edit("a", name, 0, ""));
         let name = LogRecord::decode(&name.encode());
-        assert!(matches!(name, Err(DocumentError::InvalidWord { .. })));
+        assert!(matches!(name, Err(DocumentError::InvalidIdentifier { .. })));
     }
 }
 
--- a/tests/document/support.rs
+++ b/tests/document/support.rs
@@ -1,7 +1,7 @@
-use bergamotfork::document::Applied;
 use bergamotfork::document::Edit;
 use bergamotfork::document::Fold;
 use bergamotfork::document::LogRecord;
+use bergamotfork::document::RecordOutcome;
 use bergamotfork::weights::Digest;
 
 pub fn edit(edit_id: &str, section: &str, base_revision: u64, body: &str) -> Edit {
@@ -22,7 +22,7 @@
 }
 
 /// Applies `edit` as the next record.
-pub fn apply(fold: &mut Fold, edit: Edit) -> Applied {
+pub fn apply(fold: &mut Fold, edit: Edit) -> RecordOutcome {
     fold.apply(fold.head(), &LogRecord::Edit(edit).encode())
 }
 
--- a/tests/spec_config/node.rs
+++ b/tests/spec_config/node.rs
@@ -8,10 +8,10 @@
 use bergamotfork::document::Edit;
 use bergamotfork::document::Fold;
 use bergamotfork::document::LogRecord;
+use bergamotfork::document::follow::ConfigUpdate;
 use bergamotfork::document::follow::Follower;
 use bergamotfork::document::follow::LogPage;
-use bergamotfork::document::follow::LoggedRecord;
-use bergamotfork::document::follow::Update;
+use bergamotfork::document::follow::RawLogRecord;
 
 /// Sort key of a node that does not depend on the names of the others.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -87,7 +87,7 @@
             .map(|(offset, record)| (offset as u64, record))
             .skip_while(|(offset, _)| *offset < from)
             .take(count)
-            .map(|(offset, record)| LoggedRecord {
+            .map(|(offset, record)| RawLogRecord {
                 offset,
                 bytes: weakened(record, offset, follower.fold(), rules),
             })
@@ -119,8 +119,8 @@
             return;
         }
         // A checkpoint, so that adopting is explored; its effect equals the records'.
-        if answer.update != Update::None {
-            answer.update = Update::Checkpoint(Box::new(checkpoint));
+        if answer.update != ConfigUpdate::None {
+            answer.update = ConfigUpdate::Checkpoint(Box::new(checkpoint));
         }
         answer.mark.is_voter |= !rules.voters_only;
         let is_after = peer.confirmed_after >> own & 1 == 1;
@@ -190,7 +190,7 @@
     answer.mark.head = checkpoint.as_of;
     answer.mark.digest = checkpoint.digest;
     answer.mark.is_voter = follower.is_voter();
-    answer.update = Update::Checkpoint(Box::new(checkpoint.clone()));
+    answer.update = ConfigUpdate::Checkpoint(Box::new(checkpoint.clone()));
     moved.peer_answer(NOW_MS, NOW_MS, "self", 1, &answer);
     moved
 }
