--- a/src/document/branch_section.rs
+++ b/src/document/branch_section.rs
@@ -43,20 +43,20 @@
     pub(super) fn parse(section: &Section) -> Result<Self, Vec<SectionFault>> {
         let mut reader = SectionReader::new(section, &Self::KEYS)?;
         let share_percent = reader.required_number("share_percent", 0..=100);
-        let burst_percent = reader.number("burst_percent", 0..=100, 100);
+        let burst_percent = reader.number_or("burst_percent", 0..=100, 100);
         if burst_percent < share_percent {
             let allowed = format!("at least share_percent ({share_percent})");
-            reader.invalid("burst_percent", burst_percent.to_string(), &allowed);
+            reader.add_invalid_value("burst_percent", burst_percent.to_string(), &allowed);
         }
         let branch = Self {
             name: section.label().to_owned(),
-            token_digest: reader.digest("token_digest"),
-            weight: reader.number("weight", 1..=MAX_WEIGHT, DEFAULT_WEIGHT),
+            token_digest: reader.required_digest("token_digest"),
+            weight: reader.number_or("weight", 1..=MAX_WEIGHT, DEFAULT_WEIGHT),
             share_percent,
             burst_percent,
             models: reader.list("models"),
             services: reader.list("services"),
         };
-        reader.finish(branch)
+        reader.into_result(branch)
     }
 }
--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -69,7 +69,7 @@
         let services = branch.services.iter();
         let services = services.map(|service| ("services", format!("service {service}")));
         for (key, named) in models.chain(services) {
-            faults.extend(dangling(
+            faults.extend(dangling_reference(
                 document,
                 format!("branch {}", branch.name),
                 key,
@@ -80,7 +80,7 @@
     for model in document.models() {
         if let Some(base) = &model.base {
             let named = format!("model {base}");
-            faults.extend(dangling(
+            faults.extend(dangling_reference(
                 document,
                 format!("model {}", model.name),
                 "base",
@@ -91,7 +91,7 @@
     faults
 }
 
-fn dangling(
+fn dangling_reference(
     document: &Document,
     section: String,
     key: &str,
--- a/src/document/checkpoint.rs
+++ b/src/document/checkpoint.rs
@@ -25,7 +25,7 @@
 
 impl Checkpoint {
     /// A checkpoint with the digest of its contents.
-    pub fn seal(as_of: u64, document: &Document, edits: &[EditEntry]) -> Self {
+    pub fn new(as_of: u64, document: &Document, edits: &[EditEntry]) -> Self {
         Self {
             as_of,
             digest: state_digest(as_of, document, edits),
--- a/src/document/document.rs
+++ b/src/document/document.rs
@@ -51,40 +51,40 @@
 
     /// Models whose section is valid, ascending by name.
     pub fn models(&self) -> Vec<ModelSection> {
-        self.of_kind(ModelSection::KIND)
+        self.sections_of_kind(ModelSection::KIND)
             .filter_map(|section| ModelSection::parse(section).ok())
             .collect()
     }
 
     /// The model called `label`, if its section is valid.
     pub fn model(&self, label: &str) -> Option<ModelSection> {
-        let section = self.labelled(ModelSection::KIND, label)?;
+        let section = self.section_of_kind(ModelSection::KIND, label)?;
         ModelSection::parse(section).ok()
     }
 
     /// Branches whose section is valid, ascending by name.
     pub fn branches(&self) -> Vec<BranchSection> {
-        self.of_kind(BranchSection::KIND)
+        self.sections_of_kind(BranchSection::KIND)
             .filter_map(|section| BranchSection::parse(section).ok())
             .collect()
     }
 
     /// The branch called `label`, if its section is valid.
     pub fn branch(&self, label: &str) -> Option<BranchSection> {
-        let section = self.labelled(BranchSection::KIND, label)?;
+        let section = self.section_of_kind(BranchSection::KIND, label)?;
         BranchSection::parse(section).ok()
     }
 
     /// Services whose section is valid, ascending by name.
     pub fn services(&self) -> Vec<ServiceSection> {
-        self.of_kind(ServiceSection::KIND)
+        self.sections_of_kind(ServiceSection::KIND)
             .filter_map(|section| ServiceSection::parse(section).ok())
             .collect()
     }
 
     /// The service called `label`, if its section is valid.
     pub fn service(&self, label: &str) -> Option<ServiceSection> {
-        let section = self.labelled(ServiceSection::KIND, label)?;
+        let section = self.section_of_kind(ServiceSection::KIND, label)?;
         ServiceSection::parse(section).ok()
     }
 
@@ -96,7 +96,7 @@
             .sum()
     }
 
-    pub(super) fn put(&mut self, section: Section) {
+    pub(super) fn insert_section(&mut self, section: Section) {
         if let Ok(index) = self.tombstone_index(&section.name) {
             self.tombstones.remove(index);
         }
@@ -106,7 +106,7 @@
         }
     }
 
-    pub(super) fn delete(&mut self, name: &str, revision: u64) {
+    pub(super) fn delete_section(&mut self, name: &str, revision: u64) {
         if let Ok(index) = self.section_index(name) {
             self.sections.remove(index);
         }
@@ -118,10 +118,10 @@
             Ok(index) => self.tombstones[index] = tombstone,
             Err(index) => self.tombstones.insert(index, tombstone),
         }
-        self.forget_oldest_tombstone();
+        self.remove_oldest_tombstone();
     }
 
-    fn forget_oldest_tombstone(&mut self) {
+    fn remove_oldest_tombstone(&mut self) {
         if self.tombstones.len() <= MAX_TOMBSTONES {
             return;
         }
@@ -129,13 +129,13 @@
         self.tombstones.retain(|t| Some(t.revision) != oldest);
     }
 
-    fn of_kind(&self, kind: &'static str) -> impl Iterator<Item = &Section> {
+    fn sections_of_kind(&self, kind: &'static str) -> impl Iterator<Item = &Section> {
         self.sections
             .iter()
             .filter(move |section| section.kind() == kind)
     }
 
-    fn labelled(&self, kind: &str, label: &str) -> Option<&Section> {
+    fn section_of_kind(&self, kind: &str, label: &str) -> Option<&Section> {
         self.section(&format!("{kind} {label}"))
     }
 
--- a/src/document/edit.rs
+++ b/src/document/edit.rs
@@ -32,9 +32,9 @@
     ///
     /// Returns [`DocumentError`] when an id or the body cannot be part of a document.
     pub fn check_structure(&self) -> Result<(), DocumentError> {
-        check_word("edit id", &self.edit_id, MAX_ID_BYTES)?;
-        check_word("team", &self.team, MAX_ID_BYTES)?;
-        check_word("section", &self.section, MAX_SECTION_NAME_BYTES)?;
+        check_identifier("edit id", &self.edit_id, MAX_ID_BYTES)?;
+        check_identifier("team", &self.team, MAX_ID_BYTES)?;
+        check_identifier("section", &self.section, MAX_SECTION_NAME_BYTES)?;
         let body = self.body.as_deref().unwrap_or_default();
         match body.lines().find(|line| line.trim_start().starts_with('[')) {
             Some(line) => Err(DocumentError::HeaderInBody {
@@ -58,14 +58,18 @@
     }
 }
 
-fn check_word(what: &'static str, word: &str, max_bytes: usize) -> Result<(), DocumentError> {
-    let printable = word
+fn check_identifier(
+    field: &'static str,
+    value: &str,
+    max_bytes: usize,
+) -> Result<(), DocumentError> {
+    let printable = value
         .chars()
         .all(|c| !c.is_control() && c != '[' && c != ']');
-    if word.is_empty() || word.len() > max_bytes || !printable || word.trim() != word {
+    if value.is_empty() || value.len() > max_bytes || !printable || value.trim() != value {
         return Err(DocumentError::InvalidIdentifier {
-            what,
-            word: word.to_owned(),
+            field,
+            value: value.to_owned(),
         });
     }
     Ok(())
--- a/src/document/errors.rs
+++ b/src/document/errors.rs
@@ -18,9 +18,9 @@
     /// An id, team or section name is empty, too long or holds control characters or brackets.
     InvalidIdentifier {
         /// Which field.
-        what: &'static str,
+        field: &'static str,
         /// Its value.
-        word: String,
+        value: String,
     },
     /// A body holds a section header.
     HeaderInBody {
@@ -40,7 +40,9 @@
             Self::Empty => write!(f, "the record is empty"),
             Self::UnknownVersion { version } => write!(f, "record version {version} is unknown"),
             Self::Undecodable { reason } => write!(f, "the record does not decode: {reason}"),
-            Self::InvalidIdentifier { what, word } => write!(f, "{word:?} is not a valid {what}"),
+            Self::InvalidIdentifier { field, value } => {
+                write!(f, "{value:?} is not a valid {field}")
+            }
             Self::HeaderInBody { line } => {
                 write!(f, "a body cannot hold the section header {line:?}")
             }
--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -57,7 +57,7 @@
         }
         let applied = match LogRecord::decode(bytes) {
             Ok(LogRecord::Edit(edit)) => self.apply_edit(offset, edit),
-            Ok(LogRecord::Checkpoint(checkpoint)) => self.compare(&checkpoint),
+            Ok(LogRecord::Checkpoint(checkpoint)) => self.verify_checkpoint(&checkpoint),
             Err(error) => RecordOutcome::Skipped(error),
         };
         self.advance_to(offset + 1);
@@ -85,13 +85,13 @@
     }
 
     /// How the edit called `edit_id` was decided, if it is remembered.
-    pub fn outcome(&self, edit_id: &str) -> Option<&EditOutcome> {
-        self.entry(edit_id).map(|entry| &entry.outcome)
+    pub fn edit_outcome(&self, edit_id: &str) -> Option<&EditOutcome> {
+        self.edit_entry(edit_id).map(|entry| &entry.outcome)
     }
 
     /// The remembered edit called `edit_id`.
-    pub fn entry(&self, edit_id: &str) -> Option<&EditEntry> {
-        let index = self.id_index(edit_id).ok()?;
+    pub fn edit_entry(&self, edit_id: &str) -> Option<&EditEntry> {
+        let index = self.index_of_id(edit_id).ok()?;
         let offset = self.offset_by_id[index].1;
         let index = self
             .edits
@@ -106,22 +106,22 @@
 
     /// The digest this fold had at `offset`, if it is remembered.
     pub fn digest_at(&self, offset: u64) -> Option<Digest> {
-        self.past_digests.at(offset)
+        self.past_digests.digest_at(offset)
     }
 
     /// The state at the head.
     pub fn checkpoint(&self) -> Checkpoint {
         let edits: Vec<EditEntry> = self.edits.iter().cloned().collect();
-        Checkpoint::seal(self.head, &self.document, &edits)
+        Checkpoint::new(self.head, &self.document, &edits)
     }
 
     /// Moves forward to a checkpoint; never moves back.
-    pub fn adopt(&mut self, checkpoint: &Checkpoint) -> CheckpointOutcome {
+    pub fn apply_checkpoint(&mut self, checkpoint: &Checkpoint) -> CheckpointOutcome {
         if checkpoint.check_digest().is_err() {
             return CheckpointOutcome::Corrupt;
         }
         if checkpoint.as_of <= self.head {
-            let known = self.past_digests.at(checkpoint.as_of);
+            let known = self.past_digests.digest_at(checkpoint.as_of);
             let differs = known.is_some_and(|digest| digest != checkpoint.digest);
             return if differs {
                 CheckpointOutcome::Differs
@@ -139,7 +139,7 @@
     }
 
     fn apply_edit(&mut self, offset: u64, edit: Edit) -> RecordOutcome {
-        if let Some(outcome) = self.outcome(&edit.edit_id) {
+        if let Some(outcome) = self.edit_outcome(&edit.edit_id) {
             return RecordOutcome::Repeated(*outcome);
         }
         let current = self.document.revision(&edit.section);
@@ -153,31 +153,31 @@
                 revision: current,
             }
         };
-        self.remember(&edit, outcome);
+        self.store_edit_entry(&edit, outcome);
         if accepted {
-            self.change(offset + 1, edit);
+            self.change_document(offset + 1, edit);
         }
         RecordOutcome::Decided(outcome)
     }
 
-    fn change(&mut self, revision: u64, edit: Edit) {
+    fn change_document(&mut self, revision: u64, edit: Edit) {
         let document = Arc::make_mut(&mut self.document);
         match edit.body {
-            Some(body) => document.put(Section {
+            Some(body) => document.insert_section(Section {
                 name: edit.section,
                 team: edit.team,
                 revision,
                 body,
             }),
-            None => document.delete(&edit.section, revision),
+            None => document.delete_section(&edit.section, revision),
         }
     }
 
-    fn remember(&mut self, edit: &Edit, outcome: EditOutcome) {
+    fn store_edit_entry(&mut self, edit: &Edit, outcome: EditOutcome) {
         if self.edits.len() == MAX_EDIT_ENTRIES {
-            self.forget_oldest();
+            self.remove_oldest_edit_entry();
         }
-        if let Err(index) = self.id_index(&edit.edit_id) {
+        if let Err(index) = self.index_of_id(&edit.edit_id) {
             let id = (edit.edit_id.clone(), outcome.offset());
             self.offset_by_id.insert(index, id);
         }
@@ -191,18 +191,18 @@
         });
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest_edit_entry(&mut self) {
         let Some(oldest) = self.edits.pop_front() else {
             return;
         };
-        if let Ok(index) = self.id_index(&oldest.edit_id) {
+        if let Ok(index) = self.index_of_id(&oldest.edit_id) {
             self.offset_by_id.remove(index);
         }
     }
 
-    fn compare(&self, checkpoint: &Checkpoint) -> RecordOutcome {
+    fn verify_checkpoint(&self, checkpoint: &Checkpoint) -> RecordOutcome {
         let as_of = checkpoint.as_of;
-        match self.past_digests.at(as_of) {
+        match self.past_digests.digest_at(as_of) {
             Some(digest) if digest == checkpoint.digest => {
                 RecordOutcome::CheckpointMatches { as_of }
             }
@@ -217,7 +217,7 @@
         self.past_digests.push(head, self.digest);
     }
 
-    fn id_index(&self, edit_id: &str) -> Result<usize, usize> {
+    fn index_of_id(&self, edit_id: &str) -> Result<usize, usize> {
         self.offset_by_id
             .binary_search_by(|(id, _)| id.as_str().cmp(edit_id))
     }
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -212,7 +212,7 @@
     fn adopt(&mut self, checkpoint: &Checkpoint) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
-        match self.fold.adopt(checkpoint) {
+        match self.fold.apply_checkpoint(checkpoint) {
             CheckpointOutcome::Advanced => self.recent.clear(),
             CheckpointOutcome::NotNewer => {}
             CheckpointOutcome::Differs | CheckpointOutcome::Corrupt => {
--- a/src/document/follow/recent_records.rs
+++ b/src/document/follow/recent_records.rs
@@ -27,7 +27,7 @@
         self.size_bytes += bytes.len();
         self.records.push_back(RawLogRecord { offset, bytes });
         while self.size_bytes > MAX_RECENT_BYTES || self.records.len() > MAX_RECENT_RECORDS {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
@@ -43,7 +43,7 @@
         Some(self.records.iter().skip(skip).cloned().collect())
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some(oldest) = self.records.pop_front() {
             self.size_bytes -= oldest.bytes.len();
         }
--- a/src/document/key_change.rs
+++ b/src/document/key_change.rs
@@ -17,8 +17,8 @@
 impl KeyChange {
     /// Keys that differ between two bodies, in the order they stand; `None` if one is not INI.
     pub fn between(before: &str, after: &str) -> Option<Vec<Self>> {
-        let before = values(before)?;
-        let after = values(after)?;
+        let before = key_values(before)?;
+        let after = key_values(after)?;
         let find = |values: &[(String, String)], key: &str| {
             let found = values.iter().find(|(other, _)| other == key);
             found.map(|(_, value)| value.clone())
@@ -37,7 +37,7 @@
     }
 }
 
-fn values(body: &str) -> Option<Vec<(String, String)>> {
+fn key_values(body: &str) -> Option<Vec<(String, String)>> {
     let ini = parse_body(body).ok()?;
     let pairs = ini.general_section().iter();
     Some(
--- a/src/document/model_section.rs
+++ b/src/document/model_section.rs
@@ -32,15 +32,15 @@
         let mut reader = SectionReader::new(section, &Self::KEYS)?;
         let model = Self {
             name: section.label().to_owned(),
-            version: reader.text("version"),
-            manifest: reader.digest("manifest"),
+            version: reader.required_text("version"),
+            manifest: reader.required_digest("manifest"),
             replicas: reader.required_number("replicas", 0..=MAX_REPLICAS),
-            step_replicas: reader.number("step_replicas", 1..=MAX_REPLICAS, 1),
+            step_replicas: reader.number_or("step_replicas", 1..=MAX_REPLICAS, 1),
             base: reader.optional_text("base"),
         };
         if model.base.as_ref() == Some(&model.name) {
-            reader.invalid("base", model.name.clone(), "the name of another model");
+            reader.add_invalid_value("base", model.name.clone(), "the name of another model");
         }
-        reader.finish(model)
+        reader.into_result(model)
     }
 }
--- a/src/document/past_digests.rs
+++ b/src/document/past_digests.rs
@@ -21,7 +21,7 @@
     }
 
     /// The digest at `offset`, if it is remembered.
-    pub fn at(&self, offset: u64) -> Option<Digest> {
+    pub fn digest_at(&self, offset: u64) -> Option<Digest> {
         let index = self
             .digests
             .binary_search_by_key(&offset, |(offset, _)| *offset);
--- a/src/document/section_reader.rs
+++ b/src/document/section_reader.rs
@@ -36,16 +36,16 @@
     }
 
     /// A required text.
-    pub fn text(&mut self, key: &str) -> String {
+    pub fn required_text(&mut self, key: &str) -> String {
         match self.properties.get(key) {
             Some(value) if !value.is_empty() => value.to_owned(),
             Some(value) => {
                 let value = value.to_owned();
-                self.invalid(key, value, "a text");
+                self.add_invalid_value(key, value, "a text");
                 String::new()
             }
             None => {
-                self.fault(key, FaultReason::MissingKey);
+                self.add_fault(key, FaultReason::MissingKey);
                 String::new()
             }
         }
@@ -58,20 +58,20 @@
     }
 
     /// A required digest.
-    pub fn digest(&mut self, key: &str) -> Digest {
+    pub fn required_digest(&mut self, key: &str) -> Digest {
         let missing = Digest::of(&[]);
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
-            self.fault(key, FaultReason::MissingKey);
+            self.add_fault(key, FaultReason::MissingKey);
             return missing;
         };
         value.parse().unwrap_or_else(|_| {
-            self.invalid(key, value, "a digest of 64 hexadecimal digits");
+            self.add_invalid_value(key, value, "a digest of 64 hexadecimal digits");
             missing
         })
     }
 
     /// A number in `range`, or `default` when the key is absent.
-    pub fn number(&mut self, key: &str, range: RangeInclusive<u32>, default: u32) -> u32 {
+    pub fn number_or(&mut self, key: &str, range: RangeInclusive<u32>, default: u32) -> u32 {
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
             return default;
         };
@@ -79,7 +79,7 @@
             Ok(number) if range.contains(&number) => number,
             _ => {
                 let allowed = format!("a number from {} to {}", range.start(), range.end());
-                self.invalid(key, value, &allowed);
+                self.add_invalid_value(key, value, &allowed);
                 default
             }
         }
@@ -88,10 +88,10 @@
     /// A number in `range` that must be given.
     pub fn required_number(&mut self, key: &str, range: RangeInclusive<u32>) -> u32 {
         if self.properties.get(key).is_none() {
-            self.fault(key, FaultReason::MissingKey);
+            self.add_fault(key, FaultReason::MissingKey);
         }
         let default = *range.start();
-        self.number(key, range, default)
+        self.number_or(key, range, default)
     }
 
     /// A list separated by commas; empty when the key is absent.
@@ -106,13 +106,13 @@
     }
 
     /// Adds a fault of a value.
-    pub fn invalid(&mut self, key: &str, value: String, allowed: &str) {
+    pub fn add_invalid_value(&mut self, key: &str, value: String, allowed: &str) {
         let allowed = allowed.to_owned();
-        self.fault(key, FaultReason::InvalidValue { value, allowed });
+        self.add_fault(key, FaultReason::InvalidValue { value, allowed });
     }
 
     /// `value`, unless a fault was found.
-    pub fn finish<T>(self, value: T) -> Result<T, Vec<SectionFault>> {
+    pub fn into_result<T>(self, value: T) -> Result<T, Vec<SectionFault>> {
         if self.faults.is_empty() {
             return Ok(value);
         }
@@ -128,16 +128,16 @@
             .collect();
         for key in keys {
             if seen.contains(&key) {
-                self.fault(&key, FaultReason::RepeatedKey);
+                self.add_fault(&key, FaultReason::RepeatedKey);
             } else if !known.contains(&key.as_str()) {
                 let known = known.iter().map(|key| (*key).to_owned()).collect();
-                self.fault(&key, FaultReason::UnknownKey { known });
+                self.add_fault(&key, FaultReason::UnknownKey { known });
             }
             seen.push(key);
         }
     }
 
-    fn fault(&mut self, key: &str, reason: FaultReason) {
+    fn add_fault(&mut self, key: &str, reason: FaultReason) {
         self.faults.push(SectionFault {
             section: self.section.name.clone(),
             key: Some(key.to_owned()),
--- a/src/document/service_section.rs
+++ b/src/document/service_section.rs
@@ -26,12 +26,12 @@
 
     pub(super) fn parse(section: &Section) -> Result<Self, Vec<SectionFault>> {
         let mut reader = SectionReader::new(section, &Self::KEYS)?;
-        let timeout_ms = reader.number("timeout_ms", 1..=MAX_TIMEOUT_MS, DEFAULT_TIMEOUT_MS);
+        let timeout_ms = reader.number_or("timeout_ms", 1..=MAX_TIMEOUT_MS, DEFAULT_TIMEOUT_MS);
         let service = Self {
             name: section.label().to_owned(),
             idempotent: reader.list("idempotent"),
             timeout_ms: u64::from(timeout_ms),
         };
-        reader.finish(service)
+        reader.into_result(service)
     }
 }
--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -105,7 +105,7 @@
 /// The outcome of an edit that was sent before.
 fn known_outcome(state: &EntryState, edit: &Edit) -> Result<Option<EditOutcome>, ApiError> {
     let follower = state.node.follower();
-    let Some(entry) = follower.fold().entry(&edit.edit_id) else {
+    let Some(entry) = follower.fold().edit_entry(&edit.edit_id) else {
         return Ok(None);
     };
     if entry.fingerprint == edit.fingerprint() {
@@ -167,7 +167,7 @@
 /// Reads the log until the fold shows the edit.
 async fn learn(state: &EntryState, edit_id: &str, until_ms: u64) -> Option<EditOutcome> {
     loop {
-        let known = state.node.follower().fold().outcome(edit_id).copied();
+        let known = state.node.follower().fold().edit_outcome(edit_id).copied();
         if known.is_some() || state.node.now_ms() >= until_ms {
             return known;
         }
--- a/tests/config_faults/race.rs
+++ b/tests/config_faults/race.rs
@@ -67,7 +67,7 @@
     for edit in &observed {
         let accepted = matches!(edit.told, Told::Accepted { .. });
         // A sure loser is refused without a record.
-        let decided = fold.outcome(&edit.edit_id).map(|o| o.is_accepted());
+        let decided = fold.edit_outcome(&edit.edit_id).map(|o| o.is_accepted());
         assert_eq!(decided.unwrap_or(false), accepted, "{edit:?}");
     }
     until_in_force(cluster, &entries[0], fold.head(), 3).await;
--- a/tests/document/fold.rs
+++ b/tests/document/fold.rs
@@ -39,7 +39,7 @@
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     apply(&mut fold, edit("b", "s x", 0, "k = 2"));
-    let first = *fold.outcome("a").expect("remembered");
+    let first = *fold.edit_outcome("a").expect("remembered");
     let again = apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     assert_eq!(again, RecordOutcome::Repeated(first));
     let again = apply(&mut fold, edit("b", "s x", 0, "k = 2"));
@@ -108,7 +108,10 @@
     let applied = fold.apply(1, &LogRecord::Checkpoint(other.checkpoint()).encode());
     assert_eq!(applied, RecordOutcome::CheckpointDiffers { as_of: 1 });
     assert!(fold.document().section("s z").is_none());
-    assert_eq!(fold.adopt(&other.checkpoint()), CheckpointOutcome::Differs);
+    assert_eq!(
+        fold.apply_checkpoint(&other.checkpoint()),
+        CheckpointOutcome::Differs
+    );
 }
 
 #[test]
@@ -119,16 +122,16 @@
     apply(&mut ahead, edit("b", "s x", 1, "k = 2"));
     let mut fresh = Fold::new();
     assert_eq!(
-        fresh.adopt(&ahead.checkpoint()),
+        fresh.apply_checkpoint(&ahead.checkpoint()),
         CheckpointOutcome::Advanced
     );
     assert_eq!(fresh.digest(), ahead.digest());
-    assert_eq!(fresh.outcome("a"), ahead.outcome("a"));
-    assert_eq!(fresh.adopt(&early), CheckpointOutcome::NotNewer);
+    assert_eq!(fresh.edit_outcome("a"), ahead.edit_outcome("a"));
+    assert_eq!(fresh.apply_checkpoint(&early), CheckpointOutcome::NotNewer);
     assert_eq!(fresh.head(), 2);
     let mut altered = early;
     altered.as_of = 9;
-    assert_eq!(fresh.adopt(&altered), CheckpointOutcome::Corrupt);
+    assert_eq!(fresh.apply_checkpoint(&altered), CheckpointOutcome::Corrupt);
 }
 
 #[test]
@@ -149,11 +152,11 @@
         })
         .collect();
     let as_of = MAX_EDIT_ENTRIES as u64;
-    let full = Checkpoint::seal(as_of, fold.document(), &checkpoint.edits);
-    assert_eq!(fold.adopt(&full), CheckpointOutcome::Advanced);
+    let full = Checkpoint::new(as_of, fold.document(), &checkpoint.edits);
+    assert_eq!(fold.apply_checkpoint(&full), CheckpointOutcome::Advanced);
     apply(&mut fold, edit("last", "s x", 1, "k = 2"));
-    assert!(fold.outcome("id-0").is_none());
-    assert!(fold.outcome("id-1").is_some());
+    assert!(fold.edit_outcome("id-0").is_none());
+    assert!(fold.edit_outcome("id-1").is_some());
     // The base revision refuses a record whose id is forgotten.
     let late = apply(&mut fold, edit("id-0", "s x", 0, "k = 1"));
     assert!(matches!(
--- a/tests/document/properties.rs
+++ b/tests/document/properties.rs
@@ -56,7 +56,7 @@
         let last = &prefixes[records.len()];
         let start = u.int_in_range(0..=records.len())?;
         let mut fold = Fold::new();
-        fold.adopt(&prefixes[start].checkpoint());
+        fold.apply_checkpoint(&prefixes[start].checkpoint());
         for (offset, bytes) in records.iter().enumerate().skip(start) {
             fold.apply(offset as u64, bytes);
         }
@@ -76,7 +76,7 @@
             let before = fold.head();
             let at = u.int_in_range(0..=records.len())?;
             if u.arbitrary()? {
-                fold.adopt(&prefixes[at].checkpoint());
+                fold.apply_checkpoint(&prefixes[at].checkpoint());
             } else if let Some(bytes) = records.get(at) {
                 fold.apply(at as u64, bytes);
             }
--- a/tests/spec_config/node.rs
+++ b/tests/spec_config/node.rs
@@ -180,7 +180,7 @@
 /// The state of `fold` under the name of another offset.
 fn moved(fold: &Fold, as_of: u64) -> Checkpoint {
     let edits: Vec<_> = fold.history().cloned().collect();
-    Checkpoint::seal(as_of, fold.document(), &edits)
+    Checkpoint::new(as_of, fold.document(), &edits)
 }
 
 /// A follower that stands at `checkpoint` whatever it held before.
