--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -270,7 +270,10 @@
     pub(super) fn report(&self, loads: &[Load]) {
         for state in &self.states {
             let now_ms = state.node.now_ms();
-            state.node.follower().log_page(now_ms, now_ms, &log_page());
+            state
+                .node
+                .follower()
+                .apply_log_page(now_ms, now_ms, &log_page());
             let running = self.members.iter().enumerate();
             for (number, member) in running.filter(|(_, member)| member.handle.is_some()) {
                 let report = Report {
--- a/src/document/follow/checkpoint_search.rs
+++ b/src/document/follow/checkpoint_search.rs
@@ -7,7 +7,7 @@
 pub struct CheckpointSearch {
     position: u64,
     found: Vec<Checkpoint>,
-    contested: Vec<u64>,
+    conflicting: Vec<u64>,
 }
 
 impl CheckpointSearch {
@@ -16,7 +16,7 @@
         Self {
             position: earliest,
             found: Vec::new(),
-            contested: Vec::new(),
+            conflicting: Vec::new(),
         }
     }
 
@@ -26,7 +26,7 @@
     }
 
     /// Looks at the records read.
-    pub fn look(&mut self, records: &[RawLogRecord]) {
+    pub fn add_records(&mut self, records: &[RawLogRecord]) {
         for record in records {
             self.position = self.position.max(record.offset + 1);
             if let Ok(LogRecord::Checkpoint(checkpoint)) = LogRecord::decode(&record.bytes) {
@@ -36,23 +36,23 @@
     }
 
     /// Offsets with two checkpoints that differ.
-    pub fn contested(&self) -> &[u64] {
-        &self.contested
+    pub fn conflicting(&self) -> &[u64] {
+        &self.conflicting
     }
 
     /// The latest uncontested checkpoint that no record is missing after.
-    pub fn best(&self, earliest: u64) -> Option<&Checkpoint> {
+    pub fn latest_usable(&self, earliest: u64) -> Option<&Checkpoint> {
         self.found
             .iter()
             .filter(|checkpoint| checkpoint.as_of >= earliest)
-            .filter(|checkpoint| !self.contested.contains(&checkpoint.as_of))
+            .filter(|checkpoint| !self.conflicting.contains(&checkpoint.as_of))
             .max_by_key(|checkpoint| checkpoint.as_of)
     }
 
     fn add(&mut self, checkpoint: Checkpoint) {
         let as_of = checkpoint.as_of;
         match self.found.iter().find(|other| other.as_of == as_of) {
-            Some(other) if other.digest != checkpoint.digest => self.contested.push(as_of),
+            Some(other) if other.digest != checkpoint.digest => self.conflicting.push(as_of),
             Some(_) => {}
             None => self.found.push(checkpoint),
         }
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -22,12 +22,12 @@
     fold: Fold,
     recent: RecentRecords,
     readiness: Readiness,
-    scan: Option<CheckpointSearch>,
+    search: Option<CheckpointSearch>,
     last_tick_ms: u64,
     // Answers to what was asked before this say nothing about the present.
-    awake_since_ms: u64,
-    confirmed_ms: Option<u64>,
-    checkpoint_seen_ms: u64,
+    resumed_ms: u64,
+    last_confirmed_ms: Option<u64>,
+    checkpoint_observed_ms: u64,
 }
 
 impl Follower {
@@ -36,12 +36,12 @@
         Self {
             fold: Fold::new(),
             recent: RecentRecords::default(),
-            readiness: Readiness::fresh(),
-            scan: None,
+            readiness: Readiness::started(),
+            search: None,
             last_tick_ms: now_ms,
-            awake_since_ms: now_ms,
-            confirmed_ms: None,
-            checkpoint_seen_ms: now_ms,
+            resumed_ms: now_ms,
+            last_confirmed_ms: None,
+            checkpoint_observed_ms: now_ms,
         }
     }
 
@@ -61,20 +61,20 @@
     }
 
     /// Offset to read the log from.
-    pub fn read_from(&self) -> u64 {
-        self.scan
+    pub fn next_read_offset(&self) -> u64 {
+        self.search
             .as_ref()
             .map_or(self.fold.head(), CheckpointSearch::position)
     }
 
     /// Time since the head was known to be the end of the log.
     pub fn confirmed_age_ms(&self, now_ms: u64) -> Option<u64> {
-        Some(now_ms.saturating_sub(self.confirmed_ms?))
+        Some(now_ms.saturating_sub(self.last_confirmed_ms?))
     }
 
     /// Time since a checkpoint was seen in the log, or since the start.
     pub fn checkpoint_age_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.checkpoint_seen_ms)
+        now_ms.saturating_sub(self.checkpoint_observed_ms)
     }
 
     /// Notes that the process runs; true if it was paused before.
@@ -82,14 +82,14 @@
         let paused = self.paused_since_tick(now_ms);
         self.last_tick_ms = now_ms;
         if paused {
-            self.awake_since_ms = now_ms;
-            self.readiness.wake();
+            self.resumed_ms = now_ms;
+            self.readiness.reset_after_pause();
         }
         paused
     }
 
     /// Takes in a page of the log that was asked for at `asked_ms`.
-    pub fn log_page(&mut self, now_ms: u64, asked_ms: u64, page: &LogPage) -> Vec<Notice> {
+    pub fn apply_log_page(&mut self, now_ms: u64, asked_ms: u64, page: &LogPage) -> Vec<Notice> {
         self.tick(now_ms);
         if page.next < self.fold.head() {
             return vec![Notice::LogWentBack {
@@ -98,21 +98,21 @@
             }];
         }
         if page.earliest > self.fold.head() {
-            return self.scan_page(page);
+            return self.search_page(page);
         }
-        self.scan = None;
-        let notices = self.apply(asked_ms, &page.records);
+        self.search = None;
+        let notices = self.apply_records(asked_ms, &page.records);
         if self.fold.head() == page.next {
-            self.confirm(asked_ms);
-            if asked_ms >= self.awake_since_ms {
-                self.readiness.log_confirmed();
+            self.record_confirmation(asked_ms);
+            if asked_ms >= self.resumed_ms {
+                self.readiness.confirm();
             }
         }
         notices
     }
 
     /// How far this process is.
-    pub fn mark(&self, now_ms: u64) -> PeerStatus {
+    pub fn status(&self, now_ms: u64) -> PeerStatus {
         PeerStatus {
             head: self.fold.head(),
             digest: self.fold.digest(),
@@ -122,7 +122,7 @@
     }
 
     /// What to answer a process whose head is `from`.
-    pub fn answer(&self, now_ms: u64, from: u64) -> PeerAnswer {
+    pub fn answer_peer(&self, now_ms: u64, from: u64) -> PeerAnswer {
         let update = if from >= self.fold.head() {
             ConfigUpdate::None
         } else if let Some(records) = self.recent.since(from) {
@@ -131,13 +131,13 @@
             ConfigUpdate::Checkpoint(Box::new(self.fold.checkpoint()))
         };
         PeerAnswer {
-            mark: self.mark(now_ms),
+            mark: self.status(now_ms),
             update,
         }
     }
 
     /// Takes in the answer of `peer`, asked at `asked_ms`, one of `listed` entries.
-    pub fn peer_answer(
+    pub fn apply_peer_answer(
         &mut self,
         now_ms: u64,
         asked_ms: u64,
@@ -148,8 +148,8 @@
         self.tick(now_ms);
         let mut notices = match &answer.update {
             ConfigUpdate::None => Vec::new(),
-            ConfigUpdate::Records(records) => self.apply(asked_ms, records),
-            ConfigUpdate::Checkpoint(checkpoint) => self.adopt(checkpoint),
+            ConfigUpdate::Records(records) => self.apply_records(asked_ms, records),
+            ConfigUpdate::Checkpoint(checkpoint) => self.apply_checkpoint(checkpoint),
         };
         if self.diverges_from(&answer.mark) {
             notices.push(Notice::Diverged {
@@ -159,7 +159,7 @@
         }
         // A question from the future was asked by another process.
         if self.fold.head() >= answer.mark.head && asked_ms <= now_ms {
-            self.trust(asked_ms, peer, listed, &answer.mark);
+            self.apply_peer_status(asked_ms, peer, listed, &answer.mark);
         }
         notices
     }
@@ -170,17 +170,17 @@
     }
 
     /// Draws on what a peer knows, once this process holds all that the peer holds.
-    fn trust(&mut self, asked_ms: u64, peer: &str, listed: usize, mark: &PeerStatus) {
+    fn apply_peer_status(&mut self, asked_ms: u64, peer: &str, listed: usize, mark: &PeerStatus) {
         if let Some(age_ms) = mark.confirmed_age_ms {
             let at_ms = asked_ms.saturating_sub(age_ms);
-            self.confirm(at_ms);
+            self.record_confirmation(at_ms);
             // The peer knows the end of the log as it was after this process woke.
-            if at_ms > self.awake_since_ms {
-                self.readiness.log_confirmed();
+            if at_ms > self.resumed_ms {
+                self.readiness.confirm();
             }
         }
-        if mark.is_voter && asked_ms >= self.awake_since_ms {
-            self.readiness.voter_answered(peer, listed);
+        if mark.is_voter && asked_ms >= self.resumed_ms {
+            self.readiness.record_voter(peer, listed);
         }
     }
 
@@ -188,7 +188,7 @@
         now_ms.saturating_sub(self.last_tick_ms) >= PAUSE_MS
     }
 
-    fn apply(&mut self, now_ms: u64, records: &[RawLogRecord]) -> Vec<Notice> {
+    fn apply_records(&mut self, now_ms: u64, records: &[RawLogRecord]) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
         for record in records {
@@ -201,15 +201,15 @@
             }
             self.recent.push(record.offset, &record.bytes);
             if matches!(applied, RecordOutcome::CheckpointMatches { .. }) {
-                self.checkpoint_seen_ms = now_ms;
+                self.checkpoint_observed_ms = now_ms;
             }
-            notices.extend(notice_of(record.offset, applied));
+            notices.extend(notice_for(record.offset, applied));
         }
-        self.note_advance(before, &mut notices);
+        self.push_advanced(before, &mut notices);
         notices
     }
 
-    fn adopt(&mut self, checkpoint: &Checkpoint) -> Vec<Notice> {
+    fn apply_checkpoint(&mut self, checkpoint: &Checkpoint) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
         match self.fold.apply_checkpoint(checkpoint) {
@@ -221,27 +221,27 @@
                 })
             }
         }
-        self.note_advance(before, &mut notices);
+        self.push_advanced(before, &mut notices);
         notices
     }
 
-    fn scan_page(&mut self, page: &LogPage) -> Vec<Notice> {
-        let mut scan = self
-            .scan
+    fn search_page(&mut self, page: &LogPage) -> Vec<Notice> {
+        let mut search = self
+            .search
             .take()
             .unwrap_or_else(|| CheckpointSearch::new(page.earliest));
-        scan.look(&page.records);
-        if scan.position() < page.next && !page.records.is_empty() {
-            self.scan = Some(scan);
+        search.add_records(&page.records);
+        if search.position() < page.next && !page.records.is_empty() {
+            self.search = Some(search);
             return Vec::new();
         }
-        let mut notices: Vec<Notice> = scan
-            .contested()
+        let mut notices: Vec<Notice> = search
+            .conflicting()
             .iter()
             .map(|as_of| Notice::ConflictingCheckpoints { as_of: *as_of })
             .collect();
-        match scan.best(page.earliest) {
-            Some(checkpoint) => notices.extend(self.adopt(checkpoint)),
+        match search.latest_usable(page.earliest) {
+            Some(checkpoint) => notices.extend(self.apply_checkpoint(checkpoint)),
             None => notices.push(Notice::Trimmed {
                 wanted: self.fold.head(),
                 earliest: page.earliest,
@@ -250,11 +250,11 @@
         notices
     }
 
-    fn confirm(&mut self, at_ms: u64) {
-        self.confirmed_ms = self.confirmed_ms.max(Some(at_ms));
+    fn record_confirmation(&mut self, at_ms: u64) {
+        self.last_confirmed_ms = self.last_confirmed_ms.max(Some(at_ms));
     }
 
-    fn note_advance(&self, before: u64, notices: &mut Vec<Notice>) {
+    fn push_advanced(&self, before: u64, notices: &mut Vec<Notice>) {
         let head = self.fold.head();
         if head > before {
             notices.push(Notice::Advanced { head });
@@ -262,7 +262,7 @@
     }
 }
 
-fn notice_of(offset: u64, applied: RecordOutcome) -> Option<Notice> {
+fn notice_for(offset: u64, applied: RecordOutcome) -> Option<Notice> {
     match applied {
         // A peer passes a checkpoint on as an empty record.
         RecordOutcome::Skipped(DocumentError::Empty) => None,
--- a/src/document/follow/log_schedule.rs
+++ b/src/document/follow/log_schedule.rs
@@ -2,10 +2,10 @@
 pub const PERMANENT_LOG_READERS: usize = 3;
 
 /// Time without confirmation after which the next entry reads the log too.
-const PATIENCE_MS: u64 = 3_000;
+const TAKEOVER_DELAY_MS: u64 = 3_000;
 
 /// Further time for each later rank.
-const RANK_STEP_MS: u64 = 1_000;
+const TAKEOVER_STEP_MS: u64 = 1_000;
 
 /// A checkpoint is due after this fraction of the retention.
 const CHECKPOINT_FRACTION: u64 = 8;
@@ -32,15 +32,15 @@
     let Some(own) = entries.iter().find(|entry| entry.name == name) else {
         return entries.len();
     };
-    let own = turn(own, entries);
+    let own_key = rank_key(own, entries);
     entries
         .iter()
-        .filter(|entry| turn(entry, entries) < own)
+        .filter(|entry| rank_key(entry, entries) < own_key)
         .count()
 }
 
 /// Position inside the failure domain, then name.
-fn turn<'a>(entry: &LogReader<'a>, entries: &[LogReader<'_>]) -> (usize, &'a str) {
+fn rank_key<'a>(entry: &LogReader<'a>, entries: &[LogReader<'_>]) -> (usize, &'a str) {
     let before = entries
         .iter()
         .filter(|other| (other.region, other.domain) == (entry.region, entry.domain))
@@ -60,19 +60,19 @@
 
 impl LogSchedule {
     /// Whether to read the log, `unconfirmed_ms` after the head was last confirmed.
-    pub fn reads(&self, unconfirmed_ms: u64) -> bool {
+    pub fn reads_log(&self, unconfirmed_ms: u64) -> bool {
         let Some(later) = self.rank.checked_sub(PERMANENT_LOG_READERS) else {
             return true;
         };
-        unconfirmed_ms >= PATIENCE_MS + later as u64 * RANK_STEP_MS
+        unconfirmed_ms >= TAKEOVER_DELAY_MS + later as u64 * TAKEOVER_STEP_MS
     }
 
-    /// Whether to publish a checkpoint, `unseen_ms` after the last one was seen.
-    pub fn publishes_checkpoint(&self, unseen_ms: u64) -> bool {
+    /// Whether to publish a checkpoint, `unobserved_ms` after the last one was seen.
+    pub fn publishes_checkpoint(&self, unobserved_ms: u64) -> bool {
         if self.rank >= CHECKPOINT_RANKS {
             return false;
         }
         let step_ms = self.retention_ms / CHECKPOINT_STEP_FRACTION;
-        unseen_ms >= self.retention_ms / CHECKPOINT_FRACTION + self.rank as u64 * step_ms
+        unobserved_ms >= self.retention_ms / CHECKPOINT_FRACTION + self.rank as u64 * step_ms
     }
 }
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -45,7 +45,7 @@
     let node = &state.node;
     node.metrics()
         .add(Tally::PlatformCalls, 1, "call", "log_read");
-    let from = node.follower().read_from();
+    let from = node.follower().next_read_offset();
     let asked_ms = node.now_ms();
     let slice = match state.log.read(from, READ_MAX, wait_ms).await {
         Ok(slice) => slice,
@@ -55,7 +55,9 @@
         }
     };
     let page = page_of(&slice);
-    let notices = node.follower().log_page(node.now_ms(), asked_ms, &page);
+    let notices = node
+        .follower()
+        .apply_log_page(node.now_ms(), asked_ms, &page);
     emit_notices(node, &notices);
     true
 }
--- a/src/entry/tailer.rs
+++ b/src/entry/tailer.rs
@@ -83,10 +83,10 @@
         let age_ms = follower.confirmed_age_ms(now_ms).unwrap_or(now_ms);
         (follower.admits(now_ms), age_ms)
     };
-    if admits && !duty.reads(unconfirmed_ms) {
+    if admits && !duty.reads_log(unconfirmed_ms) {
         return Step::Idle;
     }
-    let before = node.follower().read_from();
+    let before = node.follower().next_read_offset();
     let wait_ms = if admits {
         READ_WAIT_MS.min(duty.retention_ms / READ_WAIT_FRACTION)
     } else {
@@ -98,7 +98,7 @@
     publish_checkpoint(state, duty).await;
     // A read that brought nothing without a wait must not be repeated at once.
     let at_once = node.now_ms() - now_ms < IDLE_MS;
-    if at_once && node.follower().read_from() == before {
+    if at_once && node.follower().next_read_offset() == before {
         return Step::Idle;
     }
     Step::Read
--- a/src/node/config_request.rs
+++ b/src/node/config_request.rs
@@ -48,7 +48,7 @@
     let now_ms = node.now_ms();
     let notices = node
         .follower()
-        .peer_answer(now_ms, asked_ms, name, listed, answer);
+        .apply_peer_answer(now_ms, asked_ms, name, listed, answer);
     emit_notices(node, &notices);
 }
 
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -287,7 +287,7 @@
 
     /// What the process answers a peer that reported.
     pub fn report_answer(&self) -> ReportAnswer {
-        let mark = self.follower().mark(self.now_ms());
+        let mark = self.follower().status(self.now_ms());
         ReportAnswer {
             config: ConfigPosition {
                 offset: mark.head,
@@ -301,7 +301,7 @@
 
     /// What the process answers a peer whose head is `from`.
     pub fn config_answer(&self, from: u64) -> PeerAnswer {
-        let mut answer = self.follower().answer(self.now_ms(), from);
+        let mut answer = self.follower().answer_peer(self.now_ms(), from);
         answer.mark.is_voter &= self.process.role == HostRole::Entry;
         answer
     }
--- a/tests/document/follow.rs
+++ b/tests/document/follow.rs
@@ -31,7 +31,7 @@
 
 fn read(now_ms: u64, count: u64) -> Follower {
     let mut follower = Follower::new(now_ms);
-    follower.log_page(now_ms, now_ms, &page(0, (0..count).map(record).collect()));
+    follower.apply_log_page(now_ms, now_ms, &page(0, (0..count).map(record).collect()));
     follower
 }
 
@@ -48,9 +48,9 @@
     assert!(!follower.admits(0));
     let mut partial = page(0, vec![record(0)]);
     partial.next = 2;
-    follower.log_page(0, 0, &partial);
+    follower.apply_log_page(0, 0, &partial);
     assert!(!follower.admits(0));
-    follower.log_page(0, 0, &page(0, vec![record(0), record(1)]));
+    follower.apply_log_page(0, 0, &page(0, vec![record(0), record(1)]));
     assert!(follower.admits(0));
 }
 
@@ -59,12 +59,12 @@
     let entry = read(0, 3);
     let mut fresh = Follower::new(0);
     let unready = Follower::new(0);
-    fresh.peer_answer(0, 0, "e1", 3, &entry.answer(0, 0));
+    fresh.apply_peer_answer(0, 0, "e1", 3, &entry.answer_peer(0, 0));
     assert_eq!(fresh.fold().digest(), entry.fold().digest());
-    fresh.peer_answer(0, 0, "e1", 3, &entry.answer(0, 3));
-    fresh.peer_answer(0, 0, "e2", 3, &unready.answer(0, 3));
+    fresh.apply_peer_answer(0, 0, "e1", 3, &entry.answer_peer(0, 3));
+    fresh.apply_peer_answer(0, 0, "e2", 3, &unready.answer_peer(0, 3));
     assert!(!fresh.admits(0), "one voter of three answered");
-    fresh.peer_answer(0, 0, "e3", 3, &entry.answer(0, 3));
+    fresh.apply_peer_answer(0, 0, "e3", 3, &entry.answer_peer(0, 3));
     assert!(fresh.admits(0));
 }
 
@@ -77,9 +77,9 @@
     assert!(!follower.admits(60_000));
     assert!(follower.is_voter());
     // An answer to a question from before the pause is no confirmation.
-    follower.log_page(60_001, 100, &page(0, vec![record(0)]));
+    follower.apply_log_page(60_001, 100, &page(0, vec![record(0)]));
     assert!(!follower.admits(60_001));
-    follower.log_page(60_002, 60_001, &page(0, vec![record(0), record(1)]));
+    follower.apply_log_page(60_002, 60_001, &page(0, vec![record(0), record(1)]));
     assert!(follower.admits(60_002));
 }
 
@@ -87,9 +87,9 @@
 fn follower_answer_to_question_from_the_future() {
     let entry = read(0, 1);
     let mut fresh = Follower::new(0);
-    fresh.peer_answer(20, 5_000, "e1", 1, &entry.answer(0, 0));
+    fresh.apply_peer_answer(20, 5_000, "e1", 1, &entry.answer_peer(0, 0));
     assert!(!fresh.admits(20));
-    fresh.peer_answer(20, 15, "e1", 1, &entry.answer(0, 1));
+    fresh.apply_peer_answer(20, 15, "e1", 1, &entry.answer_peer(0, 1));
     assert!(fresh.admits(20));
 }
 
@@ -97,15 +97,15 @@
 fn follower_passes_records_on() {
     let mut entry = read(0, 2);
     let checkpoint = checkpoint_of(&entry, 2);
-    entry.log_page(0, 0, &page(0, vec![checkpoint, record(3)]));
-    let answer = entry.answer(0, 1);
+    entry.apply_log_page(0, 0, &page(0, vec![checkpoint, record(3)]));
+    let answer = entry.answer_peer(0, 1);
     let ConfigUpdate::Records(records) = &answer.update else {
         panic!("the records are recent");
     };
     assert_eq!(records.len(), 3);
     assert!(records[1].bytes.is_empty(), "a checkpoint travels empty");
     let mut other = read(0, 1);
-    let notices = other.peer_answer(0, 0, "e1", 1, &answer);
+    let notices = other.apply_peer_answer(0, 0, "e1", 1, &answer);
     assert_eq!(notices, [Notice::Advanced { head: 4 }]);
     assert_eq!(other.fold().digest(), entry.fold().digest());
 }
@@ -114,7 +114,7 @@
 fn follower_reports_divergence() {
     let mut follower = read(0, 1);
     let mut other = Follower::new(0);
-    other.log_page(
+    other.apply_log_page(
         0,
         0,
         &page(
@@ -125,7 +125,7 @@
             }],
         ),
     );
-    let notices = follower.peer_answer(0, 0, "e1", 1, &other.answer(0, 1));
+    let notices = follower.apply_peer_answer(0, 0, "e1", 1, &other.answer_peer(0, 1));
     assert_eq!(notices, [Notice::Diverged { head: 1 }]);
 }
 
@@ -133,17 +133,17 @@
 fn follower_trimmed_log() {
     let entry = read(0, 5);
     let mut fresh = Follower::new(0);
-    let notices = fresh.log_page(0, 0, &page(4, vec![record(4)]));
+    let notices = fresh.apply_log_page(0, 0, &page(4, vec![record(4)]));
     let trimmed = Notice::Trimmed {
         wanted: 0,
         earliest: 4,
     };
     assert_eq!(notices, [trimmed]);
     let kept = page(4, vec![record(4), checkpoint_of(&entry, 5), record(6)]);
-    let notices = fresh.log_page(0, 0, &kept);
+    let notices = fresh.apply_log_page(0, 0, &kept);
     assert_eq!(notices, [Notice::Advanced { head: 5 }]);
     assert!(!fresh.admits(0));
-    fresh.log_page(0, 0, &kept);
+    fresh.apply_log_page(0, 0, &kept);
     assert_eq!(fresh.fold().head(), 7);
     assert!(fresh.admits(0));
 }
@@ -156,7 +156,7 @@
         offset,
         bytes: vec![9],
     });
-    other.log_page(0, 0, &page(0, foreign.collect()));
+    other.apply_log_page(0, 0, &page(0, foreign.collect()));
     let mut fresh = Follower::new(0);
     let earlier = read(0, 4);
     let kept = vec![
@@ -165,7 +165,7 @@
         checkpoint_of(&other, 6),
         checkpoint_of(&earlier, 7),
     ];
-    let notices = fresh.log_page(0, 0, &page(4, kept));
+    let notices = fresh.apply_log_page(0, 0, &page(4, kept));
     let contested = Notice::ConflictingCheckpoints { as_of: 5 };
     assert_eq!(notices, [contested, Notice::Advanced { head: 4 }]);
 }
@@ -173,7 +173,7 @@
 #[test]
 fn follower_log_went_back() {
     let mut follower = read(0, 3);
-    let notices = follower.log_page(0, 0, &page(0, vec![record(0)]));
+    let notices = follower.apply_log_page(0, 0, &page(0, vec![record(0)]));
     assert_eq!(notices, [Notice::LogWentBack { next: 1, head: 3 }]);
     assert_eq!(follower.fold().head(), 3);
 }
@@ -200,15 +200,15 @@
 
 #[test]
 fn log_duty_takes_over_by_rank() {
-    let duty = |rank| LogSchedule {
+    let schedule = |rank| LogSchedule {
         rank,
         retention_ms: RETENTION_MS,
     };
-    assert!(duty(2).reads(0));
-    assert!(!duty(3).reads(2_000));
-    assert!(duty(3).reads(3_000) && !duty(5).reads(3_000));
-    assert!(!duty(0).publishes_checkpoint(7_999));
-    assert!(duty(0).publishes_checkpoint(8_000) && !duty(1).publishes_checkpoint(8_000));
-    assert!(duty(7).publishes_checkpoint(RETENTION_MS / 4));
-    assert!(!duty(8).publishes_checkpoint(RETENTION_MS));
+    assert!(schedule(2).reads_log(0));
+    assert!(!schedule(3).reads_log(2_000));
+    assert!(schedule(3).reads_log(3_000) && !schedule(5).reads_log(3_000));
+    assert!(!schedule(0).publishes_checkpoint(7_999));
+    assert!(schedule(0).publishes_checkpoint(8_000) && !schedule(1).publishes_checkpoint(8_000));
+    assert!(schedule(7).publishes_checkpoint(RETENTION_MS / 4));
+    assert!(!schedule(8).publishes_checkpoint(RETENTION_MS));
 }
--- a/tests/spec_config/node.rs
+++ b/tests/spec_config/node.rs
@@ -97,7 +97,7 @@
             next: log.next(),
             records,
         };
-        follower.log_page(NOW_MS, NOW_MS, &page);
+        follower.apply_log_page(NOW_MS, NOW_MS, &page);
         if !trimmed && follower.fold().head() == log.next() {
             self.confirmed_after = ALL;
         }
@@ -111,7 +111,7 @@
 
     /// Asks `peer`; the numbers are those of this entry and of the peer.
     pub fn ask(&mut self, own: usize, index: usize, peer: &Self, rules: Rules) {
-        let mut answer = peer.follower.answer(NOW_MS, self.fold().head());
+        let mut answer = peer.follower.answer_peer(NOW_MS, self.fold().head());
         let checkpoint = peer.fold().checkpoint();
         let follower = Rc::make_mut(&mut self.follower);
         if !rules.adopt_forward_only && checkpoint.as_of < follower.fold().head() {
@@ -128,7 +128,7 @@
         let age_ms = if is_young { YOUNG_MS } else { OLD_MS };
         answer.mark.confirmed_age_ms = answer.mark.confirmed_age_ms.map(|_| age_ms);
         let listed = if rules.majority { ENTRIES } else { 1 };
-        follower.peer_answer(NOW_MS, NOW_MS, &index.to_string(), listed, &answer);
+        follower.apply_peer_answer(NOW_MS, NOW_MS, &index.to_string(), listed, &answer);
         if self.fold().head() >= answer.mark.head {
             self.confirmed_after |= peer.confirmed_after;
         }
@@ -186,11 +186,11 @@
 /// A follower that stands at `checkpoint` whatever it held before.
 fn adopt_anyway(follower: &Follower, checkpoint: &Checkpoint) -> Follower {
     let mut moved = Follower::new(START_MS);
-    let mut answer = follower.answer(NOW_MS, u64::MAX);
+    let mut answer = follower.answer_peer(NOW_MS, u64::MAX);
     answer.mark.head = checkpoint.as_of;
     answer.mark.digest = checkpoint.digest;
     answer.mark.is_voter = follower.is_voter();
     answer.update = ConfigUpdate::Checkpoint(Box::new(checkpoint.clone()));
-    moved.peer_answer(NOW_MS, NOW_MS, "self", 1, &answer);
+    moved.apply_peer_answer(NOW_MS, NOW_MS, "self", 1, &answer);
     moved
 }
