--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -285,7 +285,7 @@
                     service: None,
                     incarnation: 1,
                     leaving: false,
-                    config: state.node.config_mark(),
+                    config: state.node.config_position(),
                     load: loads[number],
                     served: vec![HostedVersion {
                         model: MODEL.to_owned(),
--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -225,7 +225,7 @@
 
     /// Name of the engine host with the most running requests.
     pub fn busiest(&self) -> String {
-        let running = |host: &&Host| host.machine.parts.1.node().own().load.running;
+        let running = |host: &&Host| host.machine.parts.1.node().own_state().load.running;
         let busiest = self.engines.iter().max_by_key(running);
         busiest.map_or_else(String::new, |host| host.name.clone())
     }
--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -99,7 +99,7 @@
         };
         let now_ms = node.now_ms();
         node.suspects().add_death(self.request, death, now_ms);
-        Reporter::report_now(node).await;
+        Reporter::send_reports(node).await;
     }
 }
 
--- a/src/endpoint/call_ticker.rs
+++ b/src/endpoint/call_ticker.rs
@@ -41,6 +41,6 @@
             permits.turn(now_ms);
             permits.epoch()
         };
-        self.node.own().permit_epoch = epoch;
+        self.node.own_state().permit_epoch = epoch;
     }
 }
--- a/src/endpoint/generate_load.rs
+++ b/src/endpoint/generate_load.rs
@@ -29,7 +29,7 @@
     fn started(&mut self, context: &mut Self::Context) {
         context.run_interval(REFRESH_INTERVAL, |this, _| {
             if let Some(server) = &this.state.generate {
-                this.state.node.own().load = server.queue().load();
+                this.state.node.own_state().load = server.queue().load();
             }
         });
     }
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -18,9 +18,9 @@
 use crate::links::ServeOptions;
 use crate::links::serve;
 use crate::node;
+use crate::node::HostListWatcher;
 use crate::node::Node;
 use crate::node::Reporter;
-use crate::node::Watcher;
 use crate::observe::Event;
 use crate::observe::emit;
 use crate::standin::Handle;
@@ -62,7 +62,7 @@
         node::routes(app, &shared.node);
     })?;
     CallTicker::new(Arc::clone(&state)).start();
-    Watcher::new(Arc::clone(&state.node)).start();
+    HostListWatcher::new(Arc::clone(&state.node)).start();
     Reporter::bind(Arc::clone(&state.node))?.start();
     if let Some(engine) = state.engine_address() {
         WeightsKeeper::new(Arc::clone(&state), engine).start();
@@ -91,7 +91,7 @@
         let node = &self.state.node;
         emit(Event::ProcessStopping, &[("host", &node.name())]);
         node.leave();
-        Reporter::report_now(node).await;
+        Reporter::send_reports(node).await;
         let drain = Duration::from_millis(self.state.settings.drain_ms);
         // Calls outlive their connections, which the server alone waits for.
         let _ = timeout(drain, self.state.calls.drained()).await;
--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -39,7 +39,7 @@
     fn next_order(&mut self, state: &EndpointState) -> OrderNo {
         self.sequence += 1;
         OrderNo {
-            offset: state.node.config_mark().offset,
+            offset: state.node.config_position().offset,
             incarnation: state.node.incarnation(),
             sequence: self.sequence,
         }
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -108,7 +108,7 @@
 impl Rounds {
     async fn run(&mut self) {
         let wants = self.wants();
-        let live = self.state.node.own().load.running > 0;
+        let live = self.state.node.own_state().load.running > 0;
         self.state.weights.links.up.set_live(live);
         self.state.weights.links.down.set_live(live);
         self.track(&wants);
@@ -125,7 +125,7 @@
             .iter()
             .filter_map(TrackedVersion::report)
             .collect();
-        self.state.node.own().served = served;
+        self.state.node.own_state().served = served;
     }
 
     /// The models that rank this host among those that serve them.
--- a/src/entry/admin/in_force.rs
+++ b/src/entry/admin/in_force.rs
@@ -50,7 +50,7 @@
     let now_ms = node.now_ms();
     let mut lacking = Vec::new();
     let mut processes = 1;
-    if node.config_mark().offset < revision {
+    if node.config_position().offset < revision {
         lacking.push(node.name().to_owned());
     }
     for (_, host) in node.roster().hosts() {
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -157,6 +157,6 @@
             crash_no: DeathId::PROCESS_DEATH,
         };
         node.suspects().add_death(request, death, now_ms);
-        Reporter::report_now(node).await;
+        Reporter::send_reports(node).await;
     }
 }
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -207,7 +207,7 @@
         let request = self.call.fingerprint();
         node.suspects().add_death(request, death, now_ms);
         let node = Arc::clone(node);
-        actix_rt::spawn(async move { Reporter::report_now(&node).await });
+        actix_rt::spawn(async move { Reporter::send_reports(&node).await });
     }
 
     fn has_room(&self) -> bool {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -20,9 +20,9 @@
 use crate::links::ServeOptions;
 use crate::links::serve;
 use crate::node;
+use crate::node::HostListWatcher;
 use crate::node::Node;
 use crate::node::Reporter;
-use crate::node::Watcher;
 use crate::observe::Event;
 use crate::observe::emit;
 use crate::standin::Handle;
@@ -66,7 +66,7 @@
         }
         node::routes(app, &shared.node);
     })?;
-    Watcher::new(Arc::clone(&state.node)).start();
+    HostListWatcher::new(Arc::clone(&state.node)).start();
     Reporter::bind(Arc::clone(&state.node))?.start();
     Tailer::new(Arc::clone(&state)).start();
     emit(
@@ -105,7 +105,7 @@
         let node = &self.state.node;
         emit(Event::ProcessStopping, &[("host", &node.name())]);
         node.leave();
-        Reporter::report_now(node).await;
+        Reporter::send_reports(node).await;
         let lifetime = Duration::from_millis(self.state.settings.address_lifetime_ms);
         actix_rt::time::sleep(lifetime).await;
         self.server.stop().await;
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -15,7 +15,7 @@
     admin::team(&state, &request)?;
     let node = &state.node;
     let document = node.document();
-    let config = node.config_mark();
+    let config = node.config_position();
     let view = StatusView::new(
         node.name(),
         node.is_ready(),
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -123,7 +123,7 @@
 
 impl ReportAnswer {
     /// How far the entry has followed the log.
-    pub fn mark(&self) -> PeerStatus {
+    pub fn peer_status(&self) -> PeerStatus {
         PeerStatus {
             head: self.config.offset,
             digest: self.config.digest,
--- a/src/node/admission.rs
+++ b/src/node/config_admission.rs
@@ -5,7 +5,7 @@
 
 /// Whether a process admits new work, going by its configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum ConfigAdmission {
     /// The configuration is confirmed.
     Confirmed,
     /// Cut off from the log for long; the policy is to serve on.
@@ -16,7 +16,7 @@
     Unconfirmed,
 }
 
-impl Admission {
+impl ConfigAdmission {
     /// Decides for a process last confirmed `age_ms` ago.
     ///
     /// `is_confirmed` tells whether that was since it started or last woke.
--- a/src/node/config_request.rs
+++ b/src/node/config_request.rs
@@ -12,8 +12,8 @@
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Time a peer has to answer a pull.
-const PULL_WAIT_MS: u64 = 3000;
+/// Time a peer has to answer a request.
+const FETCH_TIMEOUT_MS: u64 = 3000;
 
 /// Asks a peer for what this process lacks.
 #[derive(Debug, Serialize, Deserialize)]
@@ -27,23 +27,23 @@
     let url = format!("http://{address}/x/config");
     let asked_ms = node.now_ms();
     let from = node.follower().fold().head();
-    let pull = ConfigRequest { from };
-    let answer: Result<PeerAnswer, _> = node.ask(&url, &pull, PULL_WAIT_MS).await;
+    let request = ConfigRequest { from };
+    let answer: Result<PeerAnswer, _> = node.request(&url, &request, FETCH_TIMEOUT_MS).await;
     if let Ok(answer) = answer {
-        take_answer(node, asked_ms, name, &answer);
+        apply_peer_answer(node, asked_ms, name, &answer);
     }
 }
 
 /// Draws on what the peer `name` says of its configuration.
-pub(super) fn take_mark(node: &Node, asked_ms: u64, name: &str, mark: PeerStatus) {
+pub(super) fn apply_peer_status(node: &Node, asked_ms: u64, name: &str, mark: PeerStatus) {
     let answer = PeerAnswer {
         mark,
         update: ConfigUpdate::None,
     };
-    take_answer(node, asked_ms, name, &answer);
+    apply_peer_answer(node, asked_ms, name, &answer);
 }
 
-fn take_answer(node: &Node, asked_ms: u64, name: &str, answer: &PeerAnswer) {
+fn apply_peer_answer(node: &Node, asked_ms: u64, name: &str, answer: &PeerAnswer) {
     let listed = node.roster().listed_count(HostRole::Entry);
     let now_ms = node.now_ms();
     let notices = node
--- a/src/node/beat_receiver.rs
+++ b/src/node/datagram_receiver.rs
@@ -11,36 +11,36 @@
 use crate::hosts::HeartbeatAnswer;
 use crate::hosts::HeartbeatOutcome;
 use crate::node::Node;
-use crate::node::config_request::take_mark;
+use crate::node::config_request::apply_peer_status;
 use crate::node::fetch_config;
-use crate::node::reporter::Wire;
-use crate::node::reporter::report_to;
-use crate::node::targets::Target;
+use crate::node::report_targets::ReportTarget;
+use crate::node::reporter::HeartbeatSocket;
+use crate::node::reporter::send_report;
 
 /// Longest datagram that is read.
 const MAX_DATAGRAM_BYTES: usize = 1024;
 
 /// Pause after the socket gave an error, such as a peer's port that is closed.
-const ERROR_PAUSE: Duration = Duration::from_millis(10);
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 /// Takes in datagrams for as long as the process runs.
-pub(super) async fn receive(node: Arc<Node>, wire: Arc<Wire>) {
+pub(super) async fn receive_datagrams(node: Arc<Node>, socket: Arc<HeartbeatSocket>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        let received: io::Result<_> = wire.socket.recv_from(&mut buffer).await;
+        let received: io::Result<_> = socket.udp_socket.recv_from(&mut buffer).await;
         let Ok((length, from)) = received else {
-            sleep(ERROR_PAUSE).await;
+            sleep(RECEIVE_ERROR_PAUSE).await;
             continue;
         };
         if node.cuts().covers_address(from) {
             continue;
         }
         node.count_datagram("received", length);
-        match Datagram::open(&buffer[..length], &wire.key) {
-            Some(Datagram::Beat(beat)) => take_beat(&node, &wire, &beat, from),
+        match Datagram::open(&buffer[..length], &socket.key) {
+            Some(Datagram::Beat(beat)) => handle_heartbeat(&node, &socket, &beat, from),
             Some(Datagram::Answer(answer)) => {
                 let node = Arc::clone(&node);
-                actix_rt::spawn(async move { take_answer(&node, &answer).await });
+                actix_rt::spawn(async move { handle_answer(&node, &answer).await });
             }
             None => {}
         }
@@ -48,7 +48,7 @@
 }
 
 /// Merges a beat, and answers when the sender lacks something or asks.
-fn take_beat(node: &Node, wire: &Wire, beat: &Heartbeat, from: SocketAddr) {
+fn handle_heartbeat(node: &Node, socket: &HeartbeatSocket, beat: &Heartbeat, from: SocketAddr) {
     let now_ms = node.now_ms();
     let wants_report = match node.roster().merge_heartbeat(beat, now_ms) {
         // Reports exchange what both know of suspects.
@@ -56,20 +56,20 @@
         HeartbeatOutcome::NeedsReport => true,
         HeartbeatOutcome::Outdated => return,
     };
-    let is_behind = beat.config_offset < node.config_mark().offset;
+    let is_behind = beat.config_offset < node.config_position().offset;
     if wants_report || is_behind || beat.wants_answer {
-        let answer = node.beat_answer(beat.incarnation, beat.sent_ms, wants_report);
-        let datagram = Datagram::Answer(answer).seal(&wire.key);
-        wire.send(node, &datagram, from);
+        let answer = node.heartbeat_answer(beat.incarnation, beat.sent_ms, wants_report);
+        let datagram = Datagram::Answer(answer).seal(&socket.key);
+        socket.send(node, &datagram, from);
     }
 }
 
 /// Draws on an entry's answer: reports, pulls, or trusts what it confirms.
-async fn take_answer(node: &Arc<Node>, answer: &HeartbeatAnswer) {
+async fn handle_answer(node: &Arc<Node>, answer: &HeartbeatAnswer) {
     if answer.to != node.incarnation() {
         return;
     }
-    let Some(target) = answering(node, answer) else {
+    let Some(target) = find_sender(node, answer) else {
         return;
     };
     if answer.config.offset > node.follower().fold().head() {
@@ -81,19 +81,19 @@
             is_voter: answer.is_voter,
             confirmed_age_ms: answer.confirmed_age_ms,
         };
-        take_mark(node, answer.asked_ms, &target.name, mark);
+        apply_peer_status(node, answer.asked_ms, &target.name, mark);
     }
     if answer.wants_report {
-        report_to(node, target).await;
+        send_report(node, target).await;
     }
 }
 
 /// The entry that answers, if it is known here.
-fn answering(node: &Node, answer: &HeartbeatAnswer) -> Option<Target> {
+fn find_sender(node: &Node, answer: &HeartbeatAnswer) -> Option<ReportTarget> {
     let roster = node.roster();
     let key = roster.key_of_tag(answer.name)?;
     let host = roster.host(key)?;
-    Some(Target {
+    Some(ReportTarget {
         key,
         name: host.name.clone(),
         address: host.address,
--- a/src/node/watcher.rs
+++ b/src/node/host_list_watcher.rs
@@ -12,13 +12,13 @@
 
 /// Reads the platform's list of hosts and merges it into the roster.
 #[derive(Debug)]
-pub struct Watcher {
+pub struct HostListWatcher {
     node: Arc<Node>,
     client: HostsClient,
 }
 
-impl Watcher {
-    /// Watcher of `node`'s platform.
+impl HostListWatcher {
+    /// HostListWatcher of `node`'s platform.
     pub fn new(node: Arc<Node>) -> Self {
         let client =
             HostsClient::new(&node.platform().hosts_url).with_cuts(Arc::clone(node.cuts()));
@@ -26,7 +26,7 @@
     }
 }
 
-impl Actor for Watcher {
+impl Actor for HostListWatcher {
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
@@ -35,7 +35,7 @@
         let watching = async move {
             let pause = Duration::from_millis(node.cluster().hosts_poll_ms);
             loop {
-                read_once(&node, &client).await;
+                poll_list(&node, &client).await;
                 actix_rt::time::sleep(pause).await;
             }
         };
@@ -43,7 +43,7 @@
     }
 }
 
-async fn read_once(node: &Node, client: &HostsClient) {
+async fn poll_list(node: &Node, client: &HostsClient) {
     node.metrics()
         .add(Tally::PlatformCalls, 1, "call", "hosts_read");
     let since = node.roster().list_version();
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -33,21 +33,21 @@
 use crate::links::Cuts;
 use crate::links::HttpClient;
 use crate::links::LinkError;
-use crate::node::Admission;
+use crate::node::ConfigAdmission;
 use crate::observe::Metrics;
 use crate::observe::Tally;
 
 /// Bytes of the head of a request or answer between two processes, about.
-const HEADER_BYTES: usize = 200;
+const HTTP_HEADER_BYTES: usize = 200;
 
 /// Bytes of the IP and UDP headers of a datagram.
-const DATAGRAM_HEADER_BYTES: usize = 28;
+const IP_UDP_HEADER_BYTES: usize = 28;
 
 /// Time a request stays suspect after a crash it was near.
 const SUSPECT_WINDOW_MS: u64 = 600_000;
 
 /// Crashes remembered, counted once per request that ran.
-const MAX_SUSPECTS: usize = 1024;
+const MAX_SUSPECT_RECORDS: usize = 1024;
 
 /// What this process says of itself beside its identity.
 #[derive(Debug, Default)]
@@ -74,7 +74,7 @@
     cuts: Arc<Cuts>,
     roster: Mutex<Roster>,
     follower: Mutex<Follower>,
-    own: Mutex<OwnState>,
+    own_state: Mutex<OwnState>,
     suspects: Mutex<SuspectTable>,
     leaving: AtomicBool,
     control_bytes: AtomicU64,
@@ -103,8 +103,8 @@
             cuts,
             roster: Mutex::new(Roster::new()),
             follower: Mutex::new(Follower::new(0)),
-            own: Mutex::default(),
-            suspects: Mutex::new(SuspectTable::new(SUSPECT_WINDOW_MS, MAX_SUSPECTS)),
+            own_state: Mutex::default(),
+            suspects: Mutex::new(SuspectTable::new(SUSPECT_WINDOW_MS, MAX_SUSPECT_RECORDS)),
             leaving: AtomicBool::new(false),
             control_bytes: AtomicU64::new(0),
         }
@@ -165,29 +165,29 @@
     /// # Errors
     ///
     /// [`LinkError`] when no usable answer came within `wait_ms`.
-    pub async fn ask<A: DeserializeOwned>(
+    pub async fn request<A: DeserializeOwned>(
         &self,
         url: &str,
-        question: &impl Serialize,
+        message: &impl Serialize,
         wait_ms: u64,
     ) -> Result<A, LinkError> {
         let malformed = |error: String| LinkError::Malformed(error);
         let body =
-            rmp_serde::to_vec_named(question).map_err(|error| malformed(error.to_string()))?;
-        self.count_control("sent", body.len());
+            rmp_serde::to_vec_named(message).map_err(|error| malformed(error.to_string()))?;
+        self.count_control_message("sent", body.len());
         let answer = self.http.post_rmp(url, body, wait_ms).await?;
-        self.count_control("received", answer.len());
+        self.count_control_message("received", answer.len());
         rmp_serde::from_slice(&answer).map_err(|error| malformed(error.to_string()))
     }
 
     /// Counts a request or answer of control traffic with `body_bytes` of body.
-    pub fn count_control(&self, direction: &'static str, body_bytes: usize) {
-        self.count_control_bytes(direction, body_bytes + HEADER_BYTES);
+    pub fn count_control_message(&self, direction: &'static str, body_bytes: usize) {
+        self.count_control_bytes(direction, body_bytes + HTTP_HEADER_BYTES);
     }
 
     /// Counts a datagram of control traffic with `body_bytes` of body.
     pub fn count_datagram(&self, direction: &'static str, body_bytes: usize) {
-        self.count_control_bytes(direction, body_bytes + DATAGRAM_HEADER_BYTES);
+        self.count_control_bytes(direction, body_bytes + IP_UDP_HEADER_BYTES);
     }
 
     fn count_control_bytes(&self, direction: &'static str, bytes: usize) {
@@ -215,8 +215,10 @@
     }
 
     /// What it says of itself.
-    pub fn own(&self) -> MutexGuard<'_, OwnState> {
-        self.own.lock().expect("no holder of the own state panics")
+    pub fn own_state(&self) -> MutexGuard<'_, OwnState> {
+        self.own_state
+            .lock()
+            .expect("no holder of the own state panics")
     }
 
     /// Requests that ran when endpoints crashed.
@@ -244,7 +246,7 @@
     }
 
     /// How far the configuration has been folded.
-    pub fn config_mark(&self) -> ConfigPosition {
+    pub fn config_position(&self) -> ConfigPosition {
         let follower = self.follower();
         let fold = follower.fold();
         ConfigPosition {
@@ -264,11 +266,11 @@
     }
 
     /// Whether the process may admit new work, going by its configuration.
-    pub fn admission(&self) -> Admission {
+    pub fn admission(&self) -> ConfigAdmission {
         let now_ms = self.now_ms();
         let follower = self.follower();
         let age_ms = follower.confirmed_age_ms(now_ms).unwrap_or(now_ms);
-        Admission::decide(
+        ConfigAdmission::decide(
             follower.admits(now_ms),
             age_ms,
             self.cluster.partition_policy,
@@ -278,7 +280,7 @@
     /// Whether the process admits new work; work admitted while cut off is counted.
     pub fn is_ready(&self) -> bool {
         let admission = self.admission();
-        if admission == Admission::CutOffServing {
+        if admission == ConfigAdmission::CutOffServing {
             self.metrics
                 .add(Tally::CutOff, 1, "policy", admission.name());
         }
@@ -307,7 +309,7 @@
     }
 
     /// The process's sign of life.
-    pub fn beat(&self, wants_answer: bool) -> Heartbeat {
+    pub fn heartbeat(&self, wants_answer: bool) -> Heartbeat {
         let report = self.report();
         Heartbeat {
             name: NameTag::of(&self.process.name),
@@ -324,7 +326,7 @@
     }
 
     /// What the process answers to a beat sent at `asked_ms` of the sender's clock.
-    pub fn beat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> HeartbeatAnswer {
+    pub fn heartbeat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> HeartbeatAnswer {
         let answer = self.report_answer();
         HeartbeatAnswer {
             name: NameTag::of(&self.process.name),
@@ -340,7 +342,7 @@
     /// What the process says of itself now.
     pub fn report(&self) -> Report {
         let suspects = self.known_suspects();
-        let own = self.own();
+        let own = self.own_state();
         Report {
             name: self.process.name.clone(),
             address: self.process.listen,
@@ -350,7 +352,7 @@
             service: self.service.clone(),
             incarnation: self.incarnation,
             leaving: self.is_leaving(),
-            config: self.config_mark(),
+            config: self.config_position(),
             load: own.load,
             served: own.served.clone(),
             permit_epoch: own.permit_epoch,
--- a/src/node/targets.rs
+++ b/src/node/report_targets.rs
@@ -9,7 +9,7 @@
 
 /// An entry to report to.
 #[derive(Debug, Clone)]
-pub(super) struct Target {
+pub(super) struct ReportTarget {
     pub(super) key: HostKey,
     pub(super) name: String,
     pub(super) address: SocketAddr,
@@ -17,7 +17,7 @@
 
 /// Entries that `node` reports to: the first by rendezvous rank of the names,
 /// and all of them while it needs the answers of a majority.
-pub(super) fn targets(node: &Node) -> Vec<Target> {
+pub(super) fn report_targets(node: &Node) -> Vec<ReportTarget> {
     let fanout = if node.admission().admits() {
         FANOUT
     } else {
@@ -27,13 +27,13 @@
     let mut ranked: Vec<_> = roster
         .hosts()
         .filter(|(_, host)| host.role == HostRole::Entry && host.name != node.name())
-        .map(|(key, host)| (rank(node.name(), &host.name), key, host))
+        .map(|(key, host)| (rendezvous_rank(node.name(), &host.name), key, host))
         .collect();
     ranked.sort_unstable_by_key(|(rank, key, _)| (*rank, *key));
     ranked
         .into_iter()
         .take(fanout)
-        .map(|(_, key, host)| Target {
+        .map(|(_, key, host)| ReportTarget {
             key,
             name: host.name.clone(),
             address: host.address,
@@ -41,6 +41,6 @@
         .collect()
 }
 
-fn rank(from: &str, to: &str) -> [u8; 32] {
+fn rendezvous_rank(from: &str, to: &str) -> [u8; 32] {
     *blake3::hash(format!("{from}\n{to}").as_bytes()).as_bytes()
 }
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -14,39 +14,39 @@
 use crate::hosts::HostRole;
 use crate::hosts::ReportAnswer;
 use crate::node::Node;
-use crate::node::beat_receiver::receive;
-use crate::node::config_request::take_mark;
+use crate::node::config_request::apply_peer_status;
+use crate::node::datagram_receiver::receive_datagrams;
 use crate::node::fetch_config;
-use crate::node::targets::Target;
-use crate::node::targets::targets;
+use crate::node::report_targets::ReportTarget;
+use crate::node::report_targets::report_targets;
 use crate::observe::Event;
 use crate::observe::emit;
 
 /// Time between two checks that the process was not paused.
-const TICK: Duration = Duration::from_millis(500);
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between two looks at whether those behind should be told of a new offset.
-const NUDGE: Duration = Duration::from_millis(50);
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Beats between two that want an answer though nothing is new.
-const ANSWERED_EVERY: u64 = 5;
+const ROUNDS_PER_ANSWER: u64 = 5;
 
 /// Time an entry has to answer a report.
-const ANSWER_WAIT_MS: u64 = 1000;
+const REPORT_TIMEOUT_MS: u64 = 1000;
 
 /// Sends beats and reports to the entries and learns who is ahead.
 #[derive(Debug)]
 pub struct Reporter {
     node: Arc<Node>,
-    wire: Arc<Wire>,
+    socket: Arc<HeartbeatSocket>,
     round: u64,
-    nudged_offset: u64,
+    notified_offset: u64,
 }
 
 /// The socket that datagrams go through, and their key.
 #[derive(Debug)]
-pub(super) struct Wire {
-    pub(super) socket: UdpSocket,
+pub(super) struct HeartbeatSocket {
+    pub(super) udp_socket: UdpSocket,
     pub(super) key: HeartbeatKey,
 }
 
@@ -59,44 +59,44 @@
     pub fn bind(node: Arc<Node>) -> io::Result<Self> {
         let socket = StdUdpSocket::bind(node.process().listen)?;
         socket.set_nonblocking(true)?;
-        let wire = Wire {
-            socket: UdpSocket::from_std(socket)?,
+        let socket = HeartbeatSocket {
+            udp_socket: UdpSocket::from_std(socket)?,
             key: HeartbeatKey::derive(&node.cluster().shared_key),
         };
         Ok(Self {
             node,
-            wire: Arc::new(wire),
+            socket: Arc::new(socket),
             round: 0,
-            nudged_offset: 0,
+            notified_offset: 0,
         })
     }
 
     /// Sends a full report to every entry of the fan-out, all at a time.
-    pub async fn report_now(node: &Arc<Node>) {
-        let reports = targets(node)
+    pub async fn send_reports(node: &Arc<Node>) {
+        let reports = report_targets(node)
             .into_iter()
-            .map(|target| report_to(node, target));
+            .map(|target| send_report(node, target));
         futures_util::future::join_all(reports).await;
     }
 
     /// Sends one round of beats.
-    fn beat_all(&mut self) {
+    fn send_heartbeats(&mut self) {
         let wants_answer =
-            self.round.is_multiple_of(ANSWERED_EVERY) || !self.node.admission().admits();
+            self.round.is_multiple_of(ROUNDS_PER_ANSWER) || !self.node.admission().admits();
         self.round += 1;
-        let datagram = Datagram::Beat(self.node.beat(wants_answer)).seal(&self.wire.key);
-        for target in targets(&self.node) {
-            self.wire.send(&self.node, &datagram, target.address);
+        let datagram = Datagram::Beat(self.node.heartbeat(wants_answer)).seal(&self.socket.key);
+        for target in report_targets(&self.node) {
+            self.socket.send(&self.node, &datagram, target.address);
         }
     }
 
     /// Tells those who are behind that there is a new offset.
-    fn nudge(&mut self) {
-        let head = self.node.config_mark().offset;
-        if self.node.process().role != HostRole::Entry || head <= self.nudged_offset {
+    fn notify_outdated_hosts(&mut self) {
+        let head = self.node.config_position().offset;
+        if self.node.process().role != HostRole::Entry || head <= self.notified_offset {
             return;
         }
-        self.nudged_offset = head;
+        self.notified_offset = head;
         let now_ms = self.node.now_ms();
         let behind: Vec<_> = self
             .node
@@ -107,20 +107,20 @@
             .map(|(_, host)| (host.address, host.incarnation, host.heartbeat_sent_ms()))
             .collect();
         for (address, to, asked_ms) in behind {
-            let answer = self.node.beat_answer(to, asked_ms, false);
-            let datagram = Datagram::Answer(answer).seal(&self.wire.key);
-            self.wire.send(&self.node, &datagram, address);
+            let answer = self.node.heartbeat_answer(to, asked_ms, false);
+            let datagram = Datagram::Answer(answer).seal(&self.socket.key);
+            self.socket.send(&self.node, &datagram, address);
         }
     }
 }
 
-impl Wire {
+impl HeartbeatSocket {
     /// Sends a sealed datagram; one that cannot go out now is lost, as on the way.
     pub(super) fn send(&self, node: &Node, datagram: &[u8], to: std::net::SocketAddr) {
         if node.cuts().covers_address(to) {
             return;
         }
-        if self.socket.try_send_to(datagram, to).is_ok() {
+        if self.udp_socket.try_send_to(datagram, to).is_ok() {
             node.count_datagram("sent", datagram.len());
         }
     }
@@ -131,10 +131,10 @@
 
     fn started(&mut self, context: &mut Self::Context) {
         let pause = Duration::from_millis(self.node.cluster().gossip_ms);
-        context.run_interval(TICK, |this, _| tick(&this.node));
-        context.run_interval(pause, |this, _| this.beat_all());
-        context.run_interval(NUDGE, |this, _| this.nudge());
-        let receiving = receive(Arc::clone(&self.node), Arc::clone(&self.wire));
+        context.run_interval(PAUSE_CHECK_INTERVAL, |this, _| tick(&this.node));
+        context.run_interval(pause, |this, _| this.send_heartbeats());
+        context.run_interval(NOTIFY_INTERVAL, |this, _| this.notify_outdated_hosts());
+        let receiving = receive_datagrams(Arc::clone(&self.node), Arc::clone(&self.socket));
         context.spawn(receiving.into_actor(self));
     }
 }
@@ -147,11 +147,11 @@
 }
 
 /// Sends a full report to one entry and draws on its answer.
-pub(super) async fn report_to(node: &Arc<Node>, target: Target) {
+pub(super) async fn send_report(node: &Arc<Node>, target: ReportTarget) {
     let url = format!("http://{}/x/report", target.address);
     let asked_ms = node.now_ms();
     let report = node.report();
-    let answer: Result<ReportAnswer, _> = node.ask(&url, &report, ANSWER_WAIT_MS).await;
+    let answer: Result<ReportAnswer, _> = node.request(&url, &report, REPORT_TIMEOUT_MS).await;
     if let Ok(answer) = &answer {
         let now_ms = node.now_ms();
         node.suspects().merge(answer.suspects.clone(), now_ms);
@@ -160,7 +160,7 @@
         Ok(answer) if answer.config.offset > node.follower().fold().head() => {
             fetch_config(node, &target.name, target.address).await;
         }
-        Ok(answer) => take_mark(node, asked_ms, &target.name, answer.mark()),
+        Ok(answer) => apply_peer_status(node, asked_ms, &target.name, answer.peer_status()),
         Err(error) if error.is_not_sent() => {
             let now_ms = node.now_ms();
             node.roster().record_failure(target.key, now_ms);
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -43,8 +43,8 @@
     }
     node.suspects().merge(report.suspects, now_ms);
     let answer = node.report_answer();
-    node.count_control("received", body.len());
-    node.count_control("sent", ANSWER_BYTES);
+    node.count_control_message("received", body.len());
+    node.count_control_message("sent", ANSWER_BYTES);
     rmp_response(&answer)
 }
 
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -17,8 +17,8 @@
 use bergamotfork::hosts::HeartbeatAnswer;
 use bergamotfork::hosts::HeartbeatKey;
 use bergamotfork::hosts::NameTag;
-use bergamotfork::node::Admission;
 use bergamotfork::node::CUT_OFF_MS;
+use bergamotfork::node::ConfigAdmission;
 
 /// Longer than the pause that a process notices.
 const PAUSE: Duration = Duration::from_millis(6_000);
@@ -100,15 +100,15 @@
 
 #[test]
 fn admission_cut_off_policy() {
-    let decide = |age_ms, policy| Admission::decide(true, age_ms, policy);
+    let decide = |age_ms, policy| ConfigAdmission::decide(true, age_ms, policy);
     let serve = PartitionPolicy::Serve;
     let refuse = PartitionPolicy::Refuse;
-    assert_eq!(decide(CUT_OFF_MS - 1, refuse), Admission::Confirmed);
-    assert_eq!(decide(CUT_OFF_MS, serve), Admission::CutOffServing);
-    assert_eq!(decide(CUT_OFF_MS, refuse), Admission::CutOffRefusing);
+    assert_eq!(decide(CUT_OFF_MS - 1, refuse), ConfigAdmission::Confirmed);
+    assert_eq!(decide(CUT_OFF_MS, serve), ConfigAdmission::CutOffServing);
+    assert_eq!(decide(CUT_OFF_MS, refuse), ConfigAdmission::CutOffRefusing);
     assert!(!decide(CUT_OFF_MS, refuse).admits() && decide(CUT_OFF_MS, serve).admits());
-    let unconfirmed = Admission::decide(false, 0, serve);
-    assert_eq!(unconfirmed, Admission::Unconfirmed);
+    let unconfirmed = ConfigAdmission::decide(false, 0, serve);
+    assert_eq!(unconfirmed, ConfigAdmission::Unconfirmed);
 }
 
 #[actix_rt::test]
