--- a/src/hosts/heartbeat.rs
+++ b/src/hosts/heartbeat.rs
@@ -5,18 +5,18 @@
 use crate::hosts::Load;
 use crate::weights::Digest;
 
-/// Context string that separates the beat key from other uses of the shared key.
+/// Context of the key derivation; separates this key from other uses of the shared key.
 const KEY_CONTEXT: &str = "bergamotfork beat 1";
 
-/// Bytes of the seal at the end of a datagram.
+/// Length of the seal at the end of a datagram, in bytes.
 const SEAL_BYTES: usize = 16;
 
-/// Key that seals datagrams, derived from the shared key.
+/// Key that authenticates datagrams, derived from the shared key.
 #[derive(Debug, Clone)]
 pub struct HeartbeatKey([u8; 32]);
 
 impl HeartbeatKey {
-    /// Derives the key from the `shared_key` of the processes.
+    /// Derives the key from the setting `shared_key` of the cluster.
     pub fn derive(shared_key: &str) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, shared_key.as_bytes()))
     }
@@ -29,99 +29,99 @@
     }
 }
 
-/// Short form of a host's name in datagrams.
+/// First 64 bits of the digest of a host's name, which stand for the name in datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NameTag(u64);
 
 impl NameTag {
-    /// Tag of `name`.
+    /// Computes the tag of `name`.
     pub fn of(name: &str) -> Self {
-        Self(leading_number(&Digest::of(name.as_bytes())))
+        Self(first_64_bits(&Digest::of(name.as_bytes())))
     }
 }
 
-/// Short form of what a host says of itself that changes seldom.
+/// First 64 bits of the digest of a state, to detect that the state changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateTag(u64);
 
 impl StateTag {
-    /// Tag of an encoded state.
+    /// Computes the tag of an encoded state.
     pub fn of(encoded: &[u8]) -> Self {
-        Self(leading_number(&Digest::of(encoded)))
+        Self(first_64_bits(&Digest::of(encoded)))
     }
 }
 
-fn leading_number(digest: &Digest) -> u64 {
-    let mut leading = [0; 8];
-    leading.copy_from_slice(&digest.as_bytes()[..8]);
-    u64::from_be_bytes(leading)
+fn first_64_bits(digest: &Digest) -> u64 {
+    let mut bytes = [0; 8];
+    bytes.copy_from_slice(&digest.as_bytes()[..8]);
+    u64::from_be_bytes(bytes)
 }
 
-/// Sign of life of a process, sent every second as a datagram.
+/// Heartbeat of a process, sent as a datagram at the gossip interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// Tag of the sender's name.
     pub name: NameTag,
     /// Incarnation of the sender.
     pub incarnation: u64,
-    /// The sender's own clock when it sent this.
+    /// Time of sending on the sender's monotonic clock, in ms.
     pub sent_ms: u64,
-    /// Tag of the sender's last full report.
+    /// Tag of the sender's current report; see `Report::state_tag`.
     pub state: StateTag,
-    /// Tag of what the sender knows of requests that crash endpoints.
+    /// Tag of the sender's records of requests suspected of crashing endpoints.
     pub suspects: StateTag,
-    /// Whether the sender finishes its work and goes.
+    /// Whether the sender is draining and will stop.
     pub leaving: bool,
-    /// Whether the sender wants an answer though nothing is new.
+    /// Whether the sender wants an answer even if the receiver has no update for it.
     pub wants_answer: bool,
-    /// Configuration in force on the sender.
+    /// Offset up to which the sender has applied the configuration log.
     pub config_offset: u64,
-    /// How busy the sender is.
+    /// Load of the sender.
     pub load: Load,
-    /// Epoch that new permits for the sender should name.
+    /// Epoch to put into new permits for the sender.
     pub permit_epoch: u64,
 }
 
-/// What an entry answers to a beat.
+/// Answer of an entry to a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatAnswer {
-    /// Who answers.
+    /// Tag of the name of the answering entry.
     pub name: NameTag,
-    /// Incarnation that sent the beat; a later one must not draw on the answer.
+    /// Incarnation that sent the heartbeat; a later incarnation ignores the answer.
     pub to: u64,
-    /// The asking process's clock when it sent the beat that is answered.
+    /// `sent_ms` of the heartbeat that is answered.
     pub asked_ms: u64,
-    /// Whether the entry wants a full report.
+    /// Whether the entry requests a full report.
     pub wants_report: bool,
-    /// Configuration in force on the entry.
+    /// Position up to which the entry has applied the configuration log.
     pub config: ConfigPosition,
-    /// Whether the entry is past its own bootstrap.
+    /// Whether the entry counts towards the majority that confirms a configuration.
     pub is_voter: bool,
-    /// Time since its configuration was known to be the end of the log.
+    /// Time since the entry's position was known to be the end of the log, in ms.
     pub confirmed_age_ms: Option<u64>,
 }
 
-/// One datagram between two processes.
+/// Datagram between two processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A sign of life.
+    /// A heartbeat.
     Beat(Heartbeat),
-    /// An entry's answer.
+    /// An entry's answer to a heartbeat.
     Answer(HeartbeatAnswer),
 }
 
 impl Datagram {
-    /// The datagram as bytes, sealed with `key`.
+    /// Encodes the datagram and appends its seal under `key`.
     pub fn seal(&self, key: &HeartbeatKey) -> Vec<u8> {
         let mut bytes = rmp_serde::to_vec(self).expect("numbers and flags always encode");
         bytes.extend(key.seal(&bytes));
         bytes
     }
 
-    /// The datagram in `bytes`; `None` unless it was sealed with `key`.
+    /// Decodes a datagram; `None` if its seal under `key` is wrong or it is malformed.
     pub fn open(bytes: &[u8], key: &HeartbeatKey) -> Option<Self> {
         let (body, seal) = bytes.split_at_checked(bytes.len().checked_sub(SEAL_BYTES)?)?;
-        // Comparing digests takes the same time whatever the given seal is.
+        // Comparing digests keeps the time independent of how much of the seal is right.
         if blake3::hash(seal) != blake3::hash(&key.seal(body)) {
             return None;
         }
--- a/src/hosts/host.rs
+++ b/src/hosts/host.rs
@@ -8,48 +8,48 @@
 use crate::hosts::Report;
 use crate::hosts::StateTag;
 
-/// Silence after which a host gets no new work.
+/// Time without a message from a host after which it gets no new work, in ms.
 pub const SILENCE_MS: u64 = 2500;
 
-/// Whether a host may get new work.
+/// Whether a host may get new work, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostStatus {
-    /// It was heard lately and takes work.
+    /// The last message from the host is recent, and the host takes work.
     Usable,
-    /// The list shows it, and it has not been heard yet.
+    /// The platform lists the host, but no message from it has arrived yet.
     NeverReported,
-    /// It has not been heard for [`SILENCE_MS`].
+    /// No message from the host has arrived for [`SILENCE_MS`].
     Silent,
-    /// A call to it failed after it was last heard.
+    /// A call to the host failed after its last message.
     Failed,
-    /// It finishes its work and goes.
+    /// The host is draining and will stop.
     Leaving,
 }
 
-/// What this process knows of one host.
+/// What this process knows about another host.
 #[derive(Debug, Clone)]
 pub struct Host {
     /// Name of the host.
     pub name: String,
-    /// Address of its process.
+    /// Address of the process on the host.
     pub address: SocketAddr,
-    /// What runs on it.
+    /// Role of the process.
     pub role: HostRole,
-    /// Region it stands in.
+    /// Region of the host.
     pub region: String,
-    /// Failure domain inside the region.
+    /// Failure domain within the region.
     pub domain: String,
-    /// Plain service beside it.
+    /// Plain service that the endpoint serves, if it serves no model.
     pub service: Option<String>,
-    /// Incarnation last heard; 0 before the first report.
+    /// Latest incarnation that reported; 0 before the first report.
     pub incarnation: u64,
-    /// How busy it was when last heard.
+    /// Load in the last message.
     pub load: Load,
-    /// Versions on it when last heard.
+    /// Model versions in the last report.
     pub served: Vec<HostedVersion>,
-    /// Epoch that new permits for it should name.
+    /// Epoch to put into new permits for the host.
     pub permit_epoch: u64,
-    /// Configuration in force on it when last heard.
+    /// Configuration offset in the last message; `None` before the first report.
     pub config_offset: Option<u64>,
     pub(super) state_tag: Option<StateTag>,
     pub(super) heartbeat_sent_ms: u64,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether the host may get new work at `now_ms`.
+    /// Whether the host may get new work at `now_ms`, and if not, why.
     pub fn status(&self, now_ms: u64) -> HostStatus {
         if self.is_listed_leaving || self.has_reported_leaving {
             return HostStatus::Leaving;
@@ -133,12 +133,12 @@
         HostStatus::Usable
     }
 
-    /// The host's own clock when it sent its last beat.
+    /// Time at which the host sent its last heartbeat, on its own monotonic clock, in ms.
     pub fn heartbeat_sent_ms(&self) -> u64 {
         self.heartbeat_sent_ms
     }
 
-    /// Time since the host was last heard.
+    /// Time since the last message from the host, in ms; `None` before the first.
     pub fn silent_ms(&self, now_ms: u64) -> Option<u64> {
         self.last_received_ms
             .map(|last_received_ms| now_ms.saturating_sub(last_received_ms))
--- a/src/hosts/host_record.rs
+++ b/src/hosts/host_record.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What runs on a host.
+/// Role of the process on a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostRole {
@@ -13,32 +13,32 @@
     Endpoint,
 }
 
-/// What the platform's list says of a host.
+/// State of a host in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
     /// The host takes work.
     Live,
-    /// The host finishes its work and goes.
+    /// The host is draining and will stop.
     Leaving,
 }
 
-/// One line of the platform's lagging list of hosts.
+/// One host in the platform's list, which may lag behind the actual hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Name, unique in the list.
+    /// Name of the host, unique in the list.
     pub name: String,
-    /// Address of the process on it.
+    /// Address of the process on the host.
     pub address: SocketAddr,
-    /// What runs on it.
+    /// Role of the process.
     pub role: HostRole,
-    /// Region it stands in.
+    /// Region of the host.
     pub region: String,
-    /// Failure domain inside the region.
+    /// Failure domain within the region.
     pub domain: String,
-    /// Plain service beside an endpoint; `None` beside a model engine.
+    /// Plain service that the endpoint serves; `None` if it serves models.
     #[serde(default)]
     pub service: Option<String>,
-    /// Whether it is leaving.
+    /// Whether the host takes work or is draining.
     pub state: HostState,
 }
--- a/src/hosts/mod.rs
+++ b/src/hosts/mod.rs
@@ -1,8 +1,9 @@
-//! Hosts, their incarnations, and the merged live list.
+//! Hosts, their incarnations, and the roster of live hosts.
 //!
-//! Each process sends a beat to a few entries every second, and a full report
-//! when something seldom changed. The platform's list lags and may be empty or
-//! halved, so what a process hears itself goes before it.
+//! Each process sends heartbeats to a few entries, and a full report when part
+//! of its state that rarely changes has changed. The platform's list of hosts
+//! lags and may be empty or incomplete during a fault, so messages received
+//! from a host take precedence over the list.
 
 mod heartbeat;
 mod host;
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -9,30 +9,30 @@
 use crate::hosts::StateTag;
 use crate::weights::Digest;
 
-/// How far a process has folded the configuration.
+/// Position up to which a process has applied the configuration log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ConfigPosition {
-    /// Next offset of the log the process wants.
+    /// Offset of the next record to apply.
     pub offset: u64,
-    /// Digest of the document there.
+    /// Digest of the state before that record.
     pub digest: Digest,
 }
 
-/// How far a version has come on a host.
+/// Progress of a model version on a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionProgress {
-    /// Chunks are on their way.
+    /// Chunks are being fetched.
     Fetching,
-    /// Every chunk is present and the whole digest matches.
+    /// Every chunk is present and the digest of the complete weights matches.
     Verified,
-    /// The engine answers with it.
+    /// The engine serves the version.
     Serving,
-    /// It cannot proceed; the cause is in the log and in `status`.
+    /// The version cannot proceed; the cause is in the log and in the output of `status`.
     Held,
 }
 
-/// One version on a host.
+/// Model version on a host and its progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostedVersion {
     /// Name of the model.
@@ -41,15 +41,15 @@
     pub version: String,
     /// Digest of the manifest.
     pub manifest: Digest,
-    /// How far it has come.
+    /// Progress of the version.
     pub progress: VersionProgress,
-    /// Share of the chunks present.
+    /// Share of the chunks that are present, in percent.
     pub present_percent: u8,
-    /// Why it is held.
+    /// Why the version cannot proceed, if it is held.
     pub held: Option<String>,
 }
 
-/// How busy an endpoint is.
+/// Load of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Requests running on the engine or service.
@@ -60,39 +60,41 @@
     pub slots: u32,
 }
 
-/// All that a process says of itself to the entries it reports to.
+/// Full report of a process to the entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the host.
     pub name: String,
     /// Address of the process.
     pub address: SocketAddr,
-    /// What runs on the host.
+    /// Role of the process.
     pub role: HostRole,
-    /// Region it stands in.
+    /// Region of the host.
     pub region: String,
-    /// Failure domain inside the region.
+    /// Failure domain within the region.
     pub domain: String,
-    /// Plain service beside it.
+    /// Plain service that the endpoint serves, if it serves no model.
     pub service: Option<String>,
-    /// Grows with each start of the process on this host.
+    /// Incarnation of the process; grows with each start on this host.
     pub incarnation: u64,
-    /// Whether it finishes its work and goes.
+    /// Whether the process is draining and will stop.
     pub leaving: bool,
-    /// Configuration in force on it.
+    /// Position up to which the process has applied the configuration log.
     pub config: ConfigPosition,
-    /// How busy it is.
+    /// Load of the process.
     pub load: Load,
-    /// Versions on it.
+    /// Model versions on the host.
     pub served: Vec<HostedVersion>,
-    /// Epoch that new permits for it should name.
+    /// Epoch to put into new permits for the process.
     pub permit_epoch: u64,
-    /// Requests that ran when endpoints crashed.
+    /// Records of requests that were running when endpoints crashed.
     pub suspects: Vec<SuspectRecord>,
 }
 
 impl Report {
-    /// Tag of all that changes seldom: not load, offset, epoch and suspects.
+    /// Tag of the fields that rarely change: name, address, incarnation and versions.
+    ///
+    /// The percentage of chunks present counts in steps of ten.
     pub fn state_tag(&self) -> StateTag {
         let served: Vec<_> = self
             .served
@@ -108,21 +110,21 @@
     }
 }
 
-/// What an entry answers to a report.
+/// Answer of an entry to a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportAnswer {
-    /// Configuration in force on the entry.
+    /// Position up to which the entry has applied the configuration log.
     pub config: ConfigPosition,
-    /// Requests that ran when endpoints crashed.
+    /// Records of requests that were running when endpoints crashed.
     pub suspects: Vec<SuspectRecord>,
-    /// Whether the entry is past its own bootstrap.
+    /// Whether the entry counts towards the majority that confirms a configuration.
     pub is_voter: bool,
-    /// Time since its configuration was known to be the end of the log.
+    /// Time since the entry's position was known to be the end of the log, in ms.
     pub confirmed_age_ms: Option<u64>,
 }
 
 impl ReportAnswer {
-    /// How far the entry has followed the log.
+    /// Returns the part of the answer about the entry's configuration.
     pub fn peer_status(&self) -> PeerStatus {
         PeerStatus {
             head: self.config.offset,
--- a/src/hosts/roster.rs
+++ b/src/hosts/roster.rs
@@ -8,55 +8,57 @@
 use crate::hosts::NameTag;
 use crate::hosts::Report;
 
-/// Time a list that lost more than half of its hosts must stand before it is believed.
+/// Time for which the removals of a list that lost index least half of its hosts are
+/// deferred, in ms, because such a list may be a fault of the platform.
 pub const REMOVAL_DELAY_MS: u64 = 30_000;
 
-/// Time after which a host neither listed nor heard is forgotten.
+/// Time after which a host that is not listed and sends nothing is removed, in ms.
 pub const HOST_EXPIRY_MS: u64 = 30_000;
 
-/// What became of a list from the platform.
+/// Result of merging a list of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListOutcome {
-    /// The list was merged.
+    /// Additions and removals were applied.
     Applied,
-    /// Its additions were merged; its removals wait, because too many went at once.
+    /// Only the additions were applied, because the list lost too many hosts index once.
     RemovalsDeferred,
 }
 
-/// What a report told.
+/// Result of merging a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// A host that was not known or not heard before.
+    /// The host was unknown or had not reported before.
     New,
-    /// A later incarnation at a known name.
+    /// A later incarnation replaced the current one of the same name.
     Replaced,
-    /// The incarnation that was known.
+    /// The report came from the current incarnation.
     Known,
-    /// An incarnation that has been replaced; the report was dropped.
+    /// The report came from an incarnation that was replaced, and was dropped.
     Outdated,
 }
 
-/// What a beat told.
+/// Result of merging a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// The sender is as its last full report said.
+    /// The state of the sender matches its last full report.
     Known,
-    /// The sender is not known as it is now; a full report is needed.
+    /// The sender, its incarnation or its state is unknown; a full report is needed.
     NeedsReport,
-    /// An incarnation that has been replaced; the beat was dropped.
+    /// The heartbeat came from an incarnation that was replaced, and was dropped.
     Outdated,
 }
 
+/// Place of a host in the roster; the generation grows when the host is removed.
 #[derive(Debug, Default)]
 struct Slot {
     generation: u32,
     host: Option<Host>,
 }
 
-/// The merged live list: the platform's lagging list and direct evidence.
+/// Known hosts, merged from the platform's lagging list and from received messages.
 ///
-/// Direct evidence goes before the list: a host that was heard is usable though
-/// the list lacks it, and a silent one is not though the list shows it.
+/// Messages take precedence over the list: a host that sends messages is usable
+/// even if it is not listed, and a silent host is not usable even if it is listed.
 #[derive(Debug, Default)]
 pub struct Roster {
     slots: Vec<Slot>,
@@ -67,17 +69,17 @@
 }
 
 impl Roster {
-    /// An empty roster.
+    /// Creates an empty roster.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Version of the list last merged.
+    /// Version of the last list whose removals were applied.
     pub fn list_version(&self) -> u64 {
         self.list_version
     }
 
-    /// The host of `key`, unless it was forgotten.
+    /// Returns the host of `key`, unless it was removed.
     pub fn host(&self, key: HostKey) -> Option<&Host> {
         let slot = self.slots.get(key.index as usize)?;
         if slot.generation != key.generation {
@@ -94,6 +96,7 @@
         slot.host.as_mut()
     }
 
+    /// Index of `name` in `by_name`, or the index at which to insert it.
     fn position(&self, name: &str) -> Result<usize, usize> {
         self.by_name.binary_search_by(|key| {
             let host = self.host(*key).expect("the index holds no stale key");
@@ -101,38 +104,38 @@
         })
     }
 
-    /// Key of the host called `name`.
+    /// Returns the key of the host called `name`.
     pub fn key(&self, name: &str) -> Option<HostKey> {
-        self.position(name).ok().map(|at| self.by_name[at])
+        self.position(name).ok().map(|index| self.by_name[index])
     }
 
-    /// Key of the host whose name has the given tag.
+    /// Returns the key of the host whose name has the given tag.
     pub fn key_of_tag(&self, tag: NameTag) -> Option<HostKey> {
-        let at = self.by_tag.binary_search_by_key(&tag, |(tag, _)| *tag);
-        at.ok().map(|at| self.by_tag[at].1)
+        let index = self.by_tag.binary_search_by_key(&tag, |(tag, _)| *tag);
+        index.ok().map(|index| self.by_tag[index].1)
     }
 
-    /// Every host, by name.
+    /// Iterates over all hosts, ascending by name.
     pub fn hosts(&self) -> impl Iterator<Item = (HostKey, &Host)> {
         self.by_name
             .iter()
             .filter_map(|key| self.host(*key).map(|host| (*key, host)))
     }
 
-    /// Number of hosts of `role` that the platform lists.
+    /// Counts the hosts of `role` that the platform lists.
     pub fn listed_count(&self, role: HostRole) -> usize {
         self.hosts()
             .filter(|(_, host)| host.role == role && host.is_listed)
             .count()
     }
 
-    /// Hosts of `role` that may get new work.
+    /// Iterates over the hosts of `role` that may get new work.
     pub fn usable(&self, role: HostRole, now_ms: u64) -> impl Iterator<Item = (HostKey, &Host)> {
         self.hosts()
             .filter(move |(_, host)| host.role == role && host.status(now_ms) == HostStatus::Usable)
     }
 
-    /// Hosts of `role` worth asking: usable ones and those not heard yet.
+    /// Iterates over the hosts of `role` that are usable or have not reported yet.
     pub fn contactable(
         &self,
         role: HostRole,
@@ -144,15 +147,15 @@
         })
     }
 
-    /// Merges a list of the platform.
+    /// Merges the platform's list of hosts.
     pub fn merge_list(&mut self, list: &HostList, now_ms: u64) -> ListOutcome {
         let mut names: Vec<&str> = list.hosts.iter().map(|host| host.name.as_str()).collect();
         names.sort_unstable();
-        let is_named = |host: &Host| names.binary_search(&host.name.as_str()).is_ok();
+        let is_in_list = |host: &Host| names.binary_search(&host.name.as_str()).is_ok();
         let listed_before = self.hosts().filter(|(_, host)| host.is_listed).count();
         let still_listed = self
             .hosts()
-            .filter(|(_, host)| host.is_listed && is_named(host))
+            .filter(|(_, host)| host.is_listed && is_in_list(host))
             .count();
         let removals_deferred = self.defers_removals(listed_before, still_listed, now_ms);
         for record in &list.hosts {
@@ -174,7 +177,7 @@
         for slot in &mut self.slots {
             if let Some(host) = &mut slot.host
                 && host.is_listed
-                && !is_named(host)
+                && !is_in_list(host)
             {
                 host.is_listed = false;
                 host.unlisted_since_ms = now_ms;
@@ -184,15 +187,15 @@
         ListOutcome::Applied
     }
 
-    /// Whether removals of a list are held back.
+    /// Whether the removals of a list are deferred.
     fn defers_removals(&mut self, listed_before: usize, still_listed: usize, now_ms: u64) -> bool {
-        let halved = still_listed * 2 <= listed_before && listed_before > 1;
-        if !halved {
+        let has_lost_half = still_listed * 2 <= listed_before && listed_before > 1;
+        if !has_lost_half {
             self.removals_deferred_since_ms = None;
             return false;
         }
         let since_ms = *self.removals_deferred_since_ms.get_or_insert(now_ms);
-        // An empty list is an outage of the list: the last known hosts stay.
+        // An empty list counts as an outage of the list, so the known hosts are kept.
         if still_listed > 0 && now_ms.saturating_sub(since_ms) >= REMOVAL_DELAY_MS {
             self.removals_deferred_since_ms = None;
             return false;
@@ -200,7 +203,7 @@
         true
     }
 
-    /// Merges what a host says of itself.
+    /// Merges a full report of a host.
     pub fn merge_report(&mut self, report: &Report, now_ms: u64) -> ReportOutcome {
         let Some(host) = self.key(&report.name).and_then(|key| self.host_mut(key)) else {
             self.insert(Host::from_report(report, now_ms));
@@ -209,78 +212,78 @@
         if report.incarnation < host.incarnation {
             return ReportOutcome::Outdated;
         }
-        let heard = match host.incarnation {
+        let outcome = match host.incarnation {
             0 => ReportOutcome::New,
             known if known < report.incarnation => ReportOutcome::Replaced,
             _ => ReportOutcome::Known,
         };
-        let mut told = Host::from_report(report, now_ms);
-        told.is_listed = host.is_listed;
-        told.unlisted_since_ms = host.unlisted_since_ms;
-        told.is_listed_leaving = host.is_listed_leaving && heard != ReportOutcome::Replaced;
-        if heard == ReportOutcome::Known {
-            told.has_reported_leaving |= host.has_reported_leaving;
-            told.heartbeat_sent_ms = host.heartbeat_sent_ms;
+        let mut updated = Host::from_report(report, now_ms);
+        updated.is_listed = host.is_listed;
+        updated.unlisted_since_ms = host.unlisted_since_ms;
+        updated.is_listed_leaving = host.is_listed_leaving && outcome != ReportOutcome::Replaced;
+        if outcome == ReportOutcome::Known {
+            updated.has_reported_leaving |= host.has_reported_leaving;
+            updated.heartbeat_sent_ms = host.heartbeat_sent_ms;
         }
-        *host = told;
-        heard
+        *host = updated;
+        outcome
     }
 
-    /// Merges a sign of life.
-    pub fn merge_heartbeat(&mut self, beat: &Heartbeat, now_ms: u64) -> HeartbeatOutcome {
+    /// Merges a heartbeat of a host.
+    pub fn merge_heartbeat(&mut self, heartbeat: &Heartbeat, now_ms: u64) -> HeartbeatOutcome {
         let Some(host) = self
-            .key_of_tag(beat.name)
+            .key_of_tag(heartbeat.name)
             .and_then(|key| self.host_mut(key))
         else {
             return HeartbeatOutcome::NeedsReport;
         };
-        if beat.incarnation < host.incarnation {
+        if heartbeat.incarnation < host.incarnation {
             return HeartbeatOutcome::Outdated;
         }
-        if beat.incarnation > host.incarnation {
+        if heartbeat.incarnation > host.incarnation {
             return HeartbeatOutcome::NeedsReport;
         }
         host.last_received_ms = Some(now_ms);
-        host.heartbeat_sent_ms = beat.sent_ms;
-        host.has_reported_leaving |= beat.leaving;
-        host.config_offset = Some(beat.config_offset);
-        host.load = beat.load;
-        host.permit_epoch = beat.permit_epoch;
-        if host.state_tag == Some(beat.state) {
+        host.heartbeat_sent_ms = heartbeat.sent_ms;
+        host.has_reported_leaving |= heartbeat.leaving;
+        host.config_offset = Some(heartbeat.config_offset);
+        host.load = heartbeat.load;
+        host.permit_epoch = heartbeat.permit_epoch;
+        if host.state_tag == Some(heartbeat.state) {
             HeartbeatOutcome::Known
         } else {
             HeartbeatOutcome::NeedsReport
         }
     }
 
-    /// Notes that a call to `key` failed in a way that shows its process is gone.
+    /// Records that a call to the host of `key` failed because its process is unreachable.
     pub fn record_failure(&mut self, key: HostKey, now_ms: u64) {
         if let Some(host) = self.host_mut(key) {
             host.last_failed_ms = Some(now_ms);
         }
     }
 
-    /// Notes that the host of `key` refused work because it is leaving.
+    /// Records that the host of `key` refused work because it is leaving.
     pub fn record_leaving(&mut self, key: HostKey) {
         if let Some(host) = self.host_mut(key) {
             host.has_reported_leaving = true;
         }
     }
 
-    /// Drops hosts that are neither listed nor heard for long.
+    /// Removes hosts that are not listed and sent nothing for [`HOST_EXPIRY_MS`].
     pub fn remove_expired(&mut self, now_ms: u64) {
-        let gone: Vec<HostKey> = self
+        let expired: Vec<HostKey> = self
             .hosts()
             .filter(|(_, host)| {
-                let unheard_since_ms = host
+                let silent_since_ms = host
                     .last_received_ms
                     .unwrap_or(0)
                     .max(host.unlisted_since_ms);
-                !host.is_listed && now_ms.saturating_sub(unheard_since_ms) > HOST_EXPIRY_MS
+                !host.is_listed && now_ms.saturating_sub(silent_since_ms) > HOST_EXPIRY_MS
             })
             .map(|(key, _)| key)
             .collect();
-        for key in gone {
+        for key in expired {
             self.by_name.retain(|kept| *kept != key);
             self.by_tag.retain(|(_, kept)| *kept != key);
             let slot = &mut self.slots[key.index as usize];
@@ -289,10 +292,11 @@
         }
     }
 
+    /// Adds a host, unless one of that name is known.
     fn insert(&mut self, host: Host) {
-        let at = match self.position(&host.name) {
+        let name_index = match self.position(&host.name) {
             Ok(_) => return,
-            Err(at) => at,
+            Err(index) => index,
         };
         let free = self.slots.iter().position(|slot| slot.host.is_none());
         let index = free.unwrap_or_else(|| {
@@ -306,8 +310,8 @@
             index: u32::try_from(index).expect("fewer than 2^32 hosts"),
             generation: slot.generation,
         };
-        self.by_name.insert(at, key);
-        let at = self.by_tag.partition_point(|(known, _)| *known < tag);
-        self.by_tag.insert(at, (tag, key));
+        self.by_name.insert(name_index, key);
+        let tag_index = self.by_tag.partition_point(|(known, _)| *known < tag);
+        self.by_tag.insert(tag_index, (tag, key));
     }
 }
