--- a/src/node/config_admission.rs
+++ b/src/node/config_admission.rs
@@ -1,25 +1,25 @@
 use crate::conf::PartitionPolicy;
 
-/// Time without confirmation after which a process counts as cut off.
+/// Time without confirmation after which a process counts as cut off from the log, in ms.
 pub const CUT_OFF_MS: u64 = 30_000;
 
-/// Whether a process admits new work, going by its configuration.
+/// Whether a process admits new work, as decided by the state of its configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigAdmission {
-    /// The configuration is confirmed.
+    /// The configuration was confirmed less than [`CUT_OFF_MS`] ago.
     Confirmed,
-    /// Cut off from the log for long; the policy is to serve on.
+    /// The process is cut off from the log, and the policy is to go on serving.
     CutOffServing,
-    /// Cut off from the log for long; the policy is to refuse.
+    /// The process is cut off from the log, and the policy is to refuse new work.
     CutOffRefusing,
-    /// Just started or woken, and not confirmed since.
+    /// The configuration was not confirmed since the start or the last pause.
     Unconfirmed,
 }
 
 impl ConfigAdmission {
-    /// Decides for a process last confirmed `age_ms` ago.
+    /// Decides for a process whose configuration was last confirmed `age_ms` ago.
     ///
-    /// `is_confirmed` tells whether that was since it started or last woke.
+    /// `is_confirmed` states whether that was after its start and its last pause.
     pub fn decide(is_confirmed: bool, age_ms: u64, policy: PartitionPolicy) -> Self {
         if !is_confirmed {
             return Self::Unconfirmed;
@@ -36,7 +36,7 @@
         matches!(self, Self::Confirmed | Self::CutOffServing)
     }
 
-    /// Name in metrics and answers.
+    /// Returns the name in metrics and answers.
     pub fn name(self) -> &'static str {
         match self {
             Self::Confirmed => "confirmed",
--- a/src/node/config_request.rs
+++ b/src/node/config_request.rs
@@ -12,17 +12,18 @@
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Time a peer has to answer a request.
+/// Timeout of a configuration request to a peer, in ms.
 const FETCH_TIMEOUT_MS: u64 = 3000;
 
-/// Asks a peer for what this process lacks.
+/// Request for the records or the checkpoint that the sender lacks.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ConfigRequest {
-    /// Head of the asking process.
+    /// Head of the requesting process.
     pub from: u64,
 }
 
-/// Takes over what the peer `name` at `address` holds beyond this process.
+/// Fetches and applies the configuration that the peer `name` at `address` has and this
+/// process lacks.
 pub async fn fetch_config(node: &Node, name: &str, address: SocketAddr) {
     let url = format!("http://{address}/x/config");
     let asked_ms = node.now_ms();
@@ -34,7 +35,7 @@
     }
 }
 
-/// Draws on what the peer `name` says of its configuration.
+/// Applies the status of the peer `name`, received without an update.
 pub(super) fn apply_peer_status(node: &Node, asked_ms: u64, name: &str, mark: PeerStatus) {
     let answer = PeerAnswer {
         mark,
@@ -43,6 +44,7 @@
     apply_peer_answer(node, asked_ms, name, &answer);
 }
 
+/// Applies the answer of the peer `name` to a request sent at `asked_ms`.
 fn apply_peer_answer(node: &Node, asked_ms: u64, name: &str, answer: &PeerAnswer) {
     let listed = node.roster().listed_count(HostRole::Entry);
     let now_ms = node.now_ms();
@@ -52,7 +54,7 @@
     emit_notices(node, &notices);
 }
 
-/// Logs what an operator should hear of.
+/// Writes each notice to the log as its event.
 pub fn emit_notices(node: &Node, notices: &[Notice]) {
     let name = node.name();
     for notice in notices {
--- a/src/node/datagram_receiver.rs
+++ b/src/node/datagram_receiver.rs
@@ -17,13 +17,13 @@
 use crate::node::reporter::HeartbeatSocket;
 use crate::node::reporter::send_report;
 
-/// Longest datagram that is read.
+/// Largest datagram that is received, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1024;
 
-/// Pause after the socket gave an error, such as a peer's port that is closed.
+/// Pause after an error of the socket, such as the closed port of a peer.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// Takes in datagrams for as long as the process runs.
+/// Receives and handles datagrams for as long as the process runs.
 pub(super) async fn receive_datagrams(node: Arc<Node>, socket: Arc<HeartbeatSocket>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
@@ -37,7 +37,7 @@
         }
         node.count_datagram("received", length);
         match Datagram::open(&buffer[..length], &socket.key) {
-            Some(Datagram::Beat(beat)) => handle_heartbeat(&node, &socket, &beat, from),
+            Some(Datagram::Beat(heartbeat)) => handle_heartbeat(&node, &socket, &heartbeat, from),
             Some(Datagram::Answer(answer)) => {
                 let node = Arc::clone(&node);
                 actix_rt::spawn(async move { handle_answer(&node, &answer).await });
@@ -47,24 +47,30 @@
     }
 }
 
-/// Merges a beat, and answers when the sender lacks something or asks.
-fn handle_heartbeat(node: &Node, socket: &HeartbeatSocket, beat: &Heartbeat, from: SocketAddr) {
+/// Merges a heartbeat; answers if the sender is behind, must report or wants an answer.
+fn handle_heartbeat(
+    node: &Node,
+    socket: &HeartbeatSocket,
+    heartbeat: &Heartbeat,
+    from: SocketAddr,
+) {
     let now_ms = node.now_ms();
-    let wants_report = match node.roster().merge_heartbeat(beat, now_ms) {
-        // Reports exchange what both know of suspects.
-        HeartbeatOutcome::Known => beat.suspects != node.suspects_tag(),
+    let wants_report = match node.roster().merge_heartbeat(heartbeat, now_ms) {
+        // A report exchanges the suspect records of both sides.
+        HeartbeatOutcome::Known => heartbeat.suspects != node.suspects_tag(),
         HeartbeatOutcome::NeedsReport => true,
         HeartbeatOutcome::Outdated => return,
     };
-    let is_behind = beat.config_offset < node.config_position().offset;
-    if wants_report || is_behind || beat.wants_answer {
-        let answer = node.heartbeat_answer(beat.incarnation, beat.sent_ms, wants_report);
+    let is_behind = heartbeat.config_offset < node.config_position().offset;
+    if wants_report || is_behind || heartbeat.wants_answer {
+        let answer = node.heartbeat_answer(heartbeat.incarnation, heartbeat.sent_ms, wants_report);
         let datagram = Datagram::Answer(answer).seal(&socket.key);
         socket.send(node, &datagram, from);
     }
 }
 
-/// Draws on an entry's answer: reports, pulls, or trusts what it confirms.
+/// Handles an entry's answer: fetches the configuration if this process is behind,
+/// otherwise applies the entry's status, and sends a report if requested.
 async fn handle_answer(node: &Arc<Node>, answer: &HeartbeatAnswer) {
     if answer.to != node.incarnation() {
         return;
@@ -88,7 +94,7 @@
     }
 }
 
-/// The entry that answers, if it is known here.
+/// Returns the entry that sent the answer, if it is in the roster.
 fn find_sender(node: &Node, answer: &HeartbeatAnswer) -> Option<ReportTarget> {
     let roster = node.roster();
     let key = roster.key_of_tag(answer.name)?;
--- a/src/node/host_list_watcher.rs
+++ b/src/node/host_list_watcher.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 use crate::observe::Tally;
 
-/// Reads the platform's list of hosts and merges it into the roster.
+/// Polls the platform's list of hosts and merges it into the roster.
 #[derive(Debug)]
 pub struct HostListWatcher {
     node: Arc<Node>,
@@ -18,7 +18,7 @@
 }
 
 impl HostListWatcher {
-    /// HostListWatcher of `node`'s platform.
+    /// Creates the watcher for the platform of `node`.
     pub fn new(node: Arc<Node>) -> Self {
         let client =
             HostsClient::new(&node.platform().hosts_url).with_cuts(Arc::clone(node.cuts()));
@@ -43,6 +43,8 @@
     }
 }
 
+/// Reads the list once and merges it; removes only expired hosts if the list has not
+/// changed or is unavailable.
 async fn poll_list(node: &Node, client: &HostsClient) {
     node.metrics()
         .add(Tally::PlatformCalls, 1, "call", "hosts_read");
@@ -53,7 +55,7 @@
         Ok(Some(list)) => {
             node.roster().merge_list(&list, now_ms);
         }
-        // An outage of the list keeps the last known hosts.
+        // An outage of the list keeps the listed hosts.
         Ok(None) | Err(_) => node.roster().remove_expired(now_ms),
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! What every process of the system has: an identity, the hosts it knows, the
-//! configuration it has folded, and the reports it exchanges with entries.
+//! Parts common to all processes: identity, roster of hosts, configuration, and
+//! the heartbeats and reports exchanged with entries.
 
 mod config_admission;
 mod config_request;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -37,30 +37,30 @@
 use crate::observe::Metrics;
 use crate::observe::Tally;
 
-/// Bytes of the head of a request or answer between two processes, about.
+/// Estimated size of the HTTP head of a request or answer between two processes, in bytes.
 const HTTP_HEADER_BYTES: usize = 200;
 
-/// Bytes of the IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram, in bytes.
 const IP_UDP_HEADER_BYTES: usize = 28;
 
-/// Time a request stays suspect after a crash it was near.
+/// Time for which a request stays suspect after an endpoint crashed while running it, in ms.
 const SUSPECT_WINDOW_MS: u64 = 600_000;
 
-/// Crashes remembered, counted once per request that ran.
+/// Largest number of suspect records; a crash adds one for each request that was running.
 const MAX_SUSPECT_RECORDS: usize = 1024;
 
-/// What this process says of itself beside its identity.
+/// Changing part of the state that this process reports.
 #[derive(Debug, Default)]
 pub struct OwnState {
-    /// How busy it is.
+    /// Load of the process.
     pub load: Load,
-    /// Versions on it.
+    /// Model versions on the host.
     pub served: Vec<HostedVersion>,
-    /// Epoch that new permits should name.
+    /// Epoch to put into new permits for the process.
     pub permit_epoch: u64,
 }
 
-/// One process of the system.
+/// State common to all parts of one process.
 #[derive(Debug)]
 pub struct Node {
     process: ProcessSettings,
@@ -81,7 +81,7 @@
 }
 
 impl Node {
-    /// A fresh incarnation with nothing known.
+    /// Creates a new incarnation with an empty roster and configuration.
     pub fn new(
         process: ProcessSettings,
         platform: PlatformSettings,
@@ -110,61 +110,61 @@
         }
     }
 
-    /// Who the process is.
+    /// Returns the settings of this process.
     pub fn process(&self) -> &ProcessSettings {
         &self.process
     }
 
-    /// Where the platform is.
+    /// Returns the settings of the platform.
     pub fn platform(&self) -> &PlatformSettings {
         &self.platform
     }
 
-    /// What all processes share.
+    /// Returns the settings common to all processes of the cluster.
     pub fn cluster(&self) -> &ClusterSettings {
         &self.cluster
     }
 
-    /// Plain service beside the process.
+    /// Returns the plain service that the endpoint serves, if it serves no model.
     pub fn service(&self) -> Option<&str> {
         self.service.as_deref()
     }
 
-    /// Name of the host.
+    /// Returns the name of the host.
     pub fn name(&self) -> &str {
         &self.process.name
     }
 
-    /// Grows with each start of the process on this host.
+    /// Returns the incarnation, which grows with each start of the process on this host.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Time since the process started; never goes back.
+    /// Returns the monotonic time since the start of the process, in ms.
     pub fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Counters of the process.
+    /// Returns the metrics of the process.
     pub fn metrics(&self) -> &Arc<Metrics> {
         &self.metrics
     }
 
-    /// Client towards the other processes.
+    /// Returns the HTTP client for other processes.
     pub fn http(&self) -> &HttpClient {
         &self.http
     }
 
-    /// Addresses that it does not reach during a drill.
+    /// Returns the simulated network cuts: addresses that the process must not reach in a test.
     pub fn cuts(&self) -> &Arc<Cuts> {
         &self.cuts
     }
 
-    /// Asks another process and counts the bytes of control traffic.
+    /// Sends a request to another process and counts the bytes as control traffic.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no usable answer came within `wait_ms`.
+    /// Returns [`LinkError`] when no valid answer arrived within `wait_ms`.
     pub async fn request<A: DeserializeOwned>(
         &self,
         url: &str,
@@ -180,12 +180,12 @@
         rmp_serde::from_slice(&answer).map_err(|error| malformed(error.to_string()))
     }
 
-    /// Counts a request or answer of control traffic with `body_bytes` of body.
+    /// Counts an HTTP message of control traffic with a body of `body_bytes`.
     pub fn count_control_message(&self, direction: &'static str, body_bytes: usize) {
         self.count_control_bytes(direction, body_bytes + HTTP_HEADER_BYTES);
     }
 
-    /// Counts a datagram of control traffic with `body_bytes` of body.
+    /// Counts a datagram of control traffic with a body of `body_bytes`.
     pub fn count_datagram(&self, direction: &'static str, body_bytes: usize) {
         self.count_control_bytes(direction, body_bytes + IP_UDP_HEADER_BYTES);
     }
@@ -197,55 +197,55 @@
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Bytes of control traffic so far, both ways, headers included.
+    /// Returns the control traffic since the start in both directions, headers included, in bytes.
     pub fn control_bytes(&self) -> u64 {
         self.control_bytes.load(Ordering::Relaxed)
     }
 
-    /// The hosts it knows.
+    /// Locks the roster of known hosts.
     pub fn roster(&self) -> MutexGuard<'_, Roster> {
         self.roster.lock().expect("no holder of the roster panics")
     }
 
-    /// The configuration it has folded and how it follows the log.
+    /// Locks the follower, which holds the configuration.
     pub fn follower(&self) -> MutexGuard<'_, Follower> {
         self.follower
             .lock()
             .expect("no holder of the follower panics")
     }
 
-    /// What it says of itself.
+    /// Locks the changing part of the reported state.
     pub fn own_state(&self) -> MutexGuard<'_, OwnState> {
         self.own_state
             .lock()
             .expect("no holder of the own state panics")
     }
 
-    /// Requests that ran when endpoints crashed.
+    /// Locks the table of requests that were running when endpoints crashed.
     pub fn suspects(&self) -> MutexGuard<'_, SuspectTable> {
         self.suspects
             .lock()
             .expect("no holder of the suspects panics")
     }
 
-    /// Everything known of suspects, to spread.
+    /// Returns all suspect records, to send to other processes.
     pub fn known_suspects(&self) -> Vec<SuspectRecord> {
         let now_ms = self.now_ms();
         self.suspects().export(now_ms)
     }
 
-    /// Tag of everything known of suspects.
+    /// Returns the tag of all suspect records.
     pub fn suspects_tag(&self) -> StateTag {
         let now_ms = self.now_ms();
         StateTag::of(self.suspects().digest(now_ms).as_bytes())
     }
 
-    /// The document in force.
+    /// Returns the current configuration document.
     pub fn document(&self) -> Arc<Document> {
         self.follower().fold().shared_document()
     }
 
-    /// How far the configuration has been folded.
+    /// Returns the position up to which the configuration log is applied.
     pub fn config_position(&self) -> ConfigPosition {
         let follower = self.follower();
         let fold = follower.fold();
@@ -255,17 +255,17 @@
         }
     }
 
-    /// Whether the process is leaving.
+    /// Whether the process is draining and will stop.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Starts to leave: no new work from now on.
+    /// Starts the drain: the process takes no new work from now on.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Whether the process may admit new work, going by its configuration.
+    /// Decides whether the state of the configuration allows to admit new work.
     pub fn admission(&self) -> ConfigAdmission {
         let now_ms = self.now_ms();
         let follower = self.follower();
@@ -277,7 +277,7 @@
         )
     }
 
-    /// Whether the process admits new work; work admitted while cut off is counted.
+    /// Whether the process admits new work; counts admissions while cut off from the log.
     pub fn is_ready(&self) -> bool {
         let admission = self.admission();
         if admission == ConfigAdmission::CutOffServing {
@@ -287,7 +287,7 @@
         admission.admits()
     }
 
-    /// What the process answers a peer that reported.
+    /// Creates the answer to a report of a peer.
     pub fn report_answer(&self) -> ReportAnswer {
         let mark = self.follower().status(self.now_ms());
         ReportAnswer {
@@ -301,14 +301,14 @@
         }
     }
 
-    /// What the process answers a peer whose head is `from`.
+    /// Creates the answer to a configuration request of a peer whose head is `from`.
     pub fn config_answer(&self, from: u64) -> PeerAnswer {
         let mut answer = self.follower().answer_peer(self.now_ms(), from);
         answer.mark.is_voter &= self.process.role == HostRole::Entry;
         answer
     }
 
-    /// The process's sign of life.
+    /// Creates a heartbeat of this process.
     pub fn heartbeat(&self, wants_answer: bool) -> Heartbeat {
         let report = self.report();
         Heartbeat {
@@ -325,7 +325,8 @@
         }
     }
 
-    /// What the process answers to a beat sent at `asked_ms` of the sender's clock.
+    /// Creates the answer to the heartbeat that incarnation `to` sent at `asked_ms` on its
+    /// own clock.
     pub fn heartbeat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> HeartbeatAnswer {
         let answer = self.report_answer();
         HeartbeatAnswer {
@@ -339,7 +340,7 @@
         }
     }
 
-    /// What the process says of itself now.
+    /// Creates a full report of this process.
     pub fn report(&self) -> Report {
         let suspects = self.known_suspects();
         let own = self.own_state();
@@ -361,7 +362,7 @@
     }
 }
 
-/// Time of the wall clock; only ever compared on the same host.
+/// Returns the time of the wall clock in µs, which is only compared on the same host.
 fn unix_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/node/report_targets.rs
+++ b/src/node/report_targets.rs
@@ -4,10 +4,10 @@
 use crate::hosts::HostRole;
 use crate::node::Node;
 
-/// Entries one process reports to.
+/// Number of entries that one process reports to.
 const FANOUT: usize = 10;
 
-/// An entry to report to.
+/// Entry to send heartbeats and reports to.
 #[derive(Debug, Clone)]
 pub(super) struct ReportTarget {
     pub(super) key: HostKey,
@@ -15,8 +15,8 @@
     pub(super) address: SocketAddr,
 }
 
-/// Entries that `node` reports to: the first by rendezvous rank of the names,
-/// and all of them while it needs the answers of a majority.
+/// Returns the entries that `node` reports to: the first [`FANOUT`] by rendezvous rank
+/// of the names, or all of them while the node needs the answers of a majority.
 pub(super) fn report_targets(node: &Node) -> Vec<ReportTarget> {
     let fanout = if node.admission().admits() {
         FANOUT
@@ -41,6 +41,7 @@
         .collect()
 }
 
+/// Rendezvous rank of the entry `to` for the process `from`; the lowest comes first.
 fn rendezvous_rank(from: &str, to: &str) -> [u8; 32] {
     *blake3::hash(format!("{from}\n{to}").as_bytes()).as_bytes()
 }
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -22,19 +22,19 @@
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Time between two checks that the process was not paused.
+/// Interval of the check whether the process was paused.
 const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two looks at whether those behind should be told of a new offset.
+/// Interval at which an entry checks whether to notify hosts of a new offset.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Beats between two that want an answer though nothing is new.
+/// Every how many rounds a heartbeat wants an answer even without an update.
 const ROUNDS_PER_ANSWER: u64 = 5;
 
-/// Time an entry has to answer a report.
+/// Timeout of a report to an entry, in ms.
 const REPORT_TIMEOUT_MS: u64 = 1000;
 
-/// Sends beats and reports to the entries and learns who is ahead.
+/// Sends heartbeats and reports to the entries and receives their answers.
 #[derive(Debug)]
 pub struct Reporter {
     node: Arc<Node>,
@@ -43,7 +43,7 @@
     notified_offset: u64,
 }
 
-/// The socket that datagrams go through, and their key.
+/// UDP socket of the process and the key that authenticates its datagrams.
 #[derive(Debug)]
 pub(super) struct HeartbeatSocket {
     pub(super) udp_socket: UdpSocket,
@@ -51,11 +51,12 @@
 }
 
 impl Reporter {
-    /// Reporter of `node`, on the UDP port of the number that `node` listens on.
+    /// Creates the reporter of `node`; binds the UDP port with the same number as the TCP
+    /// port of `node`.
     ///
     /// # Errors
     ///
-    /// The I/O error when the port cannot be bound.
+    /// Returns the I/O error when the port cannot be bound.
     pub fn bind(node: Arc<Node>) -> io::Result<Self> {
         let socket = StdUdpSocket::bind(node.process().listen)?;
         socket.set_nonblocking(true)?;
@@ -71,7 +72,7 @@
         })
     }
 
-    /// Sends a full report to every entry of the fan-out, all at a time.
+    /// Sends a full report to all report targets concurrently.
     pub async fn send_reports(node: &Arc<Node>) {
         let reports = report_targets(node)
             .into_iter()
@@ -79,7 +80,7 @@
         futures_util::future::join_all(reports).await;
     }
 
-    /// Sends one round of beats.
+    /// Sends one round of heartbeats to the report targets.
     fn send_heartbeats(&mut self) {
         let wants_answer =
             self.round.is_multiple_of(ROUNDS_PER_ANSWER) || !self.node.admission().admits();
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Tells those who are behind that there is a new offset.
+    /// On an entry, notifies the hosts that are behind of a new offset, once per offset.
     fn notify_outdated_hosts(&mut self) {
         let head = self.node.config_position().offset;
         if self.node.process().role != HostRole::Entry || head <= self.notified_offset {
@@ -115,7 +116,7 @@
 }
 
 impl HeartbeatSocket {
-    /// Sends a sealed datagram; one that cannot go out now is lost, as on the way.
+    /// Sends a sealed datagram; one that cannot be sent at once is dropped, as UDP may lose it.
     pub(super) fn send(&self, node: &Node, datagram: &[u8], to: std::net::SocketAddr) {
         if node.cuts().covers_address(to) {
             return;
@@ -130,15 +131,16 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        let pause = Duration::from_millis(self.node.cluster().gossip_ms);
+        let heartbeat_interval = Duration::from_millis(self.node.cluster().gossip_ms);
         context.run_interval(PAUSE_CHECK_INTERVAL, |this, _| tick(&this.node));
-        context.run_interval(pause, |this, _| this.send_heartbeats());
+        context.run_interval(heartbeat_interval, |this, _| this.send_heartbeats());
         context.run_interval(NOTIFY_INTERVAL, |this, _| this.notify_outdated_hosts());
         let receiving = receive_datagrams(Arc::clone(&self.node), Arc::clone(&self.socket));
         context.spawn(receiving.into_actor(self));
     }
 }
 
+/// Records that the process runs and logs an event if it was paused.
 fn tick(node: &Node) {
     let now_ms = node.now_ms();
     if node.follower().tick(now_ms) {
@@ -146,7 +148,7 @@
     }
 }
 
-/// Sends a full report to one entry and draws on its answer.
+/// Sends a full report to one entry and applies the answer.
 pub(super) async fn send_report(node: &Arc<Node>, target: ReportTarget) {
     let url = format!("http://{}/x/report", target.address);
     let asked_ms = node.now_ms();
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -15,27 +15,27 @@
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Bytes of an encoded [`ReportAnswer`], about.
+/// Estimated size of an encoded [`ReportAnswer`](crate::hosts::ReportAnswer), in bytes.
 const ANSWER_BYTES: usize = 80;
 
-/// Routes that every process serves.
+/// Registers the routes that every process serves.
 pub fn routes(app: &mut ServiceConfig, node: &Arc<Node>) {
     app.app_data(web::Data::from(Arc::clone(node)))
-        .route("/x/report", web::post().to(report))
-        .route("/x/config", web::post().to(config))
-        .route("/metrics", web::get().to(metrics))
-        .route("/health/live", web::get().to(live))
-        .route("/health/ready", web::get().to(ready));
+        .route("/x/report", web::post().to(receive_report))
+        .route("/x/config", web::post().to(answer_config_request))
+        .route("/metrics", web::get().to(render_metrics))
+        .route("/health/live", web::get().to(liveness))
+        .route("/health/ready", web::get().to(readiness));
 }
 
-async fn report(node: web::Data<Node>, request: HttpRequest, body: Bytes) -> HttpResponse {
+async fn receive_report(node: web::Data<Node>, request: HttpRequest, body: Bytes) -> HttpResponse {
     let report: Report = match open_call(&request, &body, &node.cluster().shared_key) {
         Ok(report) => report,
         Err(fault) => return fault.response(),
     };
     let now_ms = node.now_ms();
-    let heard = node.roster().merge_report(&report, now_ms);
-    if matches!(heard, ReportOutcome::New | ReportOutcome::Replaced) {
+    let outcome = node.roster().merge_report(&report, now_ms);
+    if matches!(outcome, ReportOutcome::New | ReportOutcome::Replaced) {
         emit(
             Event::HostJoined,
             &[("host", &report.name), ("incarnation", &report.incarnation)],
@@ -48,25 +48,29 @@
     rmp_response(&answer)
 }
 
-async fn config(node: web::Data<Node>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let pull: ConfigRequest = match open_call(&request, &body, &node.cluster().shared_key) {
-        Ok(pull) => pull,
+async fn answer_config_request(
+    node: web::Data<Node>,
+    request: HttpRequest,
+    body: Bytes,
+) -> HttpResponse {
+    let message: ConfigRequest = match open_call(&request, &body, &node.cluster().shared_key) {
+        Ok(message) => message,
         Err(fault) => return fault.response(),
     };
-    rmp_response(&node.config_answer(pull.from))
+    rmp_response(&node.config_answer(message.from))
 }
 
-async fn metrics(node: web::Data<Node>) -> HttpResponse {
+async fn render_metrics(node: web::Data<Node>) -> HttpResponse {
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
         .body(node.metrics().render())
 }
 
-async fn live() -> HttpResponse {
+async fn liveness() -> HttpResponse {
     HttpResponse::Ok().json("live")
 }
 
-async fn ready(node: web::Data<Node>) -> HttpResponse {
+async fn readiness(node: web::Data<Node>) -> HttpResponse {
     if node.admission().admits() && !node.is_leaving() {
         HttpResponse::Ok().json("ready")
     } else {
