--- a/src/document/errors.rs
+++ b/src/document/errors.rs
@@ -1,30 +1,30 @@
 use std::fmt;
 
-/// Why bytes of the log are not a record of the document.
+/// Reason why the bytes of a log record are not a valid record of the document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DocumentError {
-    /// The record holds no bytes.
+    /// The record is empty.
     Empty,
-    /// The record was written in a format this program does not know.
+    /// The version byte is not one that this program supports.
     UnknownVersion {
         /// Version byte of the record.
         version: u8,
     },
-    /// The bytes after the version do not decode.
+    /// The bytes after the version byte do not decode.
     Undecodable {
-        /// What the decoder said.
+        /// Message of the decoder.
         reason: String,
     },
     /// An id, team or section name is empty, too long or holds control characters or brackets.
     InvalidIdentifier {
-        /// Which field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
-    /// A body holds a section header.
+    /// A body contains a section header.
     HeaderInBody {
-        /// The offending line.
+        /// Line with the section header.
         line: String,
     },
     /// A checkpoint's digest does not match its contents.
@@ -38,18 +38,20 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => write!(f, "the record is empty"),
-            Self::UnknownVersion { version } => write!(f, "record version {version} is unknown"),
-            Self::Undecodable { reason } => write!(f, "the record does not decode: {reason}"),
+            Self::UnknownVersion { version } => {
+                write!(f, "record version {version} is not supported")
+            }
+            Self::Undecodable { reason } => write!(f, "the record cannot be decoded: {reason}"),
             Self::InvalidIdentifier { field, value } => {
                 write!(f, "{value:?} is not a valid {field}")
             }
             Self::HeaderInBody { line } => {
-                write!(f, "a body cannot hold the section header {line:?}")
+                write!(f, "a body must not contain the section header {line:?}")
             }
             Self::CorruptCheckpoint { as_of } => {
                 write!(
                     f,
-                    "the checkpoint of offset {as_of} does not match its digest"
+                    "the checkpoint at offset {as_of} does not match its digest"
                 )
             }
         }
--- a/src/document/section_fault.rs
+++ b/src/document/section_fault.rs
@@ -3,74 +3,75 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why an edit has no valid meaning: section, key and reason.
+/// Fault of a section or of one of its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionFault {
-    /// Section the edit is for.
+    /// Full name of the section.
     pub section: String,
-    /// Key at fault, unless the section as a whole is.
+    /// Key with the fault; `None` if the fault concerns the section as a whole.
     pub key: Option<String>,
-    /// What is wrong.
+    /// Reason of the fault.
     pub reason: FaultReason,
 }
 
-/// What is wrong with a section or one of its values.
+/// Reason why a section or one of its values is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultReason {
-    /// The edit breaks the structure of the document.
+    /// The structure of the edit is invalid; holds the error message.
     Structure(String),
-    /// A section that does not exist cannot be deleted.
+    /// The section to delete does not exist.
     Absent,
-    /// The section name has no known kind.
+    /// The first word of the section name is not a known kind.
     UnknownKind,
-    /// The name after the kind is missing or holds other than letters, digits, `.`, `_`, `-`.
+    /// The label after the kind is missing or has other characters than letters, digits,
+    /// `.`, `_` and `-`.
     InvalidLabel,
-    /// The body is not INI.
+    /// The body is not valid INI; holds the message of the parser.
     NotIni(String),
-    /// The key is not one of these.
+    /// The key is not known for this kind of section.
     UnknownKey {
-        /// Keys of this kind of section.
+        /// Keys allowed in this kind of section.
         known: Vec<String>,
     },
-    /// The key stands more than once.
+    /// The key is given more than once.
     RepeatedKey,
-    /// The key is required.
+    /// A required key is missing.
     MissingKey,
-    /// The value has another form than this.
+    /// The value is not allowed for the key.
     InvalidValue {
-        /// The value given.
+        /// Value in the section.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: String,
     },
-    /// The value names a section that does not exist.
+    /// The value refers to a section that does not exist.
     Dangling {
-        /// Section that is named.
+        /// Full name of the missing section.
         section: String,
     },
-    /// The shares of all branches together pass 100 percent.
+    /// The sum of the shares of all branches exceeds 100 percent.
     SharesExceed {
-        /// Sum with this edit.
+        /// Sum of the shares with this edit, in percent.
         sum_percent: u32,
     },
-    /// The section is too large.
+    /// The body of the section is too large.
     SectionTooLarge {
-        /// Size of the body.
+        /// Size of the body, in bytes.
         size_bytes: usize,
-        /// Largest body.
+        /// Largest allowed body, in bytes.
         max_bytes: usize,
     },
     /// The document would hold too many sections.
     TooManySections {
-        /// Largest number of sections.
+        /// Largest allowed number of sections.
         max: usize,
     },
     /// The document would be too large.
     DocumentTooLarge {
-        /// Size with this edit.
+        /// Size of the document with this edit, in bytes.
         size_bytes: usize,
-        /// Largest document.
+        /// Largest allowed document, in bytes.
         max_bytes: usize,
     },
 }
@@ -97,14 +98,16 @@
                     "a name of letters, digits, '.', '_' and '-' must follow the kind"
                 )
             }
-            Self::NotIni(reason) => write!(f, "the body is not INI: {reason}"),
-            Self::UnknownKey { known } => write!(f, "unknown key; known: {}", known.join(", ")),
-            Self::RepeatedKey => write!(f, "the key stands more than once"),
+            Self::NotIni(reason) => write!(f, "the body is not valid INI: {reason}"),
+            Self::UnknownKey { known } => {
+                write!(f, "unknown key; known keys: {}", known.join(", "))
+            }
+            Self::RepeatedKey => write!(f, "the key is given more than once"),
             Self::MissingKey => write!(f, "the key is required"),
             Self::InvalidValue { value, allowed } => {
                 write!(f, "{value:?} is not {allowed}")
             }
-            Self::Dangling { section } => write!(f, "there is no section [{section}]"),
+            Self::Dangling { section } => write!(f, "section [{section}] does not exist"),
             Self::SharesExceed { sum_percent } => write!(
                 f,
                 "the shares of all branches add up to {sum_percent} percent, more than 100"
@@ -114,7 +117,7 @@
                 max_bytes,
             } => write!(f, "the body has {size_bytes} bytes, more than {max_bytes}"),
             Self::TooManySections { max } => {
-                write!(f, "the document holds {max} sections, the most it can")
+                write!(f, "the document already has {max} sections, the maximum")
             }
             Self::DocumentTooLarge {
                 size_bytes,
--- a/tests/document/check.rs
+++ b/tests/document/check.rs
@@ -35,7 +35,7 @@
 #[test]
 fn check_edit_names_section_key_and_reason() {
     let body = format!("{}\nreplica = 3", model_body(12));
-    let unknown = "section [model chat], key \"replica\": unknown key; known: version";
+    let unknown = "section [model chat], key \"replica\": unknown key; known keys: version";
     assert_fault("model chat", &body, unknown);
     let body = model_body(12).replace("= 12", "= many");
     assert_fault(
@@ -58,7 +58,7 @@
     assert_fault(
         "model chat",
         &body,
-        "key \"version\": the key stands more than once",
+        "key \"version\": the key is given more than once",
     );
     let body = format!("{}\nburst_percent = 10", branch_body(20));
     assert_fault(
@@ -68,7 +68,7 @@
     );
     assert_fault("planet x", "", "the kind is not one of");
     assert_fault("model a/b", &model_body(1), "must follow the kind");
-    assert_fault("model chat", "nonsense", "not INI");
+    assert_fault("model chat", "nonsense", "not valid INI");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     }
     assert_eq!(fold.document().services().len(), MAX_SECTIONS);
     let over = faults(fold.document(), "service more", "timeout_ms = 5");
-    assert!(over[0].contains("holds 500 sections"));
+    assert!(over[0].contains("already has 500 sections"));
     assert!(faults(fold.document(), "service s1", "timeout_ms = 6").is_empty());
     for index in 0..MAX_SECTIONS {
         let name = format!("service s{index}");
