--- a/src/document/follow/checkpoint_search.rs
+++ b/src/document/follow/checkpoint_search.rs
@@ -2,7 +2,7 @@
 use crate::document::LogRecord;
 use crate::document::follow::RawLogRecord;
 
-/// Search of a trimmed log for a checkpoint to go on from.
+/// Search of a trimmed log for a checkpoint to start from.
 #[derive(Debug, Clone)]
 pub struct CheckpointSearch {
     position: u64,
@@ -11,7 +11,7 @@
 }
 
 impl CheckpointSearch {
-    /// Starts at the lowest offset still kept.
+    /// Creates a search that starts at `earliest`, the lowest offset that the log keeps.
     pub fn new(earliest: u64) -> Self {
         Self {
             position: earliest,
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Offset to read next.
+    /// Returns the offset to read next.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Looks at the records read.
+    /// Collects the checkpoints among `records` and advances the position.
     pub fn add_records(&mut self, records: &[RawLogRecord]) {
         for record in records {
             self.position = self.position.max(record.offset + 1);
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Offsets with two checkpoints that differ.
+    /// Returns the offsets that have two differing checkpoints.
     pub fn conflicting(&self) -> &[u64] {
         &self.conflicting
     }
 
-    /// The latest uncontested checkpoint that no record is missing after.
+    /// Returns the latest checkpoint without conflict from which the log is complete.
     pub fn latest_usable(&self, earliest: u64) -> Option<&Checkpoint> {
         self.found
             .iter()
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -13,10 +13,10 @@
 use crate::document::follow::checkpoint_search::CheckpointSearch;
 use crate::document::follow::recent_records::RecentRecords;
 
-/// Time between two ticks that only a pause explains.
+/// Time between two ticks from which on the process counts as paused, in ms.
 const PAUSE_MS: u64 = 5_000;
 
-/// The configuration of one process and how it stays up to date.
+/// Keeps the configuration of one process up to date.
 #[derive(Debug, Clone)]
 pub struct Follower {
     fold: Fold,
@@ -24,14 +24,14 @@
     readiness: Readiness,
     search: Option<CheckpointSearch>,
     last_tick_ms: u64,
-    // Answers to what was asked before this say nothing about the present.
+    // Start or end of the last pause; answers to earlier requests may be out of date.
     resumed_ms: u64,
     last_confirmed_ms: Option<u64>,
     checkpoint_observed_ms: u64,
 }
 
 impl Follower {
-    /// A process that just started.
+    /// Creates the follower of a process that just started.
     pub fn new(now_ms: u64) -> Self {
         Self {
             fold: Fold::new(),
@@ -45,39 +45,39 @@
         }
     }
 
-    /// The folded configuration.
+    /// Returns the configuration computed from the log.
     pub fn fold(&self) -> &Fold {
         &self.fold
     }
 
-    /// Whether the process may rely on it to admit new work.
+    /// Whether the process may rely on its configuration to admit new work.
     pub fn admits(&self, now_ms: u64) -> bool {
         self.readiness.admits() && !self.paused_since_tick(now_ms)
     }
 
-    /// Whether the process is past its bootstrap.
+    /// Whether an answer of this process counts towards a majority.
     pub fn is_voter(&self) -> bool {
         self.readiness.is_voter()
     }
 
-    /// Offset to read the log from.
+    /// Returns the offset to read the log from.
     pub fn next_read_offset(&self) -> u64 {
         self.search
             .as_ref()
             .map_or(self.fold.head(), CheckpointSearch::position)
     }
 
-    /// Time since the head was known to be the end of the log.
+    /// Time since the head was known to be the end of the log, in ms.
     pub fn confirmed_age_ms(&self, now_ms: u64) -> Option<u64> {
         Some(now_ms.saturating_sub(self.last_confirmed_ms?))
     }
 
-    /// Time since a checkpoint was seen in the log, or since the start.
+    /// Time since a matching checkpoint was observed in the log, or since the start, in ms.
     pub fn checkpoint_age_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.checkpoint_observed_ms)
     }
 
-    /// Notes that the process runs; true if it was paused before.
+    /// Records that the process runs at `now_ms`; returns true if it was paused before.
     pub fn tick(&mut self, now_ms: u64) -> bool {
         let paused = self.paused_since_tick(now_ms);
         self.last_tick_ms = now_ms;
@@ -88,7 +88,7 @@
         paused
     }
 
-    /// Takes in a page of the log that was asked for at `asked_ms`.
+    /// Applies a page of the log that was requested at `asked_ms`.
     pub fn apply_log_page(&mut self, now_ms: u64, asked_ms: u64, page: &LogPage) -> Vec<Notice> {
         self.tick(now_ms);
         if page.next < self.fold.head() {
@@ -111,7 +111,7 @@
         notices
     }
 
-    /// How far this process is.
+    /// Returns the status to send to peers.
     pub fn status(&self, now_ms: u64) -> PeerStatus {
         PeerStatus {
             head: self.fold.head(),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// What to answer a process whose head is `from`.
+    /// Returns the answer for a process whose head is `from`.
     pub fn answer_peer(&self, now_ms: u64, from: u64) -> PeerAnswer {
         let update = if from >= self.fold.head() {
             ConfigUpdate::None
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Takes in the answer of `peer`, asked at `asked_ms`, one of `listed` entries.
+    /// Applies the answer of `peer` to a request sent at `asked_ms`, where the platform
+    /// lists `listed` entries.
     pub fn apply_peer_answer(
         &mut self,
         now_ms: u64,
@@ -157,33 +158,35 @@
             });
             return notices;
         }
-        // A question from the future was asked by another process.
+        // A request time in the future shows that another process sent the request.
         if self.fold.head() >= answer.mark.head && asked_ms <= now_ms {
             self.apply_peer_status(asked_ms, peer, listed, &answer.mark);
         }
         notices
     }
 
-    fn diverges_from(&self, mark: &PeerStatus) -> bool {
-        let own = self.fold.digest_at(mark.head);
-        own.is_some_and(|digest| digest != mark.digest)
+    /// Whether the peer's digest differs from the one of this process at the same head.
+    fn diverges_from(&self, status: &PeerStatus) -> bool {
+        let own = self.fold.digest_at(status.head);
+        own.is_some_and(|digest| digest != status.digest)
     }
 
-    /// Draws on what a peer knows, once this process holds all that the peer holds.
-    fn apply_peer_status(&mut self, asked_ms: u64, peer: &str, listed: usize, mark: &PeerStatus) {
-        if let Some(age_ms) = mark.confirmed_age_ms {
+    /// Takes over the confirmation of a peer that this process is not behind.
+    fn apply_peer_status(&mut self, asked_ms: u64, peer: &str, listed: usize, status: &PeerStatus) {
+        if let Some(age_ms) = status.confirmed_age_ms {
             let at_ms = asked_ms.saturating_sub(age_ms);
             self.record_confirmation(at_ms);
-            // The peer knows the end of the log as it was after this process woke.
+            // The peer's head was the end of the log after the start or the last pause.
             if at_ms > self.resumed_ms {
                 self.readiness.confirm();
             }
         }
-        if mark.is_voter && asked_ms >= self.resumed_ms {
+        if status.is_voter && asked_ms >= self.resumed_ms {
             self.readiness.record_voter(peer, listed);
         }
     }
 
+    /// Whether the process was paused since the last tick.
     fn paused_since_tick(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.last_tick_ms) >= PAUSE_MS
     }
@@ -192,18 +195,18 @@
         let before = self.fold.head();
         let mut notices = Vec::new();
         for record in records {
-            let applied = self.fold.apply(record.offset, &record.bytes);
+            let outcome = self.fold.apply(record.offset, &record.bytes);
             if matches!(
-                applied,
+                outcome,
                 RecordOutcome::AlreadyApplied | RecordOutcome::Gap { .. }
             ) {
                 continue;
             }
             self.recent.push(record.offset, &record.bytes);
-            if matches!(applied, RecordOutcome::CheckpointMatches { .. }) {
+            if matches!(outcome, RecordOutcome::CheckpointMatches { .. }) {
                 self.checkpoint_observed_ms = now_ms;
             }
-            notices.extend(notice_for(record.offset, applied));
+            notices.extend(notice_for(record.offset, outcome));
         }
         self.push_advanced(before, &mut notices);
         notices
@@ -225,6 +228,7 @@
         notices
     }
 
+    /// Searches a page of a trimmed log for checkpoints; applies the best one at the end.
     fn search_page(&mut self, page: &LogPage) -> Vec<Notice> {
         let mut search = self
             .search
@@ -250,10 +254,12 @@
         notices
     }
 
+    /// Records that the head was the end of the log at `at_ms`.
     fn record_confirmation(&mut self, at_ms: u64) {
         self.last_confirmed_ms = self.last_confirmed_ms.max(Some(at_ms));
     }
 
+    /// Adds a notice if the head is greater than `before`.
     fn push_advanced(&self, before: u64, notices: &mut Vec<Notice>) {
         let head = self.fold.head();
         if head > before {
@@ -262,9 +268,10 @@
     }
 }
 
-fn notice_for(offset: u64, applied: RecordOutcome) -> Option<Notice> {
-    match applied {
-        // A peer passes a checkpoint on as an empty record.
+/// Returns the notice for the outcome of the record at `offset`, if one is needed.
+fn notice_for(offset: u64, outcome: RecordOutcome) -> Option<Notice> {
+    match outcome {
+        // A peer sends an empty record in place of a checkpoint.
         RecordOutcome::Skipped(DocumentError::Empty) => None,
         RecordOutcome::Skipped(error) => Some(Notice::Skipped { offset, error }),
         RecordOutcome::CheckpointDiffers { as_of } => Some(Notice::CheckpointDiffers { as_of }),
--- a/src/document/follow/log_page.rs
+++ b/src/document/follow/log_page.rs
@@ -1,23 +1,23 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One record of the log.
+/// Encoded record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RawLogRecord {
     /// Offset of the record.
     pub offset: u64,
-    /// Its bytes; empty in place of a checkpoint when a peer passes it on.
+    /// Encoded record; a peer sends empty bytes in place of a record that is not a valid edit.
     #[serde(with = "crate::links::raw_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// Records of the log in offset order.
+/// Part of the log, as returned by one read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogPage {
-    /// Lowest offset the log still keeps.
+    /// Lowest offset that the log still keeps.
     pub earliest: u64,
     /// Offset of the next append.
     pub next: u64,
-    /// Records from the offset asked for.
+    /// Records from the requested offset on, ascending by offset.
     pub records: Vec<RawLogRecord>,
 }
--- a/src/document/follow/log_schedule.rs
+++ b/src/document/follow/log_schedule.rs
@@ -1,33 +1,35 @@
-/// Entries that always read the log.
+/// Number of entries, by rank, that always read the log.
 pub const PERMANENT_LOG_READERS: usize = 3;
 
-/// Time without confirmation after which the next entry reads the log too.
+/// Time without confirmation after which the next entry by rank reads the log too, in ms.
 const TAKEOVER_DELAY_MS: u64 = 3_000;
 
-/// Further time for each later rank.
+/// Additional time for each further rank, in ms.
 const TAKEOVER_STEP_MS: u64 = 1_000;
 
-/// A checkpoint is due after this fraction of the retention.
+/// Fraction of the log's retention after which rank 0 publishes a checkpoint.
 const CHECKPOINT_FRACTION: u64 = 8;
 
-/// Further fraction of the retention for each later rank.
+/// Additional fraction of the retention for each further rank.
 const CHECKPOINT_STEP_FRACTION: u64 = 64;
 
-/// Ranks that may publish a checkpoint; the last is due at a quarter of the retention.
+/// Number of ranks that publish checkpoints; the last does so just before a quarter of
+/// the retention.
 const CHECKPOINT_RANKS: usize = 8;
 
-/// An entry that may read the log, and where it stands.
+/// Entry that may read the log, and its location.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogReader<'a> {
     /// Name of the entry.
     pub name: &'a str,
-    /// Region it stands in.
+    /// Region of the entry.
     pub region: &'a str,
-    /// Failure domain inside the region.
+    /// Failure domain within the region.
     pub domain: &'a str,
 }
 
-/// Rank of the entry `name` among `entries`, taking failure domains in turn.
+/// Returns the rank of the entry `name` among `entries`, alternating between failure
+/// domains; the number of entries if it is not among them.
 pub fn log_rank(name: &str, entries: &[LogReader<'_>]) -> usize {
     let Some(own) = entries.iter().find(|entry| entry.name == name) else {
         return entries.len();
@@ -39,35 +41,35 @@
         .count()
 }
 
-/// Position inside the failure domain, then name.
+/// Sort key of an entry: its index within the failure domain, then its name.
 fn rank_key<'a>(entry: &LogReader<'a>, entries: &[LogReader<'_>]) -> (usize, &'a str) {
-    let before = entries
+    let index_in_domain = entries
         .iter()
         .filter(|other| (other.region, other.domain) == (entry.region, entry.domain))
         .filter(|other| other.name < entry.name)
         .count();
-    (before, entry.name)
+    (index_in_domain, entry.name)
 }
 
-/// What an entry of some rank does at the log.
+/// Decides when an entry reads the log and publishes checkpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct LogSchedule {
-    /// Rank of the entry.
+    /// Rank of the entry; see [`log_rank`].
     pub rank: usize,
-    /// How long the log keeps a record.
+    /// Time for which the log keeps a record, in ms.
     pub retention_ms: u64,
 }
 
 impl LogSchedule {
-    /// Whether to read the log, `unconfirmed_ms` after the head was last confirmed.
+    /// Whether to read the log when the head was last confirmed `unconfirmed_ms` ago.
     pub fn reads_log(&self, unconfirmed_ms: u64) -> bool {
-        let Some(later) = self.rank.checked_sub(PERMANENT_LOG_READERS) else {
+        let Some(steps) = self.rank.checked_sub(PERMANENT_LOG_READERS) else {
             return true;
         };
-        unconfirmed_ms >= TAKEOVER_DELAY_MS + later as u64 * TAKEOVER_STEP_MS
+        unconfirmed_ms >= TAKEOVER_DELAY_MS + steps as u64 * TAKEOVER_STEP_MS
     }
 
-    /// Whether to publish a checkpoint, `unobserved_ms` after the last one was seen.
+    /// Whether to publish a checkpoint when the last one was observed `unobserved_ms` ago.
     pub fn publishes_checkpoint(&self, unobserved_ms: u64) -> bool {
         if self.rank >= CHECKPOINT_RANKS {
             return false;
--- a/src/document/follow/mod.rs
+++ b/src/document/follow/mod.rs
@@ -1,16 +1,18 @@
-//! Following the log: who reads it, how the rest catch up, and when a process
-//! may rely on what it holds.
+//! Following the log: which entries read it, how other processes catch up, and
+//! when a process may rely on its configuration.
 //!
-//! A few entries read the log; everybody else compares `(head, digest)` with
-//! the entries it talks to and pulls the records it lacks, or a checkpoint.
-//! The higher head always wins, so nothing reverts.
+//! A few entries read the log. All other processes compare `(head, digest)` with
+//! the entries that they report to and fetch the records they lack, or a
+//! checkpoint. A process only ever moves to a higher head, so the configuration
+//! never reverts.
 //!
-//! A fresh process holds nothing and a woken one may be out of date. Neither
-//! admits work before it has read the log to its end, or a majority of the
-//! listed entries has answered. Only entries that are past this themselves
-//! count towards the majority: so a head that was once held by a majority is
-//! found again by every later process, even when hosts are replaced while the
-//! log is down.
+//! A process that just started has no configuration, and the configuration of a
+//! process that was paused may be out of date. Both admit no work until they have
+//! read the log to its end, or learned from a peer that their head was its end
+//! since then, or a majority of the listed entries has answered. Only entries
+//! that once passed this check count towards the majority. A head that a
+//! majority of the entries held is therefore found by every later process, even
+//! if hosts are replaced during an outage of the log.
 
 mod checkpoint_search;
 mod follower;
--- a/src/document/follow/notice.rs
+++ b/src/document/follow/notice.rs
@@ -1,47 +1,48 @@
 use crate::document::DocumentError;
 
-/// Something an operator should hear of.
+/// Event of following the log that is logged for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
-    /// A later head is in force.
+    /// The head of this process advanced.
     Advanced {
-        /// The new head.
+        /// New head.
         head: u64,
     },
-    /// A record is not one of ours; every process skips it.
+    /// A record does not decode or has no valid structure; every process skips it.
     Skipped {
         /// Offset of the record.
         offset: u64,
-        /// What is wrong with it.
+        /// Fault of the record.
         error: DocumentError,
     },
-    /// A checkpoint contradicts the records; the records stand.
+    /// A checkpoint is corrupt or differs from the state computed from the records, which
+    /// is kept.
     CheckpointDiffers {
         /// Offset of the checkpoint.
         as_of: u64,
     },
-    /// Two checkpoints of one offset differ; neither is adopted.
+    /// Two checkpoints of one offset differ; neither is applied.
     ConflictingCheckpoints {
-        /// Their offset.
+        /// Offset of both checkpoints.
         as_of: u64,
     },
-    /// Records this process lacks are no longer kept, and no checkpoint covers them.
+    /// The log no longer keeps records that this process lacks, and no checkpoint covers them.
     Trimmed {
-        /// Offset wanted next.
+        /// Offset of the next record that this process needs.
         wanted: u64,
-        /// Lowest offset still kept.
+        /// Lowest offset that the log still keeps.
         earliest: u64,
     },
-    /// The log ends before records that were already read from it.
+    /// The log ends before records that this process has already applied.
     LogWentBack {
         /// End of the log.
         next: u64,
         /// Head of this process.
         head: u64,
     },
-    /// A peer holds another state at the same head.
+    /// The digest of a peer differs from the own digest at the same head.
     Diverged {
-        /// The common head.
+        /// Head of the peer.
         head: u64,
     },
 }
--- a/src/document/follow/peer_answer.rs
+++ b/src/document/follow/peer_answer.rs
@@ -5,35 +5,35 @@
 use crate::document::follow::RawLogRecord;
 use crate::weights::Digest;
 
-/// How far a peer is.
+/// Position of a peer in the log, and how current it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Head of the peer.
+    /// Offset of the next record that the peer will apply.
     pub head: u64,
-    /// Digest of its state.
+    /// Digest of the peer's state at its head.
     pub digest: Digest,
-    /// Whether the peer is an entry past its own bootstrap.
+    /// Whether the peer is an entry that counts towards the majority.
     pub is_voter: bool,
-    /// Time since its head was known to be the end of the log.
+    /// Time since the peer's head was known to be the end of the log, in ms.
     pub confirmed_age_ms: Option<u64>,
 }
 
-/// What one process tells another about its configuration.
+/// Answer of a peer to a request for its configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerAnswer {
-    /// How far the peer is.
+    /// Status of the peer.
     pub mark: PeerStatus,
-    /// What the asking process lacks.
+    /// Records or state that the requesting process lacks.
     pub update: ConfigUpdate,
 }
 
-/// What a process lacks, as records or as the whole state.
+/// Update of the configuration for a process that is behind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigUpdate {
-    /// Nothing.
+    /// The requesting process is not behind.
     None,
-    /// Records from the head of the asking process.
+    /// Records from the head of the requesting process on.
     Records(Vec<RawLogRecord>),
-    /// The state at the head of the peer.
+    /// The complete state at the head of the peer.
     Checkpoint(Box<Checkpoint>),
 }
--- a/src/document/follow/readiness.rs
+++ b/src/document/follow/readiness.rs
@@ -1,20 +1,20 @@
-/// How far a process may rely on the configuration it holds.
+/// Whether a process may rely on its configuration to admit work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Readiness {
-    /// Just started; it may lack what was in force before.
+    /// The process just started and may lack records that others have applied.
     Started(VotersAnswered),
-    /// Paused for a while; it may be out of date.
+    /// The process was paused, so its configuration may be out of date.
     Resumed(VotersAnswered),
-    /// Confirmed; it admits work.
+    /// The configuration is confirmed; the process admits work.
     Confirmed,
 }
 
-/// Entries that answered since the process started or woke, ascending.
+/// Names of the voting entries that answered since the start or the last pause, ascending.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct VotersAnswered(Vec<String>);
 
 impl Readiness {
-    /// A process that just started.
+    /// Creates the state of a process that just started.
     pub fn started() -> Self {
         Self::Started(VotersAnswered::default())
     }
@@ -24,12 +24,14 @@
         matches!(self, Self::Confirmed)
     }
 
-    /// Whether an answer of this process counts; a woken one still holds what it held.
+    /// Whether an answer of this process counts towards a majority.
+    ///
+    /// It does after a pause too, because the process keeps its configuration.
     pub fn is_voter(&self) -> bool {
         !matches!(self, Self::Started(_))
     }
 
-    /// The process was paused.
+    /// Records that the process was paused, which requires a new confirmation.
     pub fn reset_after_pause(&mut self) {
         match self {
             Self::Confirmed | Self::Resumed(_) => *self = Self::Resumed(VotersAnswered::default()),
@@ -37,12 +39,13 @@
         }
     }
 
-    /// The log was read to its end.
+    /// Records that the configuration was known to be at the end of the log.
     pub fn confirm(&mut self) {
         *self = Self::Confirmed;
     }
 
-    /// The entry `name`, one of `listed` entries, answered and counts.
+    /// Records an answer of the voting entry `name`, where the platform lists `listed`
+    /// entries; a majority of them confirms the configuration.
     pub fn record_voter(&mut self, name: &str, listed: usize) {
         let (Self::Started(voters) | Self::Resumed(voters)) = self else {
             return;
--- a/src/document/follow/recent_records.rs
+++ b/src/document/follow/recent_records.rs
@@ -3,13 +3,13 @@
 use crate::document::LogRecord;
 use crate::document::follow::RawLogRecord;
 
-/// Bytes of records kept for peers.
+/// Largest total size of the kept records, in bytes.
 const MAX_RECENT_BYTES: usize = 512 * 1024;
 
-/// Records kept for peers.
+/// Largest number of kept records.
 const MAX_RECENT_RECORDS: usize = 1_024;
 
-/// The last records applied, without a hole, for peers that lack them.
+/// Most recently applied records without a gap, kept for peers that lack them.
 #[derive(Debug, Clone, Default)]
 pub struct RecentRecords {
     records: VecDeque<RawLogRecord>,
@@ -17,9 +17,9 @@
 }
 
 impl RecentRecords {
-    /// Keeps a record that was just applied.
+    /// Adds a record that was just applied.
     pub fn push(&mut self, offset: u64, bytes: &[u8]) {
-        // A checkpoint changes nothing but the head, and so does an empty record.
+        // A checkpoint or an invalid record only advances the head, as an empty record does.
         let bytes = match LogRecord::decode(bytes) {
             Ok(LogRecord::Edit(_)) => bytes.to_vec(),
             Ok(LogRecord::Checkpoint(_)) | Err(_) => Vec::new(),
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Forgets everything, as a checkpoint leaves a hole.
+    /// Removes all records, because applying a checkpoint leaves a gap.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Every record from `offset`, unless some are no longer kept.
+    /// Returns all records from `offset` on; `None` if some are no longer kept.
     pub fn since(&self, offset: u64) -> Option<Vec<RawLogRecord>> {
         let first = self.records.front()?.offset;
         let skip = usize::try_from(offset.checked_sub(first)?).ok()?;
