--- a/src/document/branch_section.rs
+++ b/src/document/branch_section.rs
@@ -3,34 +3,36 @@
 use crate::document::section_reader::SectionReader;
 use crate::weights::Digest;
 
-/// Largest weight of a branch.
+/// Largest allowed weight of a branch.
 const MAX_WEIGHT: u32 = 1_000_000;
 
-/// Weight of a branch that sets none.
+/// Weight of a branch whose section has no key `weight`.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// A branch: its token, its share of the fleet and what it may use.
+/// Section of a branch: its token, its share of the fleet and what it may use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BranchSection {
     /// Name of the branch.
     pub name: String,
-    /// BLAKE3 digest of its bearer token.
+    /// BLAKE3 digest of the branch's bearer token.
     pub token_digest: Digest,
-    /// Weight in the fair queues.
+    /// Weight of the branch in the fair queues.
     pub weight: u32,
-    /// Share of the fleet it may always claim.
+    /// Share of the fleet that the branch may always use, in percent.
     pub share_percent: u32,
-    /// Share of the fleet it may claim in a burst.
+    /// Share of the fleet that the branch may use in a burst, in percent.
     pub burst_percent: u32,
-    /// Models it may use.
+    /// Models that the branch may use.
     pub models: Vec<String>,
-    /// Services it may call.
+    /// Services that the branch may call.
     pub services: Vec<String>,
 }
 
 impl BranchSection {
+    /// First word of the name of a branch section.
     pub(super) const KIND: &'static str = "branch";
 
+    /// Keys allowed in a branch section.
     const KEYS: [&'static str; 6] = [
         "token_digest",
         "weight",
@@ -40,6 +42,7 @@
         "services",
     ];
 
+    /// Parses a branch section; returns all faults found if it is invalid.
     pub(super) fn parse(section: &Section) -> Result<Self, Vec<SectionFault>> {
         let mut reader = SectionReader::new(section, &Self::KEYS)?;
         let share_percent = reader.required_number("share_percent", 0..=100);
--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -7,23 +7,23 @@
 use crate::document::SectionFault;
 use crate::document::ServiceSection;
 
-/// Most sections of a document.
+/// Largest number of sections in a document.
 pub const MAX_SECTIONS: usize = 500;
 
-/// Largest body of a section.
+/// Largest body of a section, in bytes.
 pub const MAX_SECTION_BYTES: usize = 64 * 1024;
 
-/// Largest document, names and bodies together.
+/// Largest document, in bytes of all section names and bodies.
 pub const MAX_DOCUMENT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Sum of the shares of all branches.
+/// Largest sum of the shares of all branches, in percent.
 const MAX_SHARES_PERCENT: u32 = 100;
 
-/// Checks that `edit` has a valid meaning on top of `document`.
+/// Checks the structure and the meaning of `edit` applied to `document`.
 ///
 /// # Errors
 ///
-/// Returns every fault found; nothing of the edit is accepted then.
+/// Returns every fault found; an edit with a fault must not be appended to the log.
 pub fn check_edit(document: &Document, edit: &Edit) -> Result<(), Vec<SectionFault>> {
     let fault = |reason| {
         Err(vec![SectionFault {
@@ -53,7 +53,8 @@
     check_section(document, &section)
 }
 
-/// Parts of the document that have no effect: invalid sections and dangling references.
+/// Lists the parts of `document` without effect: invalid sections and references to
+/// sections that do not exist.
 pub fn inert_parts(document: &Document) -> Vec<SectionFault> {
     let mut faults = Vec::new();
     for section in document.sections() {
@@ -68,45 +69,49 @@
             .map(|model| ("models", format!("model {model}")));
         let services = branch.services.iter();
         let services = services.map(|service| ("services", format!("service {service}")));
-        for (key, named) in models.chain(services) {
+        for (key, referenced) in models.chain(services) {
             faults.extend(dangling_reference(
                 document,
                 format!("branch {}", branch.name),
                 key,
-                named,
+                referenced,
             ));
         }
     }
     for model in document.models() {
         if let Some(base) = &model.base {
-            let named = format!("model {base}");
+            let referenced = format!("model {base}");
             faults.extend(dangling_reference(
                 document,
                 format!("model {}", model.name),
                 "base",
-                named,
+                referenced,
             ));
         }
     }
     faults
 }
 
+/// Returns the fault of a reference to a section that does not exist.
 fn dangling_reference(
     document: &Document,
     section: String,
     key: &str,
-    named: String,
+    referenced: String,
 ) -> Option<SectionFault> {
-    if document.section(&named).is_some() {
+    if document.section(&referenced).is_some() {
         return None;
     }
     Some(SectionFault {
         section,
         key: Some(key.to_owned()),
-        reason: FaultReason::Dangling { section: named },
+        reason: FaultReason::Dangling {
+            section: referenced,
+        },
     })
 }
 
+/// Checks the name, the keys and the values of a section.
 fn check_section(document: &Document, section: &Section) -> Result<(), Vec<SectionFault>> {
     let fault = |reason| {
         Err(vec![SectionFault {
@@ -126,6 +131,7 @@
     }
 }
 
+/// Checks a branch section, and that the shares of all branches fit together.
 fn check_branch(document: &Document, section: &Section) -> Result<(), Vec<SectionFault>> {
     let branch = BranchSection::parse(section)?;
     let others: u32 = document
@@ -145,6 +151,7 @@
     }])
 }
 
+/// Returns the size limit that the document would exceed with `body` in section `name`.
 fn exceeded_limit(document: &Document, name: &str, body: &str) -> Option<FaultReason> {
     if body.len() > MAX_SECTION_BYTES {
         return Some(FaultReason::SectionTooLarge {
@@ -164,6 +171,7 @@
     })
 }
 
+/// Whether `label` can stand after the kind in a section name.
 fn is_label(label: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     !label.is_empty() && label.chars().all(allowed)
--- a/src/document/checkpoint.rs
+++ b/src/document/checkpoint.rs
@@ -8,23 +8,23 @@
 use crate::document::Tombstone;
 use crate::weights::Digest;
 
-/// The whole state of a fold at an offset.
+/// Complete state of a fold at an offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Every record before this offset is folded in.
+    /// Offset of the checkpoint; every record before it is applied.
     pub as_of: u64,
-    /// Digest of the state, including `as_of`.
+    /// Digest of the other fields.
     pub digest: Digest,
     /// Sections, ascending by name.
     pub sections: Vec<Section>,
     /// Deleted sections, ascending by name.
     pub tombstones: Vec<Tombstone>,
-    /// Remembered edits, ascending by offset.
+    /// Decided edits that are kept, ascending by offset.
     pub edits: Vec<EditEntry>,
 }
 
 impl Checkpoint {
-    /// A checkpoint with the digest of its contents.
+    /// Creates a checkpoint and computes its digest.
     pub fn new(as_of: u64, document: &Document, edits: &[EditEntry]) -> Self {
         Self {
             as_of,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The document it holds.
+    /// Returns the document in the checkpoint.
     pub fn document(&self) -> Document {
         Document::from_parts(self.sections.clone(), self.tombstones.clone())
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Digest of a fold's state at `as_of`.
+/// Computes the digest of a fold's state at `as_of`.
 pub(super) fn state_digest(as_of: u64, document: &Document, edits: &[EditEntry]) -> Digest {
     let state = (as_of, document.sections(), document.tombstones(), edits);
     let bytes = rmp_serde::to_vec(&state).expect("strings, numbers and digests always encode");
--- a/src/document/checkpoint_outcome.rs
+++ b/src/document/checkpoint_outcome.rs
@@ -1,11 +1,11 @@
-/// What adopting a checkpoint did.
+/// Result of applying a checkpoint to a fold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckpointOutcome {
-    /// The fold moved forward to the checkpoint.
+    /// The fold advanced to the checkpoint.
     Advanced,
-    /// The fold is at or past the checkpoint; nothing changed.
+    /// The fold is already at or past the checkpoint's offset; nothing changed.
     NotNewer,
-    /// Same offset, different digest; nothing changed.
+    /// The fold had a different digest at the checkpoint's offset; nothing changed.
     Differs,
     /// The checkpoint's digest does not match its contents; nothing changed.
     Corrupt,
--- a/src/document/document.rs
+++ b/src/document/document.rs
@@ -6,10 +6,10 @@
 use crate::document::ServiceSection;
 use crate::document::Tombstone;
 
-/// Deleted sections whose revision is remembered.
+/// Number of tombstones kept; the one with the lowest revision is removed first.
 const MAX_TOMBSTONES: usize = 1_000;
 
-/// The configuration at one offset of the log.
+/// Configuration document at one offset of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Document {
     sections: Vec<Section>,
@@ -24,23 +24,23 @@
         }
     }
 
-    /// All sections, ascending by name.
+    /// Returns all sections, ascending by name.
     pub fn sections(&self) -> &[Section] {
         &self.sections
     }
 
-    /// Deleted sections, ascending by name.
+    /// Returns the tombstones of deleted sections, ascending by name.
     pub fn tombstones(&self) -> &[Tombstone] {
         &self.tombstones
     }
 
-    /// The section called `name`, such as `model chat`.
+    /// Returns the section with the full name `name`, such as `model chat`.
     pub fn section(&self, name: &str) -> Option<&Section> {
         let index = self.section_index(name).ok()?;
         Some(&self.sections[index])
     }
 
-    /// Revision of a section, present or deleted; 0 if it is not known.
+    /// Returns the revision of a section or of its tombstone; 0 if there is neither.
     pub fn revision(&self, name: &str) -> u64 {
         if let Some(section) = self.section(name) {
             return section.revision;
@@ -49,46 +49,46 @@
             .map_or(0, |index| self.tombstones[index].revision)
     }
 
-    /// Models whose section is valid, ascending by name.
+    /// Returns the models whose section is valid, ascending by name.
     pub fn models(&self) -> Vec<ModelSection> {
         self.sections_of_kind(ModelSection::KIND)
             .filter_map(|section| ModelSection::parse(section).ok())
             .collect()
     }
 
-    /// The model called `label`, if its section is valid.
+    /// Returns the model called `label`, if its section is valid.
     pub fn model(&self, label: &str) -> Option<ModelSection> {
         let section = self.section_of_kind(ModelSection::KIND, label)?;
         ModelSection::parse(section).ok()
     }
 
-    /// Branches whose section is valid, ascending by name.
+    /// Returns the branches whose section is valid, ascending by name.
     pub fn branches(&self) -> Vec<BranchSection> {
         self.sections_of_kind(BranchSection::KIND)
             .filter_map(|section| BranchSection::parse(section).ok())
             .collect()
     }
 
-    /// The branch called `label`, if its section is valid.
+    /// Returns the branch called `label`, if its section is valid.
     pub fn branch(&self, label: &str) -> Option<BranchSection> {
         let section = self.section_of_kind(BranchSection::KIND, label)?;
         BranchSection::parse(section).ok()
     }
 
-    /// Services whose section is valid, ascending by name.
+    /// Returns the services whose section is valid, ascending by name.
     pub fn services(&self) -> Vec<ServiceSection> {
         self.sections_of_kind(ServiceSection::KIND)
             .filter_map(|section| ServiceSection::parse(section).ok())
             .collect()
     }
 
-    /// The service called `label`, if its section is valid.
+    /// Returns the service called `label`, if its section is valid.
     pub fn service(&self, label: &str) -> Option<ServiceSection> {
         let section = self.section_of_kind(ServiceSection::KIND, label)?;
         ServiceSection::parse(section).ok()
     }
 
-    /// Bytes of all names and bodies.
+    /// Returns the size of all section names and bodies, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.sections
             .iter()
@@ -96,6 +96,7 @@
             .sum()
     }
 
+    /// Adds or replaces a section and removes its tombstone.
     pub(super) fn insert_section(&mut self, section: Section) {
         if let Ok(index) = self.tombstone_index(&section.name) {
             self.tombstones.remove(index);
@@ -106,6 +107,7 @@
         }
     }
 
+    /// Removes a section and leaves a tombstone with the revision of the deletion.
     pub(super) fn delete_section(&mut self, name: &str, revision: u64) {
         if let Ok(index) = self.section_index(name) {
             self.sections.remove(index);
@@ -150,7 +152,7 @@
     }
 }
 
-/// The whole document as INI.
+/// Writes the document as INI.
 impl fmt::Display for Document {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for section in &self.sections {
--- a/src/document/edit.rs
+++ b/src/document/edit.rs
@@ -4,33 +4,33 @@
 use crate::document::DocumentError;
 use crate::weights::Digest;
 
-/// Longest edit id and team name in bytes.
+/// Largest length of an edit id or a team name, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// Longest section name in bytes.
+/// Largest length of a section name, in bytes.
 const MAX_SECTION_NAME_BYTES: usize = 128;
 
-/// One team's change of one section.
+/// Change of one section by one team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Chosen by the editor; a retry uses the same id.
+    /// Id chosen by the editor; a retry uses the same id.
     pub edit_id: String,
-    /// Team that edits.
+    /// Team that makes the edit.
     pub team: String,
     /// Full section name, such as `model chat`.
     pub section: String,
-    /// Revision of the section the edit was made from; 0 if it never existed.
+    /// Revision of the section that the edit is based on; 0 if the section never existed.
     pub base_revision: u64,
-    /// INI lines `key = value`; `None` deletes the section.
+    /// New body as INI lines `key = value`; `None` deletes the section.
     pub body: Option<String>,
 }
 
 impl Edit {
-    /// Checks the structure every reader of the log relies on.
+    /// Checks the structure that every reader of the log relies on.
     ///
     /// # Errors
     ///
-    /// Returns [`DocumentError`] when an id or the body cannot be part of a document.
+    /// Returns [`DocumentError`] when an id, a name or the body cannot be part of a document.
     pub fn check_structure(&self) -> Result<(), DocumentError> {
         check_identifier("edit id", &self.edit_id, MAX_ID_BYTES)?;
         check_identifier("team", &self.team, MAX_ID_BYTES)?;
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Digest over all fields; tells a retry from a reused edit id.
+    /// Computes a digest over all fields, which distinguishes a retry from another edit
+    /// with the same id.
     pub fn fingerprint(&self) -> Digest {
         let fields = (
             &self.edit_id,
@@ -58,6 +59,7 @@
     }
 }
 
+/// Checks the length and the characters of an id or a name.
 fn check_identifier(
     field: &'static str,
     value: &str,
--- a/src/document/edit_entry.rs
+++ b/src/document/edit_entry.rs
@@ -4,19 +4,19 @@
 use crate::document::EditOutcome;
 use crate::weights::Digest;
 
-/// A decided edit, remembered for retries and for the history.
+/// Decided edit, kept to answer retries and for the history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditEntry {
-    /// The editor's id.
+    /// Id chosen by the editor.
     pub edit_id: String,
-    /// Team that edited.
+    /// Team that made the edit.
     pub team: String,
     /// Section that was edited.
     pub section: String,
-    /// Revision the edit was made from.
+    /// Revision of the section that the edit was based on.
     pub base_revision: u64,
-    /// Digest over the edit's fields.
+    /// Digest over all fields of the edit; see [`Edit::fingerprint`](crate::document::Edit::fingerprint).
     pub fingerprint: Digest,
-    /// How it was decided.
+    /// Whether the edit was accepted.
     pub outcome: EditOutcome,
 }
--- a/src/document/edit_outcome.rs
+++ b/src/document/edit_outcome.rs
@@ -1,35 +1,35 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How the log's order decided an edit.
+/// Outcome of an edit, which follows from the order of the records in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EditOutcome {
-    /// The edit is part of the document.
+    /// The edit was applied to the document.
     Accepted {
         /// Offset of the edit's first record.
         offset: u64,
         /// New revision of the section.
         revision: u64,
     },
-    /// Another edit of the section came first.
+    /// The section's revision was not the edit's base revision; the edit has no effect.
     Conflict {
         /// Offset of the edit's first record.
         offset: u64,
-        /// Revision of the section that stood at that offset.
+        /// Revision of the section at that offset.
         revision: u64,
     },
 }
 
 impl EditOutcome {
-    /// Offset of the edit's first record.
+    /// Returns the offset of the edit's first record.
     pub fn offset(&self) -> u64 {
         match self {
             Self::Accepted { offset, .. } | Self::Conflict { offset, .. } => *offset,
         }
     }
 
-    /// Whether the edit is part of the document.
+    /// Whether the edit was applied to the document.
     pub fn is_accepted(&self) -> bool {
         matches!(self, Self::Accepted { .. })
     }
--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -14,24 +14,24 @@
 use crate::document::past_digests::PastDigests;
 use crate::weights::Digest;
 
-/// Edits remembered for retries.
+/// Number of decided edits kept, to answer retries.
 pub const MAX_EDIT_ENTRIES: usize = 4_096;
 
-/// The state reached by applying every record before an offset.
+/// State after applying every record of the log before an offset.
 #[derive(Debug, Clone)]
 pub struct Fold {
     head: u64,
     document: Arc<Document>,
-    // Ascending by offset.
+    // Decided edits, ascending by offset.
     edits: VecDeque<EditEntry>,
-    // Offsets of the entries, ascending by edit id.
+    // Edit ids with their offsets in `edits`, ascending by edit id.
     offset_by_id: Vec<(String, u64)>,
     digest: Digest,
     past_digests: PastDigests,
 }
 
 impl Fold {
-    /// The state before the first record.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         let document = Document::default();
         let digest = state_digest(0, &document, &[]);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Applies the record at `offset`; anything but the next offset changes nothing.
+    /// Applies the record at `offset`; changes nothing unless `offset` is the head.
     pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> RecordOutcome {
         if offset < self.head {
             return RecordOutcome::AlreadyApplied;
@@ -55,41 +55,41 @@
         if offset > self.head {
             return RecordOutcome::Gap { wanted: self.head };
         }
-        let applied = match LogRecord::decode(bytes) {
+        let outcome = match LogRecord::decode(bytes) {
             Ok(LogRecord::Edit(edit)) => self.apply_edit(offset, edit),
             Ok(LogRecord::Checkpoint(checkpoint)) => self.verify_checkpoint(&checkpoint),
             Err(error) => RecordOutcome::Skipped(error),
         };
         self.advance_to(offset + 1);
-        applied
+        outcome
     }
 
-    /// Offset of the record wanted next.
+    /// Returns the offset of the next record to apply.
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// Digest of the state at the head.
+    /// Returns the digest of the state at the head.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The document at the head.
+    /// Returns the document at the head.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The document at the head, for a reader that keeps it.
+    /// Returns a shared reference to the document at the head.
     pub fn shared_document(&self) -> Arc<Document> {
         Arc::clone(&self.document)
     }
 
-    /// How the edit called `edit_id` was decided, if it is remembered.
+    /// Returns the outcome of the edit with the id `edit_id`, if it is still kept.
     pub fn edit_outcome(&self, edit_id: &str) -> Option<&EditOutcome> {
         self.edit_entry(edit_id).map(|entry| &entry.outcome)
     }
 
-    /// The remembered edit called `edit_id`.
+    /// Returns the decided edit with the id `edit_id`, if it is still kept.
     pub fn edit_entry(&self, edit_id: &str) -> Option<&EditEntry> {
         let index = self.index_of_id(edit_id).ok()?;
         let offset = self.offset_by_id[index].1;
@@ -99,23 +99,23 @@
         index.ok().map(|index| &self.edits[index])
     }
 
-    /// Remembered edits, oldest first.
+    /// Iterates over the decided edits that are kept, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &EditEntry> {
         self.edits.iter()
     }
 
-    /// The digest this fold had at `offset`, if it is remembered.
+    /// Returns the digest that this fold had at `offset`, if it is still kept.
     pub fn digest_at(&self, offset: u64) -> Option<Digest> {
         self.past_digests.digest_at(offset)
     }
 
-    /// The state at the head.
+    /// Creates a checkpoint of the state at the head.
     pub fn checkpoint(&self) -> Checkpoint {
         let edits: Vec<EditEntry> = self.edits.iter().cloned().collect();
         Checkpoint::new(self.head, &self.document, &edits)
     }
 
-    /// Moves forward to a checkpoint; never moves back.
+    /// Replaces the state by a checkpoint that is ahead; never goes back.
     pub fn apply_checkpoint(&mut self, checkpoint: &Checkpoint) -> CheckpointOutcome {
         if checkpoint.check_digest().is_err() {
             return CheckpointOutcome::Corrupt;
@@ -138,6 +138,7 @@
         CheckpointOutcome::Advanced
     }
 
+    /// Accepts the edit if its base revision is current; a repeated id keeps its outcome.
     fn apply_edit(&mut self, offset: u64, edit: Edit) -> RecordOutcome {
         if let Some(outcome) = self.edit_outcome(&edit.edit_id) {
             return RecordOutcome::Repeated(*outcome);
@@ -200,6 +201,7 @@
         }
     }
 
+    /// Compares a checkpoint with the digest that this fold had at the same offset.
     fn verify_checkpoint(&self, checkpoint: &Checkpoint) -> RecordOutcome {
         let as_of = checkpoint.as_of;
         match self.past_digests.digest_at(as_of) {
@@ -217,6 +219,7 @@
         self.past_digests.push(head, self.digest);
     }
 
+    /// Index of `edit_id` in `offset_by_id`, or the index at which to insert it.
     fn index_of_id(&self, edit_id: &str) -> Result<usize, usize> {
         self.offset_by_id
             .binary_search_by(|(id, _)| id.as_str().cmp(edit_id))
--- a/src/document/key_change.rs
+++ b/src/document/key_change.rs
@@ -3,19 +3,20 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One key whose value differs between two bodies.
+/// Difference of one key between two section bodies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyChange {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// Value before; `None` if the key was absent.
+    /// Value in the first body; `None` if the key is absent there.
     pub before: Option<String>,
-    /// Value after; `None` if the key goes.
+    /// Value in the second body; `None` if the key is absent there.
     pub after: Option<String>,
 }
 
 impl KeyChange {
-    /// Keys that differ between two bodies, in the order they stand; `None` if one is not INI.
+    /// Lists the keys that differ, in the order of `before`, then the added keys in the
+    /// order of `after`; `None` if one of the bodies is not INI.
     pub fn between(before: &str, after: &str) -> Option<Vec<Self>> {
         let before = key_values(before)?;
         let after = key_values(after)?;
@@ -37,6 +38,7 @@
     }
 }
 
+/// Parses a body into its keys and values, in order.
 fn key_values(body: &str) -> Option<Vec<(String, String)>> {
     let ini = parse_body(body).ok()?;
     let pairs = ini.general_section().iter();
@@ -47,7 +49,7 @@
     )
 }
 
-/// Reads a body as INI without quotes and escapes.
+/// Parses a body as INI; quotes and backslashes have no special meaning.
 pub(super) fn parse_body(body: &str) -> Result<Ini, ini::ParseError> {
     let options = ParseOption {
         enabled_quote: false,
--- a/src/document/log_record.rs
+++ b/src/document/log_record.rs
@@ -5,20 +5,20 @@
 use crate::document::DocumentError;
 use crate::document::Edit;
 
-/// First byte of every record.
+/// Format version, the first byte of every record.
 const RECORD_VERSION: u8 = 1;
 
-/// A record of the configuration's stream in the platform's log.
+/// Record of the configuration stream in the platform's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// A proposed edit; its offset decides whether it is accepted.
+    /// A proposed edit; its place in the log decides whether it is accepted.
     Edit(Edit),
-    /// The state up to an offset; a shortcut for readers of a trimmed log.
+    /// The state at an offset, from which readers of a trimmed log can start.
     Checkpoint(Checkpoint),
 }
 
 impl LogRecord {
-    /// The record's bytes.
+    /// Encodes the record as the format version and MessagePack.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![RECORD_VERSION];
         rmp_serde::encode::write_named(&mut bytes, self)
@@ -26,11 +26,11 @@
         bytes
     }
 
-    /// Reads a record and checks its structure.
+    /// Decodes a record and checks its structure.
     ///
     /// # Errors
     ///
-    /// Returns [`DocumentError`] for bytes that no reader may apply.
+    /// Returns [`DocumentError`] for bytes that every reader must skip.
     pub fn decode(bytes: &[u8]) -> Result<Self, DocumentError> {
         let (&version, rest) = bytes.split_first().ok_or(DocumentError::Empty)?;
         if version != RECORD_VERSION {
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -1,15 +1,15 @@
-//! The configuration document and its fold.
+//! The configuration document and the fold that computes it from the log.
 //!
-//! The document is a set of INI sections, each owned by a team. It is never
-//! stored as a whole by one writer: every process folds the same records of
-//! the platform's log, in offset order, and so arrives at the same document.
-//! An edit is accepted if its base revision is the section's revision at its
-//! offset. A revision is the offset of the accepting record plus one, so no
-//! revision is ever used twice, also not after a section was deleted.
+//! The document is a set of INI sections, each edited by a team. No writer
+//! stores the complete document: every process applies the same records of the
+//! platform's log in offset order and so computes the same document. An edit is
+//! accepted if its base revision equals the section's revision at the edit's
+//! offset. A revision is the offset of the accepted record plus one, so no
+//! revision is used twice, even after a section was deleted.
 //!
-//! The fold checks structure only. Meaning is checked by [`check_edit`] before
-//! the append, so that two versions of the program never disagree on which
-//! edits were accepted.
+//! The fold checks only the structure of an edit. Its meaning is checked by
+//! [`check_edit`] before the edit is appended to the log, so that different
+//! versions of the program never disagree about which edits were accepted.
 
 pub mod follow;
 
--- a/src/document/model_section.rs
+++ b/src/document/model_section.rs
@@ -3,31 +3,34 @@
 use crate::document::section_reader::SectionReader;
 use crate::weights::Digest;
 
-/// Most replicas of one model.
+/// Largest allowed number of replicas of one model.
 const MAX_REPLICAS: u32 = 10_000;
 
-/// A model or adapter, the version to serve and how many replicas serve it.
+/// Section of a model or adapter: the version to serve and the number of replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelSection {
     /// Name of the model.
     pub name: String,
     /// Version to serve.
     pub version: String,
-    /// Manifest of that version.
+    /// Digest of the manifest of that version.
     pub manifest: Digest,
-    /// Replicas wanted.
+    /// Number of replicas to run.
     pub replicas: u32,
-    /// Replicas that may change at once.
+    /// Number of replicas that a rollout may change at the same time.
     pub step_replicas: u32,
-    /// Model this one is an adapter of.
+    /// Base model, if this model is an adapter.
     pub base: Option<String>,
 }
 
 impl ModelSection {
+    /// First word of the name of a model section.
     pub(super) const KIND: &'static str = "model";
 
+    /// Keys allowed in a model section.
     const KEYS: [&'static str; 5] = ["version", "manifest", "replicas", "step_replicas", "base"];
 
+    /// Parses a model section; returns all faults found if it is invalid.
     pub(super) fn parse(section: &Section) -> Result<Self, Vec<SectionFault>> {
         let mut reader = SectionReader::new(section, &Self::KEYS)?;
         let model = Self {
--- a/src/document/past_digests.rs
+++ b/src/document/past_digests.rs
@@ -2,17 +2,17 @@
 
 use crate::weights::Digest;
 
-/// Digests remembered for the check of late checkpoints.
+/// Number of digests kept to verify checkpoints of earlier offsets.
 const MAX_PAST_DIGESTS: usize = 256;
 
-/// Digests of the fold at recent offsets, ascending.
+/// Digests that a fold had at recent offsets, ascending by offset.
 #[derive(Debug, Clone, Default)]
 pub struct PastDigests {
     digests: VecDeque<(u64, Digest)>,
 }
 
 impl PastDigests {
-    /// Remembers the digest at `offset`, which is greater than all before it.
+    /// Adds the digest at `offset`, which must be greater than all offsets before.
     pub fn push(&mut self, offset: u64, digest: Digest) {
         if self.digests.len() == MAX_PAST_DIGESTS {
             self.digests.pop_front();
@@ -20,7 +20,7 @@
         self.digests.push_back((offset, digest));
     }
 
-    /// The digest at `offset`, if it is remembered.
+    /// Returns the digest at `offset`, if it is still kept.
     pub fn digest_at(&self, offset: u64) -> Option<Digest> {
         let index = self
             .digests
--- a/src/document/section.rs
+++ b/src/document/section.rs
@@ -1,32 +1,32 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One section of the document.
+/// Section of the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Section {
-    /// Kind and name, such as `model chat`.
+    /// Full name: the kind and the label, such as `model chat`.
     pub name: String,
     /// Team that made the last accepted edit.
     pub team: String,
     /// Offset of the last accepted edit plus one.
     pub revision: u64,
-    /// INI lines `key = value`.
+    /// Body of INI lines `key = value`.
     pub body: String,
 }
 
 impl Section {
-    /// Kind of the section, the first word of its name.
+    /// Returns the kind of the section, the first word of its name.
     pub fn kind(&self) -> &str {
         self.name.split(' ').next().unwrap_or_default()
     }
 
-    /// Name without the kind.
+    /// Returns the name without the kind.
     pub fn label(&self) -> &str {
         self.name.split_once(' ').map_or("", |(_, label)| label)
     }
 }
 
-/// A deleted section; its revision keeps late edits from being accepted.
+/// Marker of a deleted section; its revision makes late edits conflict.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tombstone {
     /// Name of the deleted section.
--- a/src/document/section_reader.rs
+++ b/src/document/section_reader.rs
@@ -8,7 +8,7 @@
 use crate::document::key_change::parse_body;
 use crate::weights::Digest;
 
-/// Reads the values of one section and collects what is wrong with them.
+/// Reads the values of one section and collects the faults found.
 #[derive(Debug)]
 pub struct SectionReader<'a> {
     section: &'a Section,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> SectionReader<'a> {
-    /// Reads the body of `section`, whose keys must be among `known`.
+    /// Parses the body of `section` and checks that its keys are among `known`.
     pub fn new(section: &'a Section, known: &[&str]) -> Result<Self, Vec<SectionFault>> {
         let ini = parse_body(&section.body).map_err(|error| {
             vec![SectionFault {
@@ -35,7 +35,7 @@
         Ok(reader)
     }
 
-    /// A required text.
+    /// Returns the text of `key`; adds a fault if it is missing or empty.
     pub fn required_text(&mut self, key: &str) -> String {
         match self.properties.get(key) {
             Some(value) if !value.is_empty() => value.to_owned(),
@@ -51,13 +51,13 @@
         }
     }
 
-    /// An optional text; an empty value is the same as none.
+    /// Returns the text of `key`; `None` if it is missing or empty.
     pub fn optional_text(&self, key: &str) -> Option<String> {
         let value = self.properties.get(key)?;
         (!value.is_empty()).then(|| value.to_owned())
     }
 
-    /// A required digest.
+    /// Returns the digest of `key`; adds a fault if it is missing or invalid.
     pub fn required_digest(&mut self, key: &str) -> Digest {
         let missing = Digest::of(&[]);
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
@@ -70,7 +70,8 @@
         })
     }
 
-    /// A number in `range`, or `default` when the key is absent.
+    /// Returns the number of `key`, or `default` if the key is missing; adds a fault if
+    /// the value is not a number in `range`.
     pub fn number_or(&mut self, key: &str, range: RangeInclusive<u32>, default: u32) -> u32 {
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
             return default;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A number in `range` that must be given.
+    /// Returns the number of `key`; adds a fault if it is missing or not in `range`.
     pub fn required_number(&mut self, key: &str, range: RangeInclusive<u32>) -> u32 {
         if self.properties.get(key).is_none() {
             self.add_fault(key, FaultReason::MissingKey);
@@ -94,7 +95,7 @@
         self.number_or(key, range, default)
     }
 
-    /// A list separated by commas; empty when the key is absent.
+    /// Returns the items of `key`, separated by commas; empty if the key is missing.
     pub fn list(&self, key: &str) -> Vec<String> {
         let value = self.properties.get(key).unwrap_or_default();
         value
@@ -105,13 +106,13 @@
             .collect()
     }
 
-    /// Adds a fault of a value.
+    /// Adds the fault that `value` is not `allowed`.
     pub fn add_invalid_value(&mut self, key: &str, value: String, allowed: &str) {
         let allowed = allowed.to_owned();
         self.add_fault(key, FaultReason::InvalidValue { value, allowed });
     }
 
-    /// `value`, unless a fault was found.
+    /// Returns `value`, or the faults if any were found.
     pub fn into_result<T>(self, value: T) -> Result<T, Vec<SectionFault>> {
         if self.faults.is_empty() {
             return Ok(value);
@@ -119,21 +120,22 @@
         Err(self.faults)
     }
 
+    /// Adds a fault for each key that is repeated or not in `known`.
     fn check_keys(&mut self, known: &[&str]) {
-        let mut seen: Vec<String> = Vec::new();
+        let mut checked: Vec<String> = Vec::new();
         let keys: Vec<String> = self
             .properties
             .iter()
             .map(|(key, _)| key.to_owned())
             .collect();
         for key in keys {
-            if seen.contains(&key) {
+            if checked.contains(&key) {
                 self.add_fault(&key, FaultReason::RepeatedKey);
             } else if !known.contains(&key.as_str()) {
                 let known = known.iter().map(|key| (*key).to_owned()).collect();
                 self.add_fault(&key, FaultReason::UnknownKey { known });
             }
-            seen.push(key);
+            checked.push(key);
         }
     }
 
