--- a/tests/spec_config/invariants.rs
+++ b/tests/spec_config/invariants.rs
@@ -4,16 +4,17 @@
 use bergamotfork::document::EditOutcome;
 use bergamotfork::document::LogRecord;
 
-/// What the step from `before` to `after` breaks.
+/// Returns the first invariant that the step from `before` to `after` violates.
 pub fn violation(before: &State, after: &State) -> Option<String> {
-    went_back(before, after)
-        .or_else(|| two_from_one_base(after))
-        .or_else(|| two_outcomes(after))
+    head_decreased(before, after)
+        .or_else(|| two_accepted_from_one_base(after))
+        .or_else(|| different_outcomes(after))
         .or_else(|| differs_from_log(after))
-        .or_else(|| forgot_what_was_in_force(before, after))
+        .or_else(|| admits_behind_majority(before, after))
 }
 
-fn went_back(before: &State, after: &State) -> Option<String> {
+/// The head of an entry never decreases, unless its host is replaced.
+fn head_decreased(before: &State, after: &State) -> Option<String> {
     for (index, node) in after.nodes.iter().enumerate() {
         let (old, new) = (before.nodes[index].fold().head(), node.fold().head());
         if new < old && after.replaced != Some(index) {
@@ -23,8 +24,9 @@
     None
 }
 
-/// No edit overwrites a revision its editor has not seen.
-fn two_from_one_base(state: &State) -> Option<String> {
+/// No two edits with the same base revision are accepted, so that no edit overwrites a
+/// revision that its editor did not know.
+fn two_accepted_from_one_base(state: &State) -> Option<String> {
     for node in &state.nodes {
         let accepted: Vec<(&EditEntry, u64)> = node
             .fold()
@@ -41,7 +43,7 @@
     None
 }
 
-/// The base revision as the editor wrote it.
+/// Base revision in the original record, which the model may replace when a rule is removed.
 fn written_base(log: &Log, entry: &EditEntry) -> u64 {
     let offset = usize::try_from(entry.outcome.offset()).expect("a short log");
     match log.records[offset].as_ref() {
@@ -50,21 +52,21 @@
     }
 }
 
-/// Whatever entry is asked, and whenever, an edit has one outcome.
-fn two_outcomes(state: &State) -> Option<String> {
-    let mut seen: Vec<(&str, EditOutcome)> = Vec::new();
+/// All entries give the same outcome for an edit, at any time.
+fn different_outcomes(state: &State) -> Option<String> {
+    let mut outcomes: Vec<(&str, EditOutcome)> = Vec::new();
     for entry in state.nodes.iter().flat_map(|node| node.fold().history()) {
         let id = entry.edit_id.split('#').next().unwrap_or_default();
-        let known = seen.iter().find(|(other, _)| *other == id);
+        let known = outcomes.iter().find(|(other, _)| *other == id);
         if known.is_some_and(|(_, outcome)| *outcome != entry.outcome) {
             return Some(format!("two outcomes of {id}: {known:?}, {entry:?}"));
         }
-        seen.push((id, entry.outcome));
+        outcomes.push((id, entry.outcome));
     }
     None
 }
 
-/// Every entry holds what the whole log gives at its head.
+/// The state of every entry equals that of the complete log up to its head.
 fn differs_from_log(state: &State) -> Option<String> {
     for (index, node) in state.nodes.iter().enumerate() {
         let head = node.fold().head();
@@ -76,9 +78,10 @@
     None
 }
 
-/// An entry that starts to admit work holds all that was in force on a majority.
-fn forgot_what_was_in_force(before: &State, after: &State) -> Option<String> {
-    let in_force = before.in_force;
+/// An entry that starts to admit work has a head at least as high as any that a majority
+/// of the entries has held.
+fn admits_behind_majority(before: &State, after: &State) -> Option<String> {
+    let in_force = before.majority_head;
     for (old, new) in before.nodes.iter().zip(&after.nodes) {
         let head = new.fold().head();
         if !old.admits() && new.admits() && head < in_force {
--- a/tests/spec_config/main.rs
+++ b/tests/spec_config/main.rs
@@ -1,11 +1,12 @@
-//! Specification of the configuration protocol, explored in all states within
-//! bounds: two editors race on one section, replies are lost and edits are sent
-//! again, one checkpoint is published, the log is trimmed at any offset, hosts
-//! are replaced, and entries read the log or one another at any time. A log
-//! outage is any run in which nothing reads the log.
+//! Model checking of the configuration protocol. The tests explore all states
+//! within bounds: two editors change one section concurrently, replies are lost
+//! and edits are sent again, one checkpoint is published, the log is trimmed at
+//! any offset, hosts are replaced, and entries read the log or query each other
+//! at any time. An outage of the log is a run in which no entry reads the log.
 //!
-//! The states hold the product's own `Follower` and `Fold`. Each protective rule
-//! is then removed in turn, and the exploration must find a violation.
+//! The states contain the `Follower` and `Fold` of the program itself. Further
+//! tests remove one protective rule each, and the exploration must then find a
+//! violation.
 
 mod invariants;
 mod model;
@@ -22,8 +23,8 @@
 use crate::model::State;
 use crate::rules::Rules;
 
-/// One editor sends again after a lost reply; one host is replaced.
-const RACE: Bounds = Bounds {
+/// One editor repeats its edit after a lost reply; one host is replaced.
+const CONCURRENT_EDITS: Bounds = Bounds {
     sends: [2, 1],
     checkpoints: 1,
     replacements: 1,
@@ -36,17 +37,17 @@
     replacements: 2,
 };
 
-/// States explored and the first violation found.
+/// Explores all states; returns their number and the first violation found.
 fn explore(bounds: Bounds, rules: Rules) -> (usize, Option<String>) {
     let found = Rc::new(RefCell::new(None));
-    let seen = Rc::clone(&found);
-    let states = bfs_reach(State::start(bounds), move |state: &State| {
-        if seen.borrow().is_some() {
+    let recorded = Rc::clone(&found);
+    let states = bfs_reach(State::initial(bounds), move |state: &State| {
+        if recorded.borrow().is_some() {
             return Vec::new();
         }
         let next = state.successors(rules);
-        let broken = next.iter().find_map(|next| violation(state, next));
-        *seen.borrow_mut() = broken;
+        let step_violation = next.iter().find_map(|next| violation(state, next));
+        *recorded.borrow_mut() = step_violation;
         next
     })
     .count();
@@ -54,13 +55,15 @@
     (states, violation)
 }
 
+/// Asserts that the exploration with `rules` finds a violation that contains `expected`.
 #[track_caller]
-fn assert_found(bounds: Bounds, rules: Rules, expected: &str) {
+fn assert_violation(bounds: Bounds, rules: Rules, expected: &str) {
     let (_, violation) = explore(bounds, rules);
-    let violation = violation.expect("the rule protects nothing");
+    let violation = violation.expect("removing the rule causes no violation");
     assert!(violation.contains(expected), "{violation}");
 }
 
+/// Asserts that no state violates an invariant while all rules are in place.
 #[track_caller]
 fn assert_holds(bounds: Bounds) {
     let (states, violation) = explore(bounds, Rules::ALL);
@@ -70,8 +73,8 @@
 }
 
 #[test]
-fn explore_racing_editors() {
-    assert_holds(RACE);
+fn explore_concurrent_edits() {
+    assert_holds(CONCURRENT_EDITS);
 }
 
 #[test]
@@ -85,25 +88,25 @@
         base_revision: false,
         ..Rules::ALL
     };
-    assert_found(RACE, rules, "one base");
+    assert_violation(CONCURRENT_EDITS, rules, "one base");
 }
 
 #[test]
-fn explore_without_edit_memory() {
+fn explore_without_edit_deduplication() {
     let rules = Rules {
-        edit_memory: false,
+        edit_deduplication: false,
         ..Rules::ALL
     };
-    assert_found(RACE, rules, "two outcomes");
+    assert_violation(CONCURRENT_EDITS, rules, "two outcomes");
 }
 
 #[test]
-fn explore_without_adopt_forward_only() {
+fn explore_without_forward_only_checkpoints() {
     let rules = Rules {
-        adopt_forward_only: false,
+        forward_only_checkpoints: false,
         ..Rules::ALL
     };
-    assert_found(RACE, rules, "went back");
+    assert_violation(CONCURRENT_EDITS, rules, "went back");
 }
 
 #[test]
@@ -112,7 +115,7 @@
         gap_check: false,
         ..Rules::ALL
     };
-    assert_found(RACE, rules, "differs from the log");
+    assert_violation(CONCURRENT_EDITS, rules, "differs from the log");
 }
 
 #[test]
@@ -121,7 +124,7 @@
         majority: false,
         ..Rules::ALL
     };
-    assert_found(REPLACEMENTS, rules, "was in force");
+    assert_violation(REPLACEMENTS, rules, "was in force");
 }
 
 #[test]
@@ -130,7 +133,7 @@
         voters_only: false,
         ..Rules::ALL
     };
-    assert_found(REPLACEMENTS, rules, "was in force");
+    assert_violation(REPLACEMENTS, rules, "was in force");
 }
 
 #[test]
@@ -139,5 +142,5 @@
         confirmed_after_start: false,
         ..Rules::ALL
     };
-    assert_found(REPLACEMENTS, rules, "was in force");
+    assert_violation(REPLACEMENTS, rules, "was in force");
 }
--- a/tests/spec_config/model.rs
+++ b/tests/spec_config/model.rs
@@ -3,31 +3,31 @@
 use std::rc::Rc;
 
 use crate::node::Node;
-use crate::node::NodeRank;
-use crate::node::weakened;
+use crate::node::NodeSortKey;
+use crate::node::encode_without_rules;
 use crate::rules::Rules;
 use bergamotfork::document::Edit;
 use bergamotfork::document::Fold;
 use bergamotfork::document::LogRecord;
 
-/// Entry processes.
+/// Number of entry processes.
 pub const ENTRIES: usize = 3;
 
-/// The section both editors change.
+/// Section that both editors change.
 pub const SECTION: &str = "model chat";
 
-/// How often each thing happens in one run.
+/// Largest number of steps of each kind in one run.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Sends of each editor, the first of them and its retries.
+    /// Times that each editor sends its edit, including retries.
     pub sends: [u8; 2],
-    /// Checkpoints published.
+    /// Number of checkpoints published.
     pub checkpoints: u8,
-    /// Hosts replaced.
+    /// Number of hosts replaced.
     pub replacements: u8,
 }
 
-/// The platform's log.
+/// Log of the platform: all records, and the lowest offset that is still kept.
 #[derive(Debug, Clone, Default)]
 pub struct Log {
     pub earliest: u64,
@@ -40,48 +40,48 @@
     }
 }
 
-/// Identity of a record: an editor, or the offset of a checkpoint.
+/// Identifies a record by its editor, or by the offset of its checkpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Mark {
+enum RecordId {
     Edit(usize),
     Checkpoint(u64),
 }
 
-/// One state of the whole system.
+/// State of the complete system.
 #[derive(Debug, Clone)]
 pub struct State {
     pub log: Log,
     pub nodes: [Node; ENTRIES],
-    /// Highest head that a majority of confirmed entries has held.
-    pub in_force: u64,
-    /// Entry replaced by the step to this state.
+    /// Highest head that a majority of the entries has held while admitting work.
+    pub majority_head: u64,
+    /// Entry whose host was replaced by the step to this state.
     pub replaced: Option<usize>,
-    /// The fold of each prefix of the log.
+    /// Fold of each prefix of the log.
     pub reference: Vec<Rc<Fold>>,
-    identity: Option<Identity>,
-    marks: Vec<Mark>,
+    key: Option<StateKey>,
+    record_ids: Vec<RecordId>,
     sends: [u8; 2],
     checkpoints: u8,
     replacements: u8,
 }
 
 impl State {
-    pub fn start(bounds: Bounds) -> Self {
+    pub fn initial(bounds: Bounds) -> Self {
         Self {
             log: Log::default(),
             nodes: std::array::from_fn(|_| Node::confirmed()),
-            in_force: 0,
+            majority_head: 0,
             replaced: None,
             reference: vec![Rc::new(Fold::new())],
-            identity: None,
-            marks: Vec::new(),
+            key: None,
+            record_ids: Vec::new(),
             sends: bounds.sends,
             checkpoints: bounds.checkpoints,
             replacements: bounds.replacements,
         }
     }
 
-    /// Every state one step away.
+    /// Returns all states that one step leads to.
     pub fn successors(&self, rules: Rules) -> Vec<Self> {
         let mut next = Vec::new();
         for editor in 0..self.sends.len() {
@@ -93,19 +93,19 @@
             next.extend(self.publish(node, rules));
             next.extend(self.replace(node));
             for peer in (0..ENTRIES).filter(|peer| *peer != node) {
-                next.extend(self.ask(node, peer, rules));
+                next.extend(self.query(node, peer, rules));
             }
         }
         for state in &mut next {
-            state.note_in_force();
-            state.identify();
+            state.update_majority_head();
+            state.update_key();
         }
         next
     }
 
-    /// The editor sends its edit, for the first time or after a lost reply.
+    /// Step: the editor sends its edit, for the first time or after a lost reply.
     fn send(&self, editor: usize, rules: Rules) -> Option<Self> {
-        let mut next = self.step();
+        let mut next = self.next_step();
         next.sends[editor] = self.sends[editor].checked_sub(1)?;
         let edit = Edit {
             edit_id: format!("e{editor}"),
@@ -114,77 +114,84 @@
             base_revision: 0,
             body: Some(format!("v = {editor}")),
         };
-        next.append(LogRecord::Edit(edit), Mark::Edit(editor), rules);
+        next.append(LogRecord::Edit(edit), RecordId::Edit(editor), rules);
         Some(next)
     }
 
+    /// Step: an entry that admits work publishes a checkpoint.
     fn publish(&self, node: usize, rules: Rules) -> Option<Self> {
         if !self.nodes[node].admits() || self.nodes[node].fold().head() == 0 {
             return None;
         }
-        let mut next = self.step();
+        let mut next = self.next_step();
         next.checkpoints = self.checkpoints.checked_sub(1)?;
         let checkpoint = self.nodes[node].fold().checkpoint();
-        let mark = Mark::Checkpoint(checkpoint.as_of);
-        next.append(LogRecord::Checkpoint(checkpoint), mark, rules);
+        let record_id = RecordId::Checkpoint(checkpoint.as_of);
+        next.append(LogRecord::Checkpoint(checkpoint), record_id, rules);
         Some(next)
     }
 
+    /// Step: the log drops its oldest record.
     fn trim(&self) -> Option<Self> {
         if self.log.earliest == self.log.next() {
             return None;
         }
-        let mut next = self.step();
+        let mut next = self.next_step();
         next.log.earliest += 1;
         Some(next)
     }
 
+    /// Step: the host of an entry is replaced, which loses its state.
     fn replace(&self, node: usize) -> Option<Self> {
-        let mut next = self.step();
+        let mut next = self.next_step();
         next.replacements = self.replacements.checked_sub(1)?;
         next.nodes[node] = Node::fresh();
         for other in &mut next.nodes {
-            other.note_replaced(node);
+            other.record_replaced(node);
         }
         next.replaced = Some(node);
         Some(next)
     }
 
+    /// Step: an entry reads the log.
     fn read(&self, node: usize, rules: Rules) -> Option<Self> {
-        let mut next = self.step();
+        let mut next = self.next_step();
         next.nodes[node].read(&self.log, rules);
-        self.changed(next, node)
+        self.if_changed(next, node)
     }
 
-    fn ask(&self, node: usize, peer: usize, rules: Rules) -> Option<Self> {
-        let mut next = self.step();
-        next.nodes[node].ask(node, peer, &self.nodes[peer], rules);
-        self.changed(next, node)
+    /// Step: an entry queries a peer and applies the answer.
+    fn query(&self, node: usize, peer: usize, rules: Rules) -> Option<Self> {
+        let mut next = self.next_step();
+        next.nodes[node].query(node, peer, &self.nodes[peer], rules);
+        self.if_changed(next, node)
     }
 
-    fn step(&self) -> Self {
+    /// Copies the state as the start of a step.
+    fn next_step(&self) -> Self {
         let mut next = self.clone();
         next.replaced = None;
         next
     }
 
-    fn changed(&self, next: Self, node: usize) -> Option<Self> {
+    /// Returns `next` if the step changed the node.
+    fn if_changed(&self, next: Self, node: usize) -> Option<Self> {
         let (old, new) = (&self.nodes[node], &next.nodes[node]);
-        let same = (old.rank(), old.peers()) == (new.rank(), new.peers());
-        (!same).then_some(next)
+        let is_unchanged = (old.sort_key(), old.peer_bits()) == (new.sort_key(), new.peer_bits());
+        (!is_unchanged).then_some(next)
     }
 
-    fn append(&mut self, record: LogRecord, mark: Mark, rules: Rules) {
+    fn append(&mut self, record: LogRecord, record_id: RecordId, rules: Rules) {
         let offset = self.log.next();
         let last = self.reference.last().expect("starts with the empty prefix");
         let mut fold = Fold::clone(last);
-        fold.apply(offset, &weakened(&record, offset, last, rules));
+        fold.apply(offset, &encode_without_rules(&record, offset, last, rules));
         self.reference.push(Rc::new(fold));
         self.log.records.push(Rc::new(record));
-        self.marks.push(mark);
+        self.record_ids.push(record_id);
     }
 
-    fn note_in_force(&mut self) {
+    fn update_majority_head(&mut self) {
         let mut heads: Vec<u64> = self
             .nodes
             .iter()
@@ -193,43 +200,43 @@
             .collect();
         heads.sort_unstable_by(|a, b| b.cmp(a));
         let majority = heads.get(ENTRIES / 2).copied().unwrap_or(0);
-        self.in_force = self.in_force.max(majority);
+        self.majority_head = self.majority_head.max(majority);
     }
 
-    /// Equal for states that differ only in the names of the entries.
-    fn identify(&mut self) {
+    /// Computes the key, which is equal for states that differ only in the names of the entries.
+    fn update_key(&mut self) {
         let mut order: Vec<usize> = (0..ENTRIES).collect();
-        order.sort_by_key(|index| self.nodes[*index].rank());
+        order.sort_by_key(|index| self.nodes[*index].sort_key());
         let nodes = order.iter().map(|index| {
             let node = &self.nodes[*index];
-            let (answered, confirmed_after) = node.peers();
+            let (answered, confirmed_after) = node.peer_bits();
             let bits = |old: &usize| (answered >> old & 1, confirmed_after >> old & 1);
-            (node.rank(), order.iter().map(bits).collect())
+            (node.sort_key(), order.iter().map(bits).collect())
         });
         let nodes = nodes.collect();
-        self.identity = Some(Identity {
-            marks: self.marks.clone(),
+        self.key = Some(StateKey {
+            record_ids: self.record_ids.clone(),
             earliest: self.log.earliest,
             nodes,
-            in_force: self.in_force,
-            left: (self.sends, self.checkpoints, self.replacements),
+            majority_head: self.majority_head,
+            remaining: (self.sends, self.checkpoints, self.replacements),
         });
     }
 }
 
-/// What tells one state from another.
+/// Part of a state by which states are compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Identity {
-    marks: Vec<Mark>,
+struct StateKey {
+    record_ids: Vec<RecordId>,
     earliest: u64,
-    nodes: Vec<(NodeRank, Vec<(u8, u8)>)>,
-    in_force: u64,
-    left: ([u8; 2], u8, u8),
+    nodes: Vec<(NodeSortKey, Vec<(u8, u8)>)>,
+    majority_head: u64,
+    remaining: ([u8; 2], u8, u8),
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.identity == other.identity
+        self.key == other.key
     }
 }
 
@@ -237,6 +244,6 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.identity.hash(state);
+        self.key.hash(state);
     }
 }
--- a/tests/spec_config/node.rs
+++ b/tests/spec_config/node.rs
@@ -13,41 +13,43 @@
 use bergamotfork::document::follow::LogPage;
 use bergamotfork::document::follow::RawLogRecord;
 
-/// Sort key of a node that does not depend on the names of the others.
+/// Sort key of a node that does not depend on the names of the entries.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct NodeRank {
+pub struct NodeSortKey {
     head: u64,
     digest: [u8; 32],
     admits: bool,
     answered: u32,
 }
 
-/// One entry process, built on the product's follower.
+/// Entry process, which runs the `Follower` of the program.
 #[derive(Debug, Clone)]
 pub struct Node {
     follower: Rc<Follower>,
-    // Entries that answered since the start, as bits; part of the state's identity.
+    // Bit set of the entries that answered since the start; part of the state's key.
     answered: u8,
-    // Entries that had started when the head was last known to be the end of the log.
+    // Bit set of the entries whose current process had started when the head was last known
+    // to be the end of the log.
     confirmed_after: u8,
 }
 
-/// Time at which every process starts.
+/// Time at which every process starts, in ms.
 const START_MS: u64 = 5;
 
-/// Time of every message.
+/// Time of every message, in ms.
 const NOW_MS: u64 = 10;
 
-/// Age of a confirmation from after the start of the asking process.
-const YOUNG_MS: u64 = 1;
+/// Age of a confirmation from after the start of the querying process, in ms.
+const AGE_AFTER_START_MS: u64 = 1;
 
-/// Age of a confirmation from before that.
-const OLD_MS: u64 = 9;
+/// Age of a confirmation from before the start of the querying process, in ms.
+const AGE_BEFORE_START_MS: u64 = 9;
 
-/// Every entry, as bits.
+/// Bit set of all entries.
 const ALL: u8 = (1 << ENTRIES) - 1;
 
 impl Node {
+    /// Creates a node that just started.
     pub fn fresh() -> Self {
         Self {
             follower: Rc::new(Follower::new(START_MS)),
@@ -56,7 +58,7 @@
         }
     }
 
-    /// A node of the running cluster: it has read the empty log.
+    /// Creates a node that has read the empty log and admits work.
     pub fn confirmed() -> Self {
         let mut node = Self::fresh();
         node.read(&Log::default(), Rules::ALL);
@@ -77,7 +79,7 @@
         let trimmed = log.earliest > self.fold().head();
         let follower = Rc::make_mut(&mut self.follower);
         if trimmed && !rules.gap_check {
-            *follower = adopt_anyway(follower, &moved(follower.fold(), from));
+            *follower = force_checkpoint(follower, &checkpoint_at(follower.fold(), from));
         }
         let count = if trimmed { usize::MAX } else { 1 };
         let records = log
@@ -89,7 +91,7 @@
             .take(count)
             .map(|(offset, record)| RawLogRecord {
                 offset,
-                bytes: weakened(record, offset, follower.fold(), rules),
+                bytes: encode_without_rules(record, offset, follower.fold(), rules),
             })
             .collect();
         let page = LogPage {
@@ -101,54 +103,59 @@
         if !trimmed && follower.fold().head() == log.next() {
             self.confirmed_after = ALL;
         }
-        self.forget_answers();
+        self.clear_answers();
     }
 
-    /// Entry number `index` was replaced.
-    pub fn note_replaced(&mut self, index: usize) {
-        self.confirmed_after &= !(1 << index);
+    /// Records that the host of the entry `peer_index` was replaced.
+    pub fn record_replaced(&mut self, peer_index: usize) {
+        self.confirmed_after &= !(1 << peer_index);
     }
 
-    /// Asks `peer`; the numbers are those of this entry and of the peer.
-    pub fn ask(&mut self, own: usize, index: usize, peer: &Self, rules: Rules) {
+    /// Queries `peer` and applies the answer; `own_index` is the number of this entry and
+    /// `peer_index` that of the peer.
+    pub fn query(&mut self, own_index: usize, peer_index: usize, peer: &Self, rules: Rules) {
         let mut answer = peer.follower.answer_peer(NOW_MS, self.fold().head());
         let checkpoint = peer.fold().checkpoint();
         let follower = Rc::make_mut(&mut self.follower);
-        if !rules.adopt_forward_only && checkpoint.as_of < follower.fold().head() {
-            *follower = adopt_anyway(follower, &checkpoint);
+        if !rules.forward_only_checkpoints && checkpoint.as_of < follower.fold().head() {
+            *follower = force_checkpoint(follower, &checkpoint);
             return;
         }
-        // A checkpoint, so that adopting is explored; its effect equals the records'.
+        // A checkpoint has the same effect as the records; sending it explores its application.
         if answer.update != ConfigUpdate::None {
             answer.update = ConfigUpdate::Checkpoint(Box::new(checkpoint));
         }
         answer.mark.is_voter |= !rules.voters_only;
-        let is_after = peer.confirmed_after >> own & 1 == 1;
-        let is_young = is_after || !rules.confirmed_after_start;
-        let age_ms = if is_young { YOUNG_MS } else { OLD_MS };
+        let is_after = peer.confirmed_after >> own_index & 1 == 1;
+        let counts_as_recent = is_after || !rules.confirmed_after_start;
+        let age_ms = if counts_as_recent {
+            AGE_AFTER_START_MS
+        } else {
+            AGE_BEFORE_START_MS
+        };
         answer.mark.confirmed_age_ms = answer.mark.confirmed_age_ms.map(|_| age_ms);
         let listed = if rules.majority { ENTRIES } else { 1 };
-        follower.apply_peer_answer(NOW_MS, NOW_MS, &index.to_string(), listed, &answer);
+        follower.apply_peer_answer(NOW_MS, NOW_MS, &peer_index.to_string(), listed, &answer);
         if self.fold().head() >= answer.mark.head {
             self.confirmed_after |= peer.confirmed_after;
         }
         if answer.mark.is_voter {
-            self.answered |= 1 << index;
+            self.answered |= 1 << peer_index;
         }
-        self.forget_answers();
+        self.clear_answers();
     }
 
-    /// Who answered does not matter any more once the entry admits work.
-    fn forget_answers(&mut self) {
+    /// Clears the answers once the entry admits work, since they have no effect any more.
+    fn clear_answers(&mut self) {
         if self.admits() {
             self.answered = 0;
         }
     }
 
-    /// What tells this node from another, leaving names aside.
-    pub fn rank(&self) -> NodeRank {
+    /// Returns the sort key, by which nodes are compared regardless of their names.
+    pub fn sort_key(&self) -> NodeSortKey {
         let fold = self.fold();
-        NodeRank {
+        NodeSortKey {
             head: fold.head(),
             digest: *fold.digest().as_bytes(),
             admits: self.admits(),
@@ -156,14 +163,15 @@
         }
     }
 
-    /// Entries that answered, and those that had started at the confirmation, as bits.
-    pub fn peers(&self) -> (u8, u8) {
+    /// Returns the bit sets of the entries that answered and of those that had started at
+    /// the last confirmation.
+    pub fn peer_bits(&self) -> (u8, u8) {
         (self.answered, self.confirmed_after)
     }
 }
 
-/// The record as a fold without the removed rules would see it.
-pub fn weakened(record: &LogRecord, offset: u64, fold: &Fold, rules: Rules) -> Vec<u8> {
+/// Encodes the record such that `fold` applies it as if the removed rules did not exist.
+pub fn encode_without_rules(record: &LogRecord, offset: u64, fold: &Fold, rules: Rules) -> Vec<u8> {
     let LogRecord::Edit(edit) = record else {
         return record.encode();
     };
@@ -171,26 +179,26 @@
     if !rules.base_revision {
         edit.base_revision = fold.document().revision(SECTION);
     }
-    if !rules.edit_memory {
+    if !rules.edit_deduplication {
         edit.edit_id = format!("{}#{offset}", edit.edit_id);
     }
     LogRecord::Edit(edit).encode()
 }
 
-/// The state of `fold` under the name of another offset.
-fn moved(fold: &Fold, as_of: u64) -> Checkpoint {
+/// Creates a checkpoint of the state of `fold` that claims the offset `as_of`.
+fn checkpoint_at(fold: &Fold, as_of: u64) -> Checkpoint {
     let edits: Vec<_> = fold.history().cloned().collect();
     Checkpoint::new(as_of, fold.document(), &edits)
 }
 
-/// A follower that stands at `checkpoint` whatever it held before.
-fn adopt_anyway(follower: &Follower, checkpoint: &Checkpoint) -> Follower {
-    let mut moved = Follower::new(START_MS);
+/// Returns a follower in the state of `checkpoint`, whatever its state was before.
+fn force_checkpoint(follower: &Follower, checkpoint: &Checkpoint) -> Follower {
+    let mut forced = Follower::new(START_MS);
     let mut answer = follower.answer_peer(NOW_MS, u64::MAX);
     answer.mark.head = checkpoint.as_of;
     answer.mark.digest = checkpoint.digest;
     answer.mark.is_voter = follower.is_voter();
     answer.update = ConfigUpdate::Checkpoint(Box::new(checkpoint.clone()));
-    moved.apply_peer_answer(NOW_MS, NOW_MS, "self", 1, &answer);
-    moved
+    forced.apply_peer_answer(NOW_MS, NOW_MS, "self", 1, &answer);
+    forced
 }
