--- a/tests/hosts/heartbeat.rs
+++ b/tests/hosts/heartbeat.rs
@@ -12,13 +12,13 @@
 use bergamotfork::hosts::VersionProgress;
 use bergamotfork::weights::Digest;
 
-/// Bytes a second that control may cost a node.
+/// Largest control traffic of a process, in bytes per second.
 const CONTROL_BYTES_PER_S: usize = 11 * 1024;
 
-/// Bytes of the IP and UDP headers.
+/// Size of the IP and UDP headers of a datagram, in bytes.
 const HEADER_BYTES: usize = 28;
 
-fn beat(report: &Report) -> Heartbeat {
+fn heartbeat(report: &Report) -> Heartbeat {
     Heartbeat {
         name: NameTag::of(&report.name),
         incarnation: report.incarnation,
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn open_sealed() {
+fn open_sealed_datagram() {
     let key = HeartbeatKey::derive("a shared key of the hosts");
-    let datagram = Datagram::Beat(beat(&report(0, 1 << 50)));
+    let datagram = Datagram::Beat(heartbeat(&report(0, 1 << 50)));
     let bytes = datagram.seal(&key);
     assert_eq!(Datagram::open(&bytes, &key), Some(datagram));
     let other = HeartbeatKey::derive("another key");
@@ -52,8 +52,8 @@
 #[test]
 fn seal_size() {
     let key = HeartbeatKey::derive("a shared key of the hosts");
-    let bytes = Datagram::Beat(beat(&report(0, 1 << 50))).seal(&key);
-    // Sixty endpoints and eight entries beat every second.
+    let bytes = Datagram::Beat(heartbeat(&report(0, 1 << 50))).seal(&key);
+    // 60 endpoints and 8 entries each send a heartbeat per second.
     assert!(
         68 * (bytes.len() + HEADER_BYTES) < CONTROL_BYTES_PER_S,
         "{}",
@@ -62,16 +62,16 @@
 }
 
 #[test]
-fn beat_unknown_then_reported() {
+fn merge_heartbeat_unknown_host() {
     let mut roster = Roster::new();
-    let told = report(0, 5);
+    let sent = report(0, 5);
     assert_eq!(
-        roster.merge_heartbeat(&beat(&told), 1000),
+        roster.merge_heartbeat(&heartbeat(&sent), 1000),
         HeartbeatOutcome::NeedsReport
     );
-    roster.merge_report(&told, 1100);
+    roster.merge_report(&sent, 1100);
     assert_eq!(
-        roster.merge_heartbeat(&beat(&told), 3000),
+        roster.merge_heartbeat(&heartbeat(&sent), 3000),
         HeartbeatOutcome::Known
     );
     assert_eq!(status(&roster, 0, 5000), Some(HostStatus::Usable));
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn beat_changed_state() {
+fn merge_heartbeat_changed_state() {
     let mut roster = Roster::new();
-    let mut told = report(0, 5);
-    roster.merge_report(&told, 1000);
-    told.served.push(HostedVersion {
+    let mut sent = report(0, 5);
+    roster.merge_report(&sent, 1000);
+    sent.served.push(HostedVersion {
         model: "chat".to_owned(),
         version: "v1".to_owned(),
         manifest: Digest::of(b"v1"),
@@ -92,27 +92,27 @@
         held: None,
     });
     assert_eq!(
-        roster.merge_heartbeat(&beat(&told), 1100),
+        roster.merge_heartbeat(&heartbeat(&sent), 1100),
         HeartbeatOutcome::NeedsReport
     );
-    roster.merge_report(&told, 1200);
+    roster.merge_report(&sent, 1200);
     assert_eq!(
-        roster.merge_heartbeat(&beat(&told), 1300),
+        roster.merge_heartbeat(&heartbeat(&sent), 1300),
         HeartbeatOutcome::Known
     );
 }
 
 #[test]
-fn beat_other_incarnation() {
+fn merge_heartbeat_other_incarnation() {
     let mut roster = Roster::new();
     roster.merge_report(&report(0, 5), 1000);
-    let old = beat(&report(0, 4));
+    let old = heartbeat(&report(0, 4));
     assert_eq!(
         roster.merge_heartbeat(&old, 9000),
         HeartbeatOutcome::Outdated
     );
     assert_eq!(status(&roster, 0, 9000), Some(HostStatus::Silent));
-    let new = beat(&report(0, 6));
+    let new = heartbeat(&report(0, 6));
     assert_eq!(
         roster.merge_heartbeat(&new, 9000),
         HeartbeatOutcome::NeedsReport
@@ -121,13 +121,13 @@
 }
 
 #[test]
-fn beat_leaving_stays() {
+fn merge_heartbeat_leaving_is_kept() {
     let mut roster = Roster::new();
-    let mut told = report(0, 5);
-    roster.merge_report(&told, 1000);
-    told.leaving = true;
-    roster.merge_heartbeat(&beat(&told), 1100);
-    told.leaving = false;
-    roster.merge_heartbeat(&beat(&told), 1200);
+    let mut sent = report(0, 5);
+    roster.merge_report(&sent, 1000);
+    sent.leaving = true;
+    roster.merge_heartbeat(&heartbeat(&sent), 1100);
+    sent.leaving = false;
+    roster.merge_heartbeat(&heartbeat(&sent), 1200);
     assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Leaving));
 }
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -1,4 +1,4 @@
-//! The merged live list under a lagging, empty or halved list of the platform.
+//! Tests of the roster with a lagging, empty or halved list of the platform.
 
 mod heartbeat;
 
@@ -20,7 +20,8 @@
 use bergamotfork::hosts::SILENCE_MS;
 use bergamotfork::weights::Digest;
 
-/// The brief allows a few seconds; the project promises this.
+/// Promised time after the last message of a failed host from which on it gets no new
+/// work, in ms.
 const NO_NEW_WORK_MS: u64 = 3000;
 
 fn record(number: usize) -> HostRecord {
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn standing_dead_host_still_listed() {
+fn status_silent_host_still_listed() {
     let mut roster = Roster::new();
     roster.merge_list(&list(1, 3), 0);
     roster.merge_report(&report(0, 1), 1000);
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn standing_failed_until_heard_again() {
+fn status_failed_until_next_report() {
     let mut roster = Roster::new();
     roster.merge_report(&report(0, 1), 1000);
     let key = roster.key("host-000").expect("the host was heard");
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn heard_replaced_at_same_address() {
+fn merge_report_replaced_incarnation() {
     let mut roster = Roster::new();
     roster.merge_report(&report(0, 5), 1000);
     let key = roster.key("host-000").expect("the host was heard");
@@ -115,18 +116,18 @@
 }
 
 #[test]
-fn leaving_stays_for_the_incarnation() {
+fn merge_report_leaving_is_kept() {
     let mut roster = Roster::new();
-    let mut last_words = report(0, 5);
-    last_words.leaving = true;
-    roster.merge_report(&last_words, 1000);
-    // A report sent before the last one arrives after it.
+    let mut leaving_report = report(0, 5);
+    leaving_report.leaving = true;
+    roster.merge_report(&leaving_report, 1000);
+    // A report that was sent before the last one arrives after it.
     roster.merge_report(&report(0, 5), 1100);
     assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Leaving));
 }
 
 #[test]
-fn take_list_empty_keeps_hosts() {
+fn merge_list_empty_keeps_hosts() {
     let mut roster = Roster::new();
     roster.merge_list(&list(1, 4), 0);
     assert_eq!(
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn take_list_halved_waits() {
+fn merge_list_halved_defers_removals() {
     let mut roster = Roster::new();
     roster.merge_list(&list(1, 8), 0);
     assert_eq!(
@@ -150,29 +151,29 @@
         ListOutcome::RemovalsDeferred
     );
     assert_eq!(roster.hosts().count(), 8);
-    let believed_ms = 1000 + REMOVAL_DELAY_MS;
+    let applied_ms = 1000 + REMOVAL_DELAY_MS;
     assert_eq!(
-        roster.merge_list(&list(2, 4), believed_ms),
+        roster.merge_list(&list(2, 4), applied_ms),
         ListOutcome::Applied
     );
-    roster.remove_expired(believed_ms + HOST_EXPIRY_MS + 1);
+    roster.remove_expired(applied_ms + HOST_EXPIRY_MS + 1);
     assert_eq!(roster.hosts().count(), 4);
 }
 
 #[test]
-fn take_list_one_by_one() {
+fn merge_list_removals_one_by_one() {
     let mut roster = Roster::new();
     roster.merge_list(&list(1, 8), 0);
-    for left in (1..8).rev() {
-        let version = 9 - left as u64;
-        roster.merge_list(&list(version, left), version * 1000);
+    for remaining in (1..8).rev() {
+        let version = 9 - remaining as u64;
+        roster.merge_list(&list(version, remaining), version * 1000);
     }
-    // The last removal, of one host in two, is the only one in doubt.
+    // Only the last removal, of one of two hosts, is deferred.
     assert_eq!(roster.list_version(), 7);
 }
 
 #[test]
-fn host_forgotten_key() {
+fn host_removed_key() {
     let mut roster = Roster::new();
     roster.merge_report(&report(0, 1), 0);
     let key = roster.key("host-000").expect("the host was heard");
@@ -186,10 +187,10 @@
 }
 
 #[test]
-fn roster_any_order_of_evidence() {
+fn status_any_message_order() {
     arbtest(|u| {
         let mut roster = Roster::new();
-        let mut last_heard_ms = [None; 4];
+        let mut last_received_ms = [None; 4];
         let mut now_ms = 0;
         for _ in 0..40 {
             now_ms += u64::from(u.int_in_range(0..=4000u16)?);
@@ -202,13 +203,15 @@
                 if roster.merge_report(&report(number, incarnation), now_ms)
                     != ReportOutcome::Outdated
                 {
-                    last_heard_ms[number] = Some(now_ms);
+                    last_received_ms[number] = Some(now_ms);
                 }
             }
-            for (number, heard_ms) in last_heard_ms.iter().enumerate() {
-                let Some(heard_ms) = heard_ms else { continue };
+            for (number, received_ms) in last_received_ms.iter().enumerate() {
+                let Some(received_ms) = received_ms else {
+                    continue;
+                };
                 let usable = status(&roster, number, now_ms) == Some(HostStatus::Usable);
-                let silent_ms = now_ms - heard_ms;
+                let silent_ms = now_ms - received_ms;
                 assert!(usable || silent_ms > SILENCE_MS, "heard and not usable");
                 assert!(!usable || silent_ms < NO_NEW_WORK_MS, "silent and usable");
             }
