--- a/tests/document/check.rs
+++ b/tests/document/check.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn check_edit_names_section_key_and_reason() {
+fn check_edit_fault_texts() {
     let body = format!("{}\nreplica = 3", model_body(12));
     let unknown = "section [model chat], key \"replica\": unknown key; known keys: version";
     assert_fault("model chat", &body, unknown);
@@ -72,40 +72,51 @@
 }
 
 #[test]
-fn check_edit_shares_of_all_branches() {
+fn check_edit_sum_of_shares() {
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "branch north", 0, &branch_body(70)));
     let document = fold.document();
     assert!(faults(document, "branch south", &branch_body(30)).is_empty());
-    let over = faults(document, "branch south", &branch_body(31));
-    assert!(over[0].contains("add up to 101 percent"));
+    let over_limit = faults(document, "branch south", &branch_body(31));
+    assert!(over_limit[0].contains("add up to 101 percent"));
     assert!(faults(document, "branch north", &branch_body(100)).is_empty());
 }
 
 #[test]
 fn check_edit_size_limits() {
-    let fill = |size: usize| format!("idempotent = {}", "x".repeat(size - 13));
+    let body_of_size = |size: usize| format!("idempotent = {}", "x".repeat(size - 13));
     let document = Document::default();
-    assert!(faults(&document, "service desk", &fill(MAX_SECTION_BYTES)).is_empty());
-    let over = faults(&document, "service desk", &fill(MAX_SECTION_BYTES + 1));
-    assert!(over[0].contains("65537 bytes, more than 65536"));
+    assert!(faults(&document, "service desk", &body_of_size(MAX_SECTION_BYTES)).is_empty());
+    let over_limit = faults(
+        &document,
+        "service desk",
+        &body_of_size(MAX_SECTION_BYTES + 1),
+    );
+    assert!(over_limit[0].contains("65537 bytes, more than 65536"));
     let mut fold = Fold::new();
     for index in 0..MAX_SECTIONS {
         let name = format!("service s{index}");
         apply(&mut fold, edit(&name, &name, 0, "timeout_ms = 5"));
     }
     assert_eq!(fold.document().services().len(), MAX_SECTIONS);
-    let over = faults(fold.document(), "service more", "timeout_ms = 5");
-    assert!(over[0].contains("already has 500 sections"));
+    let over_limit = faults(fold.document(), "service more", "timeout_ms = 5");
+    assert!(over_limit[0].contains("already has 500 sections"));
     assert!(faults(fold.document(), "service s1", "timeout_ms = 6").is_empty());
     for index in 0..MAX_SECTIONS {
         let name = format!("service s{index}");
         let base = fold.document().revision(&name);
-        let body = fill(17 * 1024);
+        let body = body_of_size(17 * 1024);
         apply(&mut fold, edit(&format!("{name} b"), &name, base, &body));
     }
-    let over = faults(fold.document(), "service s1", &fill(MAX_SECTION_BYTES));
-    assert!(over[0].contains("more than 8388608"), "{over:?}");
+    let over_limit = faults(
+        fold.document(),
+        "service s1",
+        &body_of_size(MAX_SECTION_BYTES),
+    );
+    assert!(
+        over_limit[0].contains("more than 8388608"),
+        "{over_limit:?}"
+    );
 }
 
 #[test]
--- a/tests/document/fold.rs
+++ b/tests/document/fold.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn apply_racing_editors() {
+fn apply_concurrent_edits() {
     let mut fold = Fold::new();
     assert_eq!(apply(&mut fold, edit("a", "s x", 0, "k = 1")), accepted(0));
     assert_eq!(
@@ -40,14 +40,14 @@
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     apply(&mut fold, edit("b", "s x", 0, "k = 2"));
     let first = *fold.edit_outcome("a").expect("remembered");
-    let again = apply(&mut fold, edit("a", "s x", 0, "k = 1"));
-    assert_eq!(again, RecordOutcome::Repeated(first));
-    let again = apply(&mut fold, edit("b", "s x", 0, "k = 2"));
+    let repeated = apply(&mut fold, edit("a", "s x", 0, "k = 1"));
+    assert_eq!(repeated, RecordOutcome::Repeated(first));
+    let repeated = apply(&mut fold, edit("b", "s x", 0, "k = 2"));
     let outcome = EditOutcome::Conflict {
         offset: 1,
         revision: 1,
     };
-    assert_eq!(again, RecordOutcome::Repeated(outcome));
+    assert_eq!(repeated, RecordOutcome::Repeated(outcome));
     assert_eq!(fold.history().count(), 2);
 }
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn apply_undecodable() {
+fn apply_undecodable_record() {
     let mut fold = Fold::new();
     assert!(matches!(
         fold.apply(0, b"\xffnoise"),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn apply_checkpoint_of_own_state() {
+fn apply_matching_checkpoint() {
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     let checkpoint = LogRecord::Checkpoint(fold.checkpoint()).encode();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn apply_contradicting_checkpoint() {
+fn apply_differing_checkpoint() {
     let mut other = Fold::new();
     apply(&mut other, edit("z", "s z", 0, "k = 9"));
     let mut fold = Fold::new();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn adopt_only_forward() {
+fn apply_checkpoint_only_forward() {
     let mut ahead = Fold::new();
     apply(&mut ahead, edit("a", "s x", 0, "k = 1"));
     let early = ahead.checkpoint();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn apply_forgets_oldest_edit() {
+fn apply_removes_oldest_edit() {
     let mut fold = Fold::new();
     let mut checkpoint = fold.checkpoint();
     apply(&mut fold, edit("id-0", "s x", 0, "k = 1"));
@@ -157,7 +157,7 @@
     apply(&mut fold, edit("last", "s x", 1, "k = 2"));
     assert!(fold.edit_outcome("id-0").is_none());
     assert!(fold.edit_outcome("id-1").is_some());
-    // The base revision refuses a record whose id is forgotten.
+    // The base revision makes a repeated edit conflict whose id is no longer kept.
     let late = apply(&mut fold, edit("id-0", "s x", 0, "k = 1"));
     assert!(matches!(
         late,
--- a/tests/document/follow.rs
+++ b/tests/document/follow.rs
@@ -11,6 +11,7 @@
 
 const RETENTION_MS: u64 = 64_000;
 
+/// Edit that is accepted at `offset`.
 fn record(offset: u64) -> RawLogRecord {
     let id = format!("id-{offset}");
     let name = format!("service s{offset}");
@@ -20,6 +21,7 @@
     }
 }
 
+/// Page that ends at the end of the log.
 fn page(earliest: u64, records: Vec<RawLogRecord>) -> LogPage {
     let next = records.last().map_or(earliest, |last| last.offset + 1);
     LogPage {
@@ -29,7 +31,8 @@
     }
 }
 
-fn read(now_ms: u64, count: u64) -> Follower {
+/// Follower that has read a log of `count` records to its end.
+fn follower_of(now_ms: u64, count: u64) -> Follower {
     let mut follower = Follower::new(now_ms);
     follower.apply_log_page(now_ms, now_ms, &page(0, (0..count).map(record).collect()));
     follower
@@ -43,7 +46,7 @@
 }
 
 #[test]
-fn follower_admits_after_end_of_log() {
+fn admits_after_end_of_log() {
     let mut follower = Follower::new(0);
     assert!(!follower.admits(0));
     let mut partial = page(0, vec![record(0)]);
@@ -55,8 +58,8 @@
 }
 
 #[test]
-fn follower_admits_after_majority() {
-    let entry = read(0, 3);
+fn admits_after_majority() {
+    let entry = follower_of(0, 3);
     let mut fresh = Follower::new(0);
     let unready = Follower::new(0);
     fresh.apply_peer_answer(0, 0, "e1", 3, &entry.answer_peer(0, 0));
@@ -69,14 +72,14 @@
 }
 
 #[test]
-fn follower_pause_needs_new_confirmation() {
-    let mut follower = read(0, 1);
+fn admits_after_pause() {
+    let mut follower = follower_of(0, 1);
     assert!(follower.admits(4_000));
     assert!(!follower.admits(60_000), "paused and not ticked yet");
     assert!(follower.tick(60_000));
     assert!(!follower.admits(60_000));
     assert!(follower.is_voter());
-    // An answer to a question from before the pause is no confirmation.
+    // An answer to a request from before the pause confirms nothing.
     follower.apply_log_page(60_001, 100, &page(0, vec![record(0)]));
     assert!(!follower.admits(60_001));
     follower.apply_log_page(60_002, 60_001, &page(0, vec![record(0), record(1)]));
@@ -84,8 +87,8 @@
 }
 
 #[test]
-fn follower_answer_to_question_from_the_future() {
-    let entry = read(0, 1);
+fn apply_peer_answer_future_request_time() {
+    let entry = follower_of(0, 1);
     let mut fresh = Follower::new(0);
     fresh.apply_peer_answer(20, 5_000, "e1", 1, &entry.answer_peer(0, 0));
     assert!(!fresh.admits(20));
@@ -94,8 +97,8 @@
 }
 
 #[test]
-fn follower_passes_records_on() {
-    let mut entry = read(0, 2);
+fn answer_peer_recent_records() {
+    let mut entry = follower_of(0, 2);
     let checkpoint = checkpoint_of(&entry, 2);
     entry.apply_log_page(0, 0, &page(0, vec![checkpoint, record(3)]));
     let answer = entry.answer_peer(0, 1);
@@ -104,15 +107,15 @@
     };
     assert_eq!(records.len(), 3);
     assert!(records[1].bytes.is_empty(), "a checkpoint travels empty");
-    let mut other = read(0, 1);
+    let mut other = follower_of(0, 1);
     let notices = other.apply_peer_answer(0, 0, "e1", 1, &answer);
     assert_eq!(notices, [Notice::Advanced { head: 4 }]);
     assert_eq!(other.fold().digest(), entry.fold().digest());
 }
 
 #[test]
-fn follower_reports_divergence() {
-    let mut follower = read(0, 1);
+fn apply_peer_answer_diverged() {
+    let mut follower = follower_of(0, 1);
     let mut other = Follower::new(0);
     other.apply_log_page(
         0,
@@ -130,8 +133,8 @@
 }
 
 #[test]
-fn follower_trimmed_log() {
-    let entry = read(0, 5);
+fn apply_log_page_trimmed() {
+    let entry = follower_of(0, 5);
     let mut fresh = Follower::new(0);
     let notices = fresh.apply_log_page(0, 0, &page(4, vec![record(4)]));
     let trimmed = Notice::Trimmed {
@@ -149,16 +152,16 @@
 }
 
 #[test]
-fn follower_contested_checkpoints() {
-    let entry = read(0, 5);
+fn apply_log_page_conflicting_checkpoints() {
+    let entry = follower_of(0, 5);
     let mut other = Follower::new(0);
-    let foreign = (0..5).map(|offset| RawLogRecord {
+    let invalid = (0..5).map(|offset| RawLogRecord {
         offset,
         bytes: vec![9],
     });
-    other.apply_log_page(0, 0, &page(0, foreign.collect()));
+    other.apply_log_page(0, 0, &page(0, invalid.collect()));
     let mut fresh = Follower::new(0);
-    let earlier = read(0, 4);
+    let earlier = follower_of(0, 4);
     let kept = vec![
         record(4),
         checkpoint_of(&entry, 5),
@@ -166,13 +169,13 @@
         checkpoint_of(&earlier, 7),
     ];
     let notices = fresh.apply_log_page(0, 0, &page(4, kept));
-    let contested = Notice::ConflictingCheckpoints { as_of: 5 };
-    assert_eq!(notices, [contested, Notice::Advanced { head: 4 }]);
+    let conflicting = Notice::ConflictingCheckpoints { as_of: 5 };
+    assert_eq!(notices, [conflicting, Notice::Advanced { head: 4 }]);
 }
 
 #[test]
-fn follower_log_went_back() {
-    let mut follower = read(0, 3);
+fn apply_log_page_log_went_back() {
+    let mut follower = follower_of(0, 3);
     let notices = follower.apply_log_page(0, 0, &page(0, vec![record(0)]));
     assert_eq!(notices, [Notice::LogWentBack { next: 1, head: 3 }]);
     assert_eq!(follower.fold().head(), 3);
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn log_duty_takes_over_by_rank() {
+fn log_schedule_by_rank() {
     let schedule = |rank| LogSchedule {
         rank,
         retention_ms: RETENTION_MS,
--- a/tests/document/main.rs
+++ b/tests/document/main.rs
@@ -1,5 +1,5 @@
-//! The configuration document: records, the fold, checkpoints and the check
-//! of an edit's meaning.
+//! Tests of the configuration document: records, the fold, checkpoints, following the
+//! log, and the check of an edit.
 
 mod check;
 mod fold;
--- a/tests/document/properties.rs
+++ b/tests/document/properties.rs
@@ -8,7 +8,7 @@
 use bergamotfork::document::LogRecord;
 use bergamotfork::document::RecordOutcome;
 
-/// Draws one record: an edit, a checkpoint of some prefix, or noise.
+/// Generates one record: an edit, a checkpoint of some prefix, or random bytes.
 fn record(u: &mut Unstructured<'_>, prefixes: &[Fold]) -> arbitrary::Result<Vec<u8>> {
     let kind = u.int_in_range(0..=9)?;
     if kind == 0 {
@@ -35,7 +35,7 @@
     Ok(LogRecord::Edit(edit).encode())
 }
 
-/// A random log and the fold of each of its prefixes.
+/// Generates a log, and the fold of each of its prefixes.
 fn log(u: &mut Unstructured<'_>) -> arbitrary::Result<(Vec<Vec<u8>>, Vec<Fold>)> {
     let mut records = Vec::new();
     let mut prefixes = vec![Fold::new()];
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn fold_same_from_any_checkpoint() {
+fn fold_from_any_checkpoint() {
     arbtest(|u| {
         let (records, prefixes) = log(u)?;
         let last = &prefixes[records.len()];
@@ -68,17 +68,17 @@
 }
 
 #[test]
-fn fold_never_goes_back() {
+fn fold_head_never_decreases() {
     arbtest(|u| {
         let (records, prefixes) = log(u)?;
         let mut fold = Fold::new();
         while !u.is_empty() {
             let before = fold.head();
-            let at = u.int_in_range(0..=records.len())?;
+            let offset = u.int_in_range(0..=records.len())?;
             if u.arbitrary()? {
-                fold.apply_checkpoint(&prefixes[at].checkpoint());
-            } else if let Some(bytes) = records.get(at) {
-                fold.apply(at as u64, bytes);
+                fold.apply_checkpoint(&prefixes[offset].checkpoint());
+            } else if let Some(bytes) = records.get(offset) {
+                fold.apply(offset as u64, bytes);
             }
             assert!(fold.head() >= before);
             let reference = &prefixes[usize::try_from(fold.head()).expect("a short log")];
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn fold_accepted_edits_form_one_chain() {
+fn fold_accepted_edits_form_chain() {
     arbtest(|u| {
         let (records, _) = log(u)?;
         let mut fold = Fold::new();
@@ -103,7 +103,10 @@
                 panic!("only an edit is decided");
             };
             let previous = chain.iter().rev().find(|(name, _)| *name == edit.section);
-            assert_eq!(previous.map_or(0, |(_, at)| *at), edit.base_revision);
+            assert_eq!(
+                previous.map_or(0, |(_, revision)| *revision),
+                edit.base_revision
+            );
             chain.push((edit.section, revision));
         }
         Ok(())
--- a/tests/document/records.rs
+++ b/tests/document/records.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn decode_foreign_bytes() {
+fn decode_invalid_bytes() {
     assert_eq!(LogRecord::decode(&[]), Err(DocumentError::Empty));
     let future = LogRecord::decode(&[9, 1, 2]);
     assert_eq!(future, Err(DocumentError::UnknownVersion { version: 9 }));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn decode_broken_structure() {
+fn decode_invalid_structure() {
     let header = edit("a", "model chat", 0, "a = b\n [model other]\nc = d");
     let header = LogRecord::decode(&LogRecord::Edit(header).encode());
     assert!(matches!(header, Err(DocumentError::HeaderInBody { .. })));
