--- a/src/document/edit_entry.rs
+++ b/src/document/edit_entry.rs
@@ -15,7 +15,7 @@
     pub section: String,
     /// Revision of the section that the edit was based on.
     pub base_revision: u64,
-    /// Digest over all fields of the edit; see [`Edit::fingerprint`](crate::document::Edit::fingerprint).
+    /// Digest over all fields of the edit; see `Edit::fingerprint`.
     pub fingerprint: Digest,
     /// Whether the edit was accepted.
     pub outcome: EditOutcome,
--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -24,7 +24,7 @@
     document: Arc<Document>,
     // Decided edits, ascending by offset.
     edits: VecDeque<EditEntry>,
-    // Edit ids with their offsets in `edits`, ascending by edit id.
+    // Ids of the edits in `edits` with their offsets in the log, ascending by id.
     offset_by_id: Vec<(String, u64)>,
     digest: Digest,
     past_digests: PastDigests,
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -24,7 +24,8 @@
     readiness: Readiness,
     search: Option<CheckpointSearch>,
     last_tick_ms: u64,
-    // Start or end of the last pause; answers to earlier requests may be out of date.
+    // Time of the start or of the end of the last pause; answers to earlier requests may be
+    // out of date.
     resumed_ms: u64,
     last_confirmed_ms: Option<u64>,
     checkpoint_observed_ms: u64,
@@ -52,7 +53,7 @@
 
     /// Whether the process may rely on its configuration to admit new work.
     pub fn admits(&self, now_ms: u64) -> bool {
-        self.readiness.admits() && !self.paused_since_tick(now_ms)
+        self.readiness.admits() && !self.was_paused(now_ms)
     }
 
     /// Whether an answer of this process counts towards a majority.
@@ -79,7 +80,7 @@
 
     /// Records that the process runs at `now_ms`; returns true if it was paused before.
     pub fn tick(&mut self, now_ms: u64) -> bool {
-        let paused = self.paused_since_tick(now_ms);
+        let paused = self.was_paused(now_ms);
         self.last_tick_ms = now_ms;
         if paused {
             self.resumed_ms = now_ms;
@@ -88,8 +89,13 @@
         paused
     }
 
-    /// Applies a page of the log that was requested at `asked_ms`.
-    pub fn apply_log_page(&mut self, now_ms: u64, asked_ms: u64, page: &LogPage) -> Vec<Notice> {
+    /// Applies a page of the log that was requested at `requested_ms`.
+    pub fn apply_log_page(
+        &mut self,
+        now_ms: u64,
+        requested_ms: u64,
+        page: &LogPage,
+    ) -> Vec<Notice> {
         self.tick(now_ms);
         if page.next < self.fold.head() {
             return vec![Notice::LogWentBack {
@@ -101,10 +107,10 @@
             return self.search_page(page);
         }
         self.search = None;
-        let notices = self.apply_records(asked_ms, &page.records);
+        let notices = self.apply_records(requested_ms, &page.records);
         if self.fold.head() == page.next {
-            self.record_confirmation(asked_ms);
-            if asked_ms >= self.resumed_ms {
+            self.record_confirmation(requested_ms);
+            if requested_ms >= self.resumed_ms {
                 self.readiness.confirm();
             }
         }
@@ -136,12 +142,12 @@
         }
     }
 
-    /// Applies the answer of `peer` to a request sent at `asked_ms`, where the platform
+    /// Applies the answer of `peer` to a request sent at `requested_ms`, where the platform
     /// lists `listed` entries.
     pub fn apply_peer_answer(
         &mut self,
         now_ms: u64,
-        asked_ms: u64,
+        requested_ms: u64,
         peer: &str,
         listed: usize,
         answer: &PeerAnswer,
@@ -149,7 +155,7 @@
         self.tick(now_ms);
         let mut notices = match &answer.update {
             ConfigUpdate::None => Vec::new(),
-            ConfigUpdate::Records(records) => self.apply_records(asked_ms, records),
+            ConfigUpdate::Records(records) => self.apply_records(requested_ms, records),
             ConfigUpdate::Checkpoint(checkpoint) => self.apply_checkpoint(checkpoint),
         };
         if self.diverges_from(&answer.mark) {
@@ -159,8 +165,8 @@
             return notices;
         }
         // A request time in the future shows that another process sent the request.
-        if self.fold.head() >= answer.mark.head && asked_ms <= now_ms {
-            self.apply_peer_status(asked_ms, peer, listed, &answer.mark);
+        if self.fold.head() >= answer.mark.head && requested_ms <= now_ms {
+            self.apply_peer_status(requested_ms, peer, listed, &answer.mark);
         }
         notices
     }
@@ -172,22 +178,28 @@
     }
 
     /// Takes over the confirmation of a peer that this process is not behind.
-    fn apply_peer_status(&mut self, asked_ms: u64, peer: &str, listed: usize, status: &PeerStatus) {
+    fn apply_peer_status(
+        &mut self,
+        requested_ms: u64,
+        peer: &str,
+        listed: usize,
+        status: &PeerStatus,
+    ) {
         if let Some(age_ms) = status.confirmed_age_ms {
-            let at_ms = asked_ms.saturating_sub(age_ms);
+            let at_ms = requested_ms.saturating_sub(age_ms);
             self.record_confirmation(at_ms);
             // The peer's head was the end of the log after the start or the last pause.
             if at_ms > self.resumed_ms {
                 self.readiness.confirm();
             }
         }
-        if status.is_voter && asked_ms >= self.resumed_ms {
+        if status.is_voter && requested_ms >= self.resumed_ms {
             self.readiness.record_voter(peer, listed);
         }
     }
 
     /// Whether the process was paused since the last tick.
-    fn paused_since_tick(&self, now_ms: u64) -> bool {
+    fn was_paused(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.last_tick_ms) >= PAUSE_MS
     }
 
--- a/src/node/config_request.rs
+++ b/src/node/config_request.rs
@@ -26,31 +26,31 @@
 /// process lacks.
 pub async fn fetch_config(node: &Node, name: &str, address: SocketAddr) {
     let url = format!("http://{address}/x/config");
-    let asked_ms = node.now_ms();
+    let requested_ms = node.now_ms();
     let from = node.follower().fold().head();
     let request = ConfigRequest { from };
     let answer: Result<PeerAnswer, _> = node.request(&url, &request, FETCH_TIMEOUT_MS).await;
     if let Ok(answer) = answer {
-        apply_peer_answer(node, asked_ms, name, &answer);
+        apply_peer_answer(node, requested_ms, name, &answer);
     }
 }
 
 /// Applies the status of the peer `name`, received without an update.
-pub(super) fn apply_peer_status(node: &Node, asked_ms: u64, name: &str, mark: PeerStatus) {
+pub(super) fn apply_peer_status(node: &Node, requested_ms: u64, name: &str, mark: PeerStatus) {
     let answer = PeerAnswer {
         mark,
         update: ConfigUpdate::None,
     };
-    apply_peer_answer(node, asked_ms, name, &answer);
+    apply_peer_answer(node, requested_ms, name, &answer);
 }
 
-/// Applies the answer of the peer `name` to a request sent at `asked_ms`.
-fn apply_peer_answer(node: &Node, asked_ms: u64, name: &str, answer: &PeerAnswer) {
+/// Applies the answer of the peer `name` to a request sent at `requested_ms`.
+fn apply_peer_answer(node: &Node, requested_ms: u64, name: &str, answer: &PeerAnswer) {
     let listed = node.roster().listed_count(HostRole::Entry);
     let now_ms = node.now_ms();
     let notices = node
         .follower()
-        .apply_peer_answer(now_ms, asked_ms, name, listed, answer);
+        .apply_peer_answer(now_ms, requested_ms, name, listed, answer);
     emit_notices(node, &notices);
 }
 
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -107,8 +107,8 @@
             .filter(|(_, host)| host.silent_ms(now_ms).is_some())
             .map(|(_, host)| (host.address, host.incarnation, host.heartbeat_sent_ms()))
             .collect();
-        for (address, to, asked_ms) in behind {
-            let answer = self.node.heartbeat_answer(to, asked_ms, false);
+        for (address, to, sent_ms) in behind {
+            let answer = self.node.heartbeat_answer(to, sent_ms, false);
             let datagram = Datagram::Answer(answer).seal(&self.socket.key);
             self.socket.send(&self.node, &datagram, address);
         }
@@ -151,7 +151,7 @@
 /// Sends a full report to one entry and applies the answer.
 pub(super) async fn send_report(node: &Arc<Node>, target: ReportTarget) {
     let url = format!("http://{}/x/report", target.address);
-    let asked_ms = node.now_ms();
+    let requested_ms = node.now_ms();
     let report = node.report();
     let answer: Result<ReportAnswer, _> = node.request(&url, &report, REPORT_TIMEOUT_MS).await;
     if let Ok(answer) = &answer {
@@ -162,7 +162,7 @@
         Ok(answer) if answer.config.offset > node.follower().fold().head() => {
             fetch_config(node, &target.name, target.address).await;
         }
-        Ok(answer) => apply_peer_status(node, asked_ms, &target.name, answer.peer_status()),
+        Ok(answer) => apply_peer_status(node, requested_ms, &target.name, answer.peer_status()),
         Err(error) if error.is_not_sent() => {
             let now_ms = node.now_ms();
             node.roster().record_failure(target.key, now_ms);
