--- a/src/document/follow/checkpoint_search.rs
+++ b/src/document/follow/checkpoint_search.rs
@@ -49,6 +49,7 @@
             .max_by_key(|checkpoint| checkpoint.as_of)
     }
 
+    /// Adds a checkpoint, or records a conflict with another one of the same offset.
     fn add(&mut self, checkpoint: Checkpoint) {
         let as_of = checkpoint.as_of;
         match self.found.iter().find(|other| other.as_of == as_of) {
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -203,6 +203,7 @@
         now_ms.saturating_sub(self.last_tick_ms) >= PAUSE_MS
     }
 
+    /// Applies records of the log; those that do not continue at the head change nothing.
     fn apply_records(&mut self, now_ms: u64, records: &[RawLogRecord]) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
@@ -224,6 +225,7 @@
         notices
     }
 
+    /// Applies a checkpoint if it is ahead of the head.
     fn apply_checkpoint(&mut self, checkpoint: &Checkpoint) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
@@ -240,7 +242,8 @@
         notices
     }
 
-    /// Searches a page of a trimmed log for checkpoints; applies the best one at the end.
+    /// Searches a page of a trimmed log for checkpoints; at the end of the log, applies
+    /// the latest usable one.
     fn search_page(&mut self, page: &LogPage) -> Vec<Notice> {
         let mut search = self
             .search
--- a/src/document/follow/log_schedule.rs
+++ b/src/document/follow/log_schedule.rs
@@ -7,11 +7,11 @@
 /// Additional time for each further rank, in ms.
 const TAKEOVER_STEP_MS: u64 = 1_000;
 
-/// Fraction of the log's retention after which rank 0 publishes a checkpoint.
-const CHECKPOINT_FRACTION: u64 = 8;
+/// Divisor of the log's retention: rank 0 publishes a checkpoint after this part of it.
+const CHECKPOINT_DIVISOR: u64 = 8;
 
-/// Additional fraction of the retention for each further rank.
-const CHECKPOINT_STEP_FRACTION: u64 = 64;
+/// Divisor of the log's retention: each further rank waits this part of it longer.
+const CHECKPOINT_STEP_DIVISOR: u64 = 64;
 
 /// Number of ranks that publish checkpoints; the last does so just before a quarter of
 /// the retention.
@@ -74,7 +74,7 @@
         if self.rank >= CHECKPOINT_RANKS {
             return false;
         }
-        let step_ms = self.retention_ms / CHECKPOINT_STEP_FRACTION;
-        unobserved_ms >= self.retention_ms / CHECKPOINT_FRACTION + self.rank as u64 * step_ms
+        let step_ms = self.retention_ms / CHECKPOINT_STEP_DIVISOR;
+        unobserved_ms >= self.retention_ms / CHECKPOINT_DIVISOR + self.rank as u64 * step_ms
     }
 }
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -28,7 +28,7 @@
 /// Interval at which an entry checks whether to notify hosts of a new offset.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Every how many rounds a heartbeat wants an answer even without an update.
+/// Number of rounds of which one wants an answer even if the entry has no update.
 const ROUNDS_PER_ANSWER: u64 = 5;
 
 /// Timeout of a report to an entry, in ms.
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -206,12 +206,10 @@
                     last_received_ms[number] = Some(now_ms);
                 }
             }
-            for (number, received_ms) in last_received_ms.iter().enumerate() {
-                let Some(received_ms) = received_ms else {
-                    continue;
-                };
+            for (number, last_ms) in last_received_ms.iter().enumerate() {
+                let Some(last_ms) = last_ms else { continue };
                 let usable = status(&roster, number, now_ms) == Some(HostStatus::Usable);
-                let silent_ms = now_ms - received_ms;
+                let silent_ms = now_ms - last_ms;
                 assert!(usable || silent_ms > SILENCE_MS, "heard and not usable");
                 assert!(!usable || silent_ms < NO_NEW_WORK_MS, "silent and usable");
             }
