--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -161,6 +161,7 @@
         RecordOutcome::Decided(outcome)
     }
 
+    /// Applies an accepted edit to the document.
     fn change_document(&mut self, revision: u64, edit: Edit) {
         let document = Arc::make_mut(&mut self.document);
         match edit.body {
@@ -174,6 +175,7 @@
         }
     }
 
+    /// Keeps the decided edit, in place of the oldest one if the limit is reached.
     fn store_edit_entry(&mut self, edit: &Edit, outcome: EditOutcome) {
         if self.edits.len() == MAX_EDIT_ENTRIES {
             self.remove_oldest_edit_entry();
@@ -213,6 +215,7 @@
         }
     }
 
+    /// Moves the head and recomputes the digest.
     fn advance_to(&mut self, head: u64) {
         self.head = head;
         self.digest = state_digest(head, &self.document, self.edits.make_contiguous());
@@ -232,6 +235,7 @@
     }
 }
 
+/// Collects the edit ids with their offsets, ascending by id.
 fn offsets_by_id(edits: &[EditEntry]) -> Vec<(String, u64)> {
     let mut offsets: Vec<(String, u64)> = edits
         .iter()
--- a/src/node/datagram_receiver.rs
+++ b/src/node/datagram_receiver.rs
@@ -81,13 +81,13 @@
     if answer.config.offset > node.follower().fold().head() {
         fetch_config(node, &target.name, target.address).await;
     } else {
-        let mark = PeerStatus {
+        let status = PeerStatus {
             head: answer.config.offset,
             digest: answer.config.digest,
             is_voter: answer.is_voter,
             confirmed_age_ms: answer.confirmed_age_ms,
         };
-        apply_peer_status(node, answer.asked_ms, &target.name, mark);
+        apply_peer_status(node, answer.asked_ms, &target.name, status);
     }
     if answer.wants_report {
         send_report(node, target).await;
