--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -37,10 +37,10 @@
 use crate::entry::EntryState;
 use crate::entry::generate_route;
 use crate::hosts::HostRole;
+use crate::hosts::HostedVersion;
 use crate::hosts::Load;
-use crate::hosts::Progress;
 use crate::hosts::Report;
-use crate::hosts::Served;
+use crate::hosts::VersionProgress;
 use crate::links::ServeOptions;
 use crate::links::read_rmp;
 use crate::links::serve;
@@ -270,7 +270,10 @@
     pub(super) fn report(&self, loads: &[Load]) {
         for state in &self.states {
             let now_ms = state.node.now_ms();
-            state.node.follower().log_page(now_ms, now_ms, &log_page());
+            state
+                .node
+                .follower()
+                .apply_log_page(now_ms, now_ms, &log_page());
             let running = self.members.iter().enumerate();
             for (number, member) in running.filter(|(_, member)| member.handle.is_some()) {
                 let report = Report {
@@ -282,20 +285,20 @@
                     service: None,
                     incarnation: 1,
                     leaving: false,
-                    config: state.node.config_mark(),
+                    config: state.node.config_position(),
                     load: loads[number],
-                    served: vec![Served {
+                    served: vec![HostedVersion {
                         model: MODEL.to_owned(),
                         version: "1".to_owned(),
                         manifest: manifest(),
-                        progress: Progress::Serving,
+                        progress: VersionProgress::Serving,
                         present_percent: 100,
                         held: None,
                     }],
                     permit_epoch: 0,
                     suspects: Vec::new(),
                 };
-                state.node.roster().heard(&report, now_ms);
+                state.node.roster().merge_report(&report, now_ms);
             }
         }
     }
--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -1,97 +1,97 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::document::Adopted;
-use crate::document::Applied;
 use crate::document::Checkpoint;
+use crate::document::CheckpointOutcome;
 use crate::document::Document;
 use crate::document::Edit;
 use crate::document::EditEntry;
 use crate::document::EditOutcome;
 use crate::document::LogRecord;
+use crate::document::RecordOutcome;
 use crate::document::Section;
 use crate::document::checkpoint::state_digest;
 use crate::document::past_digests::PastDigests;
 use crate::weights::Digest;
 
-/// Edits remembered for retries.
+/// Number of decided edits kept, to answer retries.
 pub const MAX_EDIT_ENTRIES: usize = 4_096;
 
-/// The state reached by applying every record before an offset.
+/// State after applying every record of the log before an offset.
 #[derive(Debug, Clone)]
 pub struct Fold {
     head: u64,
     document: Arc<Document>,
-    // Ascending by offset.
+    // Decided edits, ascending by offset.
     edits: VecDeque<EditEntry>,
-    // Offsets of the entries, ascending by edit id.
+    // Ids of the edits in `edits` with their offsets in the log, ascending by id.
     offset_by_id: Vec<(String, u64)>,
     digest: Digest,
-    past: PastDigests,
+    past_digests: PastDigests,
 }
 
 impl Fold {
-    /// The state before the first record.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         let document = Document::default();
         let digest = state_digest(0, &document, &[]);
-        let mut past = PastDigests::default();
-        past.push(0, digest);
+        let mut past_digests = PastDigests::default();
+        past_digests.push(0, digest);
         Self {
             head: 0,
             document: Arc::new(document),
             edits: VecDeque::new(),
             offset_by_id: Vec::new(),
             digest,
-            past,
+            past_digests,
         }
     }
 
-    /// Applies the record at `offset`; anything but the next offset changes nothing.
-    pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> Applied {
+    /// Applies the record at `offset`; changes nothing unless `offset` is the head.
+    pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> RecordOutcome {
         if offset < self.head {
-            return Applied::Past;
+            return RecordOutcome::AlreadyApplied;
         }
         if offset > self.head {
-            return Applied::Gap { wanted: self.head };
+            return RecordOutcome::Gap { wanted: self.head };
         }
-        let applied = match LogRecord::decode(bytes) {
+        let outcome = match LogRecord::decode(bytes) {
             Ok(LogRecord::Edit(edit)) => self.apply_edit(offset, edit),
-            Ok(LogRecord::Checkpoint(checkpoint)) => self.compare(&checkpoint),
-            Err(error) => Applied::Skipped(error),
+            Ok(LogRecord::Checkpoint(checkpoint)) => self.verify_checkpoint(&checkpoint),
+            Err(error) => RecordOutcome::Skipped(error),
         };
         self.advance_to(offset + 1);
-        applied
+        outcome
     }
 
-    /// Offset of the record wanted next.
+    /// Returns the offset of the next record to apply.
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// Digest of the state at the head.
+    /// Returns the digest of the state at the head.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The document at the head.
+    /// Returns the document at the head.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The document at the head, for a reader that keeps it.
+    /// Returns a shared reference to the document at the head.
     pub fn shared_document(&self) -> Arc<Document> {
         Arc::clone(&self.document)
     }
 
-    /// How the edit called `edit_id` was decided, if it is remembered.
-    pub fn outcome(&self, edit_id: &str) -> Option<&EditOutcome> {
-        self.entry(edit_id).map(|entry| &entry.outcome)
+    /// Returns the outcome of the edit with the id `edit_id`, if it is still kept.
+    pub fn edit_outcome(&self, edit_id: &str) -> Option<&EditOutcome> {
+        self.edit_entry(edit_id).map(|entry| &entry.outcome)
     }
 
-    /// The remembered edit called `edit_id`.
-    pub fn entry(&self, edit_id: &str) -> Option<&EditEntry> {
-        let index = self.id_index(edit_id).ok()?;
+    /// Returns the decided edit with the id `edit_id`, if it is still kept.
+    pub fn edit_entry(&self, edit_id: &str) -> Option<&EditEntry> {
+        let index = self.index_of_id(edit_id).ok()?;
         let offset = self.offset_by_id[index].1;
         let index = self
             .edits
@@ -99,34 +99,34 @@
         index.ok().map(|index| &self.edits[index])
     }
 
-    /// Remembered edits, oldest first.
+    /// Iterates over the decided edits that are kept, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &EditEntry> {
         self.edits.iter()
     }
 
-    /// The digest this fold had at `offset`, if it is remembered.
+    /// Returns the digest that this fold had at `offset`, if it is still kept.
     pub fn digest_at(&self, offset: u64) -> Option<Digest> {
-        self.past.at(offset)
+        self.past_digests.digest_at(offset)
     }
 
-    /// The state at the head.
+    /// Creates a checkpoint of the state at the head.
     pub fn checkpoint(&self) -> Checkpoint {
         let edits: Vec<EditEntry> = self.edits.iter().cloned().collect();
-        Checkpoint::seal(self.head, &self.document, &edits)
+        Checkpoint::new(self.head, &self.document, &edits)
     }
 
-    /// Moves forward to a checkpoint; never moves back.
-    pub fn adopt(&mut self, checkpoint: &Checkpoint) -> Adopted {
+    /// Replaces the state by a checkpoint that is ahead; never goes back.
+    pub fn apply_checkpoint(&mut self, checkpoint: &Checkpoint) -> CheckpointOutcome {
         if checkpoint.check_digest().is_err() {
-            return Adopted::Corrupt;
+            return CheckpointOutcome::Corrupt;
         }
         if checkpoint.as_of <= self.head {
-            let known = self.past.at(checkpoint.as_of);
+            let known = self.past_digests.digest_at(checkpoint.as_of);
             let differs = known.is_some_and(|digest| digest != checkpoint.digest);
             return if differs {
-                Adopted::Differs
+                CheckpointOutcome::Differs
             } else {
-                Adopted::NotNewer
+                CheckpointOutcome::NotNewer
             };
         }
         self.document = Arc::new(checkpoint.document());
@@ -134,13 +134,14 @@
         self.offset_by_id = offsets_by_id(&checkpoint.edits);
         self.head = checkpoint.as_of;
         self.digest = checkpoint.digest;
-        self.past.push(self.head, self.digest);
-        Adopted::Advanced
+        self.past_digests.push(self.head, self.digest);
+        CheckpointOutcome::Advanced
     }
 
-    fn apply_edit(&mut self, offset: u64, edit: Edit) -> Applied {
-        if let Some(outcome) = self.outcome(&edit.edit_id) {
-            return Applied::Repeated(*outcome);
+    /// Accepts the edit if its base revision is current; a repeated id keeps its outcome.
+    fn apply_edit(&mut self, offset: u64, edit: Edit) -> RecordOutcome {
+        if let Some(outcome) = self.edit_outcome(&edit.edit_id) {
+            return RecordOutcome::Repeated(*outcome);
         }
         let current = self.document.revision(&edit.section);
         let accepted = edit.base_revision == current;
@@ -153,31 +154,33 @@
                 revision: current,
             }
         };
-        self.remember(&edit, outcome);
+        self.store_edit_entry(&edit, outcome);
         if accepted {
-            self.change(offset + 1, edit);
+            self.change_document(offset + 1, edit);
         }
-        Applied::Decided(outcome)
+        RecordOutcome::Decided(outcome)
     }
 
-    fn change(&mut self, revision: u64, edit: Edit) {
+    /// Applies an accepted edit to the document.
+    fn change_document(&mut self, revision: u64, edit: Edit) {
         let document = Arc::make_mut(&mut self.document);
         match edit.body {
-            Some(body) => document.put(Section {
+            Some(body) => document.insert_section(Section {
                 name: edit.section,
                 team: edit.team,
                 revision,
                 body,
             }),
-            None => document.delete(&edit.section, revision),
+            None => document.delete_section(&edit.section, revision),
         }
     }
 
-    fn remember(&mut self, edit: &Edit, outcome: EditOutcome) {
+    /// Keeps the decided edit, in place of the oldest one if the limit is reached.
+    fn store_edit_entry(&mut self, edit: &Edit, outcome: EditOutcome) {
         if self.edits.len() == MAX_EDIT_ENTRIES {
-            self.forget_oldest();
+            self.remove_oldest_edit_entry();
         }
-        if let Err(index) = self.id_index(&edit.edit_id) {
+        if let Err(index) = self.index_of_id(&edit.edit_id) {
             let id = (edit.edit_id.clone(), outcome.offset());
             self.offset_by_id.insert(index, id);
         }
@@ -191,31 +194,36 @@
         });
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest_edit_entry(&mut self) {
         let Some(oldest) = self.edits.pop_front() else {
             return;
         };
-        if let Ok(index) = self.id_index(&oldest.edit_id) {
+        if let Ok(index) = self.index_of_id(&oldest.edit_id) {
             self.offset_by_id.remove(index);
         }
     }
 
-    fn compare(&self, checkpoint: &Checkpoint) -> Applied {
+    /// Compares a checkpoint with the digest that this fold had at the same offset.
+    fn verify_checkpoint(&self, checkpoint: &Checkpoint) -> RecordOutcome {
         let as_of = checkpoint.as_of;
-        match self.past.at(as_of) {
-            Some(digest) if digest == checkpoint.digest => Applied::CheckpointAgreed { as_of },
-            Some(_) => Applied::CheckpointDiffers { as_of },
-            None => Applied::CheckpointUnchecked { as_of },
+        match self.past_digests.digest_at(as_of) {
+            Some(digest) if digest == checkpoint.digest => {
+                RecordOutcome::CheckpointMatches { as_of }
+            }
+            Some(_) => RecordOutcome::CheckpointDiffers { as_of },
+            None => RecordOutcome::CheckpointUnchecked { as_of },
         }
     }
 
+    /// Moves the head and recomputes the digest.
     fn advance_to(&mut self, head: u64) {
         self.head = head;
         self.digest = state_digest(head, &self.document, self.edits.make_contiguous());
-        self.past.push(head, self.digest);
+        self.past_digests.push(head, self.digest);
     }
 
-    fn id_index(&self, edit_id: &str) -> Result<usize, usize> {
+    /// Index of `edit_id` in `offset_by_id`, or the index at which to insert it.
+    fn index_of_id(&self, edit_id: &str) -> Result<usize, usize> {
         self.offset_by_id
             .binary_search_by(|(id, _)| id.as_str().cmp(edit_id))
     }
@@ -227,6 +235,7 @@
     }
 }
 
+/// Collects the edit ids with their offsets, ascending by id.
 fn offsets_by_id(edits: &[EditEntry]) -> Vec<(String, u64)> {
     let mut offsets: Vec<(String, u64)> = edits
         .iter()
--- a/src/document/follow/scan.rs
+++ b/src/document/follow/checkpoint_search.rs
@@ -1,32 +1,32 @@
 use crate::document::Checkpoint;
 use crate::document::LogRecord;
-use crate::document::follow::LoggedRecord;
+use crate::document::follow::RawLogRecord;
 
-/// Search of a trimmed log for a checkpoint to go on from.
+/// Search of a trimmed log for a checkpoint to start from.
 #[derive(Debug, Clone)]
-pub struct Scan {
+pub struct CheckpointSearch {
     position: u64,
     found: Vec<Checkpoint>,
-    contested: Vec<u64>,
+    conflicting: Vec<u64>,
 }
 
-impl Scan {
-    /// Starts at the lowest offset still kept.
+impl CheckpointSearch {
+    /// Creates a search that starts at `earliest`, the lowest offset that the log keeps.
     pub fn new(earliest: u64) -> Self {
         Self {
             position: earliest,
             found: Vec::new(),
-            contested: Vec::new(),
+            conflicting: Vec::new(),
         }
     }
 
-    /// Offset to read next.
+    /// Returns the offset to read next.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Looks at the records read.
-    pub fn look(&mut self, records: &[LoggedRecord]) {
+    /// Collects the checkpoints among `records` and advances the position.
+    pub fn add_records(&mut self, records: &[RawLogRecord]) {
         for record in records {
             self.position = self.position.max(record.offset + 1);
             if let Ok(LogRecord::Checkpoint(checkpoint)) = LogRecord::decode(&record.bytes) {
@@ -35,24 +35,25 @@
         }
     }
 
-    /// Offsets with two checkpoints that differ.
-    pub fn contested(&self) -> &[u64] {
-        &self.contested
+    /// Returns the offsets that have two differing checkpoints.
+    pub fn conflicting(&self) -> &[u64] {
+        &self.conflicting
     }
 
-    /// The latest uncontested checkpoint that no record is missing after.
-    pub fn best(&self, earliest: u64) -> Option<&Checkpoint> {
+    /// Returns the latest checkpoint without conflict from which the log is complete.
+    pub fn latest_usable(&self, earliest: u64) -> Option<&Checkpoint> {
         self.found
             .iter()
             .filter(|checkpoint| checkpoint.as_of >= earliest)
-            .filter(|checkpoint| !self.contested.contains(&checkpoint.as_of))
+            .filter(|checkpoint| !self.conflicting.contains(&checkpoint.as_of))
             .max_by_key(|checkpoint| checkpoint.as_of)
     }
 
+    /// Adds a checkpoint, or records a conflict with another one of the same offset.
     fn add(&mut self, checkpoint: Checkpoint) {
         let as_of = checkpoint.as_of;
         match self.found.iter().find(|other| other.as_of == as_of) {
-            Some(other) if other.digest != checkpoint.digest => self.contested.push(as_of),
+            Some(other) if other.digest != checkpoint.digest => self.conflicting.push(as_of),
             Some(_) => {}
             None => self.found.push(checkpoint),
         }
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -1,93 +1,101 @@
-use crate::document::Adopted;
-use crate::document::Applied;
 use crate::document::Checkpoint;
+use crate::document::CheckpointOutcome;
 use crate::document::DocumentError;
 use crate::document::Fold;
+use crate::document::RecordOutcome;
+use crate::document::follow::ConfigUpdate;
 use crate::document::follow::LogPage;
-use crate::document::follow::LoggedRecord;
 use crate::document::follow::Notice;
 use crate::document::follow::PeerAnswer;
-use crate::document::follow::PeerMark;
+use crate::document::follow::PeerStatus;
+use crate::document::follow::RawLogRecord;
 use crate::document::follow::Readiness;
-use crate::document::follow::Update;
+use crate::document::follow::checkpoint_search::CheckpointSearch;
 use crate::document::follow::recent_records::RecentRecords;
-use crate::document::follow::scan::Scan;
 
-/// Time between two ticks that only a pause explains.
+/// Time between two ticks from which on the process counts as paused, in ms.
 const PAUSE_MS: u64 = 5_000;
 
-/// The configuration of one process and how it stays up to date.
+/// Keeps the configuration of one process up to date.
 #[derive(Debug, Clone)]
 pub struct Follower {
     fold: Fold,
     recent: RecentRecords,
     readiness: Readiness,
-    scan: Option<Scan>,
+    search: Option<CheckpointSearch>,
     last_tick_ms: u64,
-    // Answers to what was asked before this say nothing about the present.
-    awake_since_ms: u64,
-    confirmed_ms: Option<u64>,
-    checkpoint_seen_ms: u64,
+    // Time of the start or of the end of the last pause; answers to earlier requests may be
+    // out of date.
+    resumed_ms: u64,
+    last_confirmed_ms: Option<u64>,
+    checkpoint_observed_ms: u64,
 }
 
 impl Follower {
-    /// A process that just started.
+    /// Creates the follower of a process that just started.
     pub fn new(now_ms: u64) -> Self {
         Self {
             fold: Fold::new(),
             recent: RecentRecords::default(),
-            readiness: Readiness::fresh(),
-            scan: None,
+            readiness: Readiness::started(),
+            search: None,
             last_tick_ms: now_ms,
-            awake_since_ms: now_ms,
-            confirmed_ms: None,
-            checkpoint_seen_ms: now_ms,
+            resumed_ms: now_ms,
+            last_confirmed_ms: None,
+            checkpoint_observed_ms: now_ms,
         }
     }
 
-    /// The folded configuration.
+    /// Returns the configuration computed from the log.
     pub fn fold(&self) -> &Fold {
         &self.fold
     }
 
-    /// Whether the process may rely on it to admit new work.
+    /// Whether the process may rely on its configuration to admit new work.
     pub fn admits(&self, now_ms: u64) -> bool {
-        self.readiness.admits() && !self.paused_since_tick(now_ms)
+        self.readiness.admits() && !self.was_paused(now_ms)
     }
 
-    /// Whether the process is past its bootstrap.
+    /// Whether an answer of this process counts towards a majority.
     pub fn is_voter(&self) -> bool {
         self.readiness.is_voter()
     }
 
-    /// Offset to read the log from.
-    pub fn read_from(&self) -> u64 {
-        self.scan.as_ref().map_or(self.fold.head(), Scan::position)
+    /// Returns the offset to read the log from.
+    pub fn next_read_offset(&self) -> u64 {
+        self.search
+            .as_ref()
+            .map_or(self.fold.head(), CheckpointSearch::position)
     }
 
-    /// Time since the head was known to be the end of the log.
+    /// Time since the head was known to be the end of the log, in ms.
     pub fn confirmed_age_ms(&self, now_ms: u64) -> Option<u64> {
-        Some(now_ms.saturating_sub(self.confirmed_ms?))
+        Some(now_ms.saturating_sub(self.last_confirmed_ms?))
     }
 
-    /// Time since a checkpoint was seen in the log, or since the start.
+    /// Time since a matching checkpoint was observed in the log, or since the start, in ms.
     pub fn checkpoint_age_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.checkpoint_seen_ms)
+        now_ms.saturating_sub(self.checkpoint_observed_ms)
     }
 
-    /// Notes that the process runs; true if it was paused before.
+    /// Records that the process runs at `now_ms`; returns true if it was paused before.
     pub fn tick(&mut self, now_ms: u64) -> bool {
-        let paused = self.paused_since_tick(now_ms);
+        let paused = self.was_paused(now_ms);
         self.last_tick_ms = now_ms;
         if paused {
-            self.awake_since_ms = now_ms;
-            self.readiness.wake();
+            self.resumed_ms = now_ms;
+            self.readiness.reset_after_pause();
         }
         paused
     }
 
-    /// Takes in a page of the log that was asked for at `asked_ms`.
-    pub fn log_page(&mut self, now_ms: u64, asked_ms: u64, page: &LogPage) -> Vec<Notice> {
+    /// Applies a page of the log that was requested at `requested_ms`.
+    pub fn apply_log_page(
+        &mut self,
+        now_ms: u64,
+        requested_ms: u64,
+        page: &LogPage,
+    ) -> Vec<Notice> {
         self.tick(now_ms);
         if page.next < self.fold.head() {
             return vec![Notice::LogWentBack {
@@ -96,22 +104,22 @@
             }];
         }
         if page.earliest > self.fold.head() {
-            return self.scan_page(page);
+            return self.search_page(page);
         }
-        self.scan = None;
-        let notices = self.apply(asked_ms, &page.records);
+        self.search = None;
+        let notices = self.apply_records(requested_ms, &page.records);
         if self.fold.head() == page.next {
-            self.confirm(asked_ms);
-            if asked_ms >= self.awake_since_ms {
-                self.readiness.log_confirmed();
+            self.record_confirmation(requested_ms);
+            if requested_ms >= self.resumed_ms {
+                self.readiness.confirm();
             }
         }
         notices
     }
 
-    /// How far this process is.
-    pub fn mark(&self, now_ms: u64) -> PeerMark {
-        PeerMark {
+    /// Returns the status to send to peers.
+    pub fn status(&self, now_ms: u64) -> PeerStatus {
+        PeerStatus {
             head: self.fold.head(),
             digest: self.fold.digest(),
             is_voter: self.readiness.is_voter(),
@@ -119,35 +127,36 @@
         }
     }
 
-    /// What to answer a process whose head is `from`.
-    pub fn answer(&self, now_ms: u64, from: u64) -> PeerAnswer {
+    /// Returns the answer for a process whose head is `from`.
+    pub fn answer_peer(&self, now_ms: u64, from: u64) -> PeerAnswer {
         let update = if from >= self.fold.head() {
-            Update::None
+            ConfigUpdate::None
         } else if let Some(records) = self.recent.since(from) {
-            Update::Records(records)
+            ConfigUpdate::Records(records)
         } else {
-            Update::Checkpoint(Box::new(self.fold.checkpoint()))
+            ConfigUpdate::Checkpoint(Box::new(self.fold.checkpoint()))
         };
         PeerAnswer {
-            mark: self.mark(now_ms),
+            mark: self.status(now_ms),
             update,
         }
     }
 
-    /// Takes in the answer of `peer`, asked at `asked_ms`, one of `listed` entries.
-    pub fn peer_answer(
+    /// Applies the answer of `peer` to a request sent at `requested_ms`, where the platform
+    /// lists `listed` entries.
+    pub fn apply_peer_answer(
         &mut self,
         now_ms: u64,
-        asked_ms: u64,
+        requested_ms: u64,
         peer: &str,
         listed: usize,
         answer: &PeerAnswer,
     ) -> Vec<Notice> {
         self.tick(now_ms);
         let mut notices = match &answer.update {
-            Update::None => Vec::new(),
-            Update::Records(records) => self.apply(asked_ms, records),
-            Update::Checkpoint(checkpoint) => self.adopt(checkpoint),
+            ConfigUpdate::None => Vec::new(),
+            ConfigUpdate::Records(records) => self.apply_records(requested_ms, records),
+            ConfigUpdate::Checkpoint(checkpoint) => self.apply_checkpoint(checkpoint),
         };
         if self.diverges_from(&answer.mark) {
             notices.push(Notice::Diverged {
@@ -155,83 +164,103 @@
             });
             return notices;
         }
-        // A question from the future was asked by another process.
-        if self.fold.head() >= answer.mark.head && asked_ms <= now_ms {
-            self.trust(asked_ms, peer, listed, &answer.mark);
+        // A request time in the future shows that another process sent the request.
+        if self.fold.head() >= answer.mark.head && requested_ms <= now_ms {
+            self.apply_peer_status(requested_ms, peer, listed, &answer.mark);
         }
         notices
     }
 
-    fn diverges_from(&self, mark: &PeerMark) -> bool {
-        let own = self.fold.digest_at(mark.head);
-        own.is_some_and(|digest| digest != mark.digest)
+    /// Whether the peer's digest differs from the one of this process at the same head.
+    fn diverges_from(&self, status: &PeerStatus) -> bool {
+        let own = self.fold.digest_at(status.head);
+        own.is_some_and(|digest| digest != status.digest)
     }
 
-    /// Draws on what a peer knows, once this process holds all that the peer holds.
-    fn trust(&mut self, asked_ms: u64, peer: &str, listed: usize, mark: &PeerMark) {
-        if let Some(age_ms) = mark.confirmed_age_ms {
-            let at_ms = asked_ms.saturating_sub(age_ms);
-            self.confirm(at_ms);
-            // The peer knows the end of the log as it was after this process woke.
-            if at_ms > self.awake_since_ms {
-                self.readiness.log_confirmed();
+    /// Takes over the confirmation of a peer that this process is not behind.
+    fn apply_peer_status(
+        &mut self,
+        requested_ms: u64,
+        peer: &str,
+        listed: usize,
+        status: &PeerStatus,
+    ) {
+        if let Some(age_ms) = status.confirmed_age_ms {
+            let at_ms = requested_ms.saturating_sub(age_ms);
+            self.record_confirmation(at_ms);
+            // The peer's head was the end of the log after the start or the last pause.
+            if at_ms > self.resumed_ms {
+                self.readiness.confirm();
             }
         }
-        if mark.is_voter && asked_ms >= self.awake_since_ms {
-            self.readiness.voter_answered(peer, listed);
+        if status.is_voter && requested_ms >= self.resumed_ms {
+            self.readiness.record_voter(peer, listed);
         }
     }
 
-    fn paused_since_tick(&self, now_ms: u64) -> bool {
+    /// Whether the process was paused since the last tick.
+    fn was_paused(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.last_tick_ms) >= PAUSE_MS
     }
 
-    fn apply(&mut self, now_ms: u64, records: &[LoggedRecord]) -> Vec<Notice> {
+    /// Applies records of the log; those that do not continue at the head change nothing.
+    fn apply_records(&mut self, now_ms: u64, records: &[RawLogRecord]) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
         for record in records {
-            let applied = self.fold.apply(record.offset, &record.bytes);
-            if matches!(applied, Applied::Past | Applied::Gap { .. }) {
+            let outcome = self.fold.apply(record.offset, &record.bytes);
+            if matches!(
+                outcome,
+                RecordOutcome::AlreadyApplied | RecordOutcome::Gap { .. }
+            ) {
                 continue;
             }
             self.recent.push(record.offset, &record.bytes);
-            if matches!(applied, Applied::CheckpointAgreed { .. }) {
-                self.checkpoint_seen_ms = now_ms;
+            if matches!(outcome, RecordOutcome::CheckpointMatches { .. }) {
+                self.checkpoint_observed_ms = now_ms;
             }
-            notices.extend(notice_of(record.offset, applied));
+            notices.extend(notice_for(record.offset, outcome));
         }
-        self.note_advance(before, &mut notices);
+        self.push_advanced(before, &mut notices);
         notices
     }
 
-    fn adopt(&mut self, checkpoint: &Checkpoint) -> Vec<Notice> {
+    /// Applies a checkpoint if it is ahead of the head.
+    fn apply_checkpoint(&mut self, checkpoint: &Checkpoint) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
-        match self.fold.adopt(checkpoint) {
-            Adopted::Advanced => self.recent.clear(),
-            Adopted::NotNewer => {}
-            Adopted::Differs | Adopted::Corrupt => notices.push(Notice::CheckpointDiffers {
-                as_of: checkpoint.as_of,
-            }),
+        match self.fold.apply_checkpoint(checkpoint) {
+            CheckpointOutcome::Advanced => self.recent.clear(),
+            CheckpointOutcome::NotNewer => {}
+            CheckpointOutcome::Differs | CheckpointOutcome::Corrupt => {
+                notices.push(Notice::CheckpointDiffers {
+                    as_of: checkpoint.as_of,
+                })
+            }
         }
-        self.note_advance(before, &mut notices);
+        self.push_advanced(before, &mut notices);
         notices
     }
 
-    fn scan_page(&mut self, page: &LogPage) -> Vec<Notice> {
-        let mut scan = self.scan.take().unwrap_or_else(|| Scan::new(page.earliest));
-        scan.look(&page.records);
-        if scan.position() < page.next && !page.records.is_empty() {
-            self.scan = Some(scan);
+    /// Searches a page of a trimmed log for checkpoints; at the end of the log, applies
+    /// the latest usable one.
+    fn search_page(&mut self, page: &LogPage) -> Vec<Notice> {
+        let mut search = self
+            .search
+            .take()
+            .unwrap_or_else(|| CheckpointSearch::new(page.earliest));
+        search.add_records(&page.records);
+        if search.position() < page.next && !page.records.is_empty() {
+            self.search = Some(search);
             return Vec::new();
         }
-        let mut notices: Vec<Notice> = scan
-            .contested()
+        let mut notices: Vec<Notice> = search
+            .conflicting()
             .iter()
-            .map(|as_of| Notice::CheckpointsContested { as_of: *as_of })
+            .map(|as_of| Notice::ConflictingCheckpoints { as_of: *as_of })
             .collect();
-        match scan.best(page.earliest) {
-            Some(checkpoint) => notices.extend(self.adopt(checkpoint)),
+        match search.latest_usable(page.earliest) {
+            Some(checkpoint) => notices.extend(self.apply_checkpoint(checkpoint)),
             None => notices.push(Notice::Trimmed {
                 wanted: self.fold.head(),
                 earliest: page.earliest,
@@ -240,11 +269,13 @@
         notices
     }
 
-    fn confirm(&mut self, at_ms: u64) {
-        self.confirmed_ms = self.confirmed_ms.max(Some(at_ms));
+    /// Records that the head was the end of the log at `at_ms`.
+    fn record_confirmation(&mut self, at_ms: u64) {
+        self.last_confirmed_ms = self.last_confirmed_ms.max(Some(at_ms));
     }
 
-    fn note_advance(&self, before: u64, notices: &mut Vec<Notice>) {
+    /// Adds a notice if the head is greater than `before`.
+    fn push_advanced(&self, before: u64, notices: &mut Vec<Notice>) {
         let head = self.fold.head();
         if head > before {
             notices.push(Notice::Advanced { head });
@@ -252,12 +283,13 @@
     }
 }
 
-fn notice_of(offset: u64, applied: Applied) -> Option<Notice> {
-    match applied {
-        // A peer passes a checkpoint on as an empty record.
-        Applied::Skipped(DocumentError::Empty) => None,
-        Applied::Skipped(error) => Some(Notice::Skipped { offset, error }),
-        Applied::CheckpointDiffers { as_of } => Some(Notice::CheckpointDiffers { as_of }),
+/// Returns the notice for the outcome of the record at `offset`, if one is needed.
+fn notice_for(offset: u64, outcome: RecordOutcome) -> Option<Notice> {
+    match outcome {
+        // A peer sends an empty record in place of a checkpoint.
+        RecordOutcome::Skipped(DocumentError::Empty) => None,
+        RecordOutcome::Skipped(error) => Some(Notice::Skipped { offset, error }),
+        RecordOutcome::CheckpointDiffers { as_of } => Some(Notice::CheckpointDiffers { as_of }),
         _ => None,
     }
 }
--- a/src/document/follow/readiness.rs
+++ b/src/document/follow/readiness.rs
@@ -1,22 +1,22 @@
-/// How far a process may rely on the configuration it holds.
+/// Whether a process may rely on its configuration to admit work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Readiness {
-    /// Just started; it may lack what was in force before.
-    Fresh(Answers),
-    /// Paused for a while; it may be out of date.
-    Woken(Answers),
-    /// Confirmed; it admits work.
+    /// The process just started and may lack records that others have applied.
+    Started(VotersAnswered),
+    /// The process was paused, so its configuration may be out of date.
+    Resumed(VotersAnswered),
+    /// The configuration is confirmed; the process admits work.
     Confirmed,
 }
 
-/// Entries that answered since the process started or woke, ascending.
+/// Names of the voting entries that answered since the start or the last pause, ascending.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Answers(Vec<String>);
+pub struct VotersAnswered(Vec<String>);
 
 impl Readiness {
-    /// A process that just started.
-    pub fn fresh() -> Self {
-        Self::Fresh(Answers::default())
+    /// Creates the state of a process that just started.
+    pub fn started() -> Self {
+        Self::Started(VotersAnswered::default())
     }
 
     /// Whether the process admits new work.
@@ -24,33 +24,36 @@
         matches!(self, Self::Confirmed)
     }
 
-    /// Whether an answer of this process counts; a woken one still holds what it held.
+    /// Whether an answer of this process counts towards a majority.
+    ///
+    /// It does after a pause too, because the process keeps its configuration.
     pub fn is_voter(&self) -> bool {
-        !matches!(self, Self::Fresh(_))
+        !matches!(self, Self::Started(_))
     }
 
-    /// The process was paused.
-    pub fn wake(&mut self) {
+    /// Records that the process was paused, which requires a new confirmation.
+    pub fn reset_after_pause(&mut self) {
         match self {
-            Self::Confirmed | Self::Woken(_) => *self = Self::Woken(Answers::default()),
-            Self::Fresh(answers) => *answers = Answers::default(),
+            Self::Confirmed | Self::Resumed(_) => *self = Self::Resumed(VotersAnswered::default()),
+            Self::Started(voters) => *voters = VotersAnswered::default(),
         }
     }
 
-    /// The log was read to its end.
-    pub fn log_confirmed(&mut self) {
+    /// Records that the configuration was known to be at the end of the log.
+    pub fn confirm(&mut self) {
         *self = Self::Confirmed;
     }
 
-    /// The entry `name`, one of `listed` entries, answered and counts.
-    pub fn voter_answered(&mut self, name: &str, listed: usize) {
-        let (Self::Fresh(answers) | Self::Woken(answers)) = self else {
+    /// Records an answer of the voting entry `name`, where the platform lists `listed`
+    /// entries; a majority of them confirms the configuration.
+    pub fn record_voter(&mut self, name: &str, listed: usize) {
+        let (Self::Started(voters) | Self::Resumed(voters)) = self else {
             return;
         };
-        if let Err(index) = answers.0.binary_search_by(|other| other.as_str().cmp(name)) {
-            answers.0.insert(index, name.to_owned());
+        if let Err(index) = voters.0.binary_search_by(|other| other.as_str().cmp(name)) {
+            voters.0.insert(index, name.to_owned());
         }
-        if listed > 0 && answers.0.len() > listed / 2 {
+        if listed > 0 && voters.0.len() > listed / 2 {
             *self = Self::Confirmed;
         }
     }
--- a/src/document/follow/recent_records.rs
+++ b/src/document/follow/recent_records.rs
@@ -1,49 +1,49 @@
 use std::collections::VecDeque;
 
 use crate::document::LogRecord;
-use crate::document::follow::LoggedRecord;
+use crate::document::follow::RawLogRecord;
 
-/// Bytes of records kept for peers.
+/// Largest total size of the kept records, in bytes.
 const MAX_RECENT_BYTES: usize = 512 * 1024;
 
-/// Records kept for peers.
+/// Largest number of kept records.
 const MAX_RECENT_RECORDS: usize = 1_024;
 
-/// The last records applied, without a hole, for peers that lack them.
+/// Most recently applied records without a gap, kept for peers that lack them.
 #[derive(Debug, Clone, Default)]
 pub struct RecentRecords {
-    records: VecDeque<LoggedRecord>,
+    records: VecDeque<RawLogRecord>,
     size_bytes: usize,
 }
 
 impl RecentRecords {
-    /// Keeps a record that was just applied.
+    /// Adds a record that was just applied.
     pub fn push(&mut self, offset: u64, bytes: &[u8]) {
-        // A checkpoint changes nothing but the head, and so does an empty record.
+        // A checkpoint or an invalid record only advances the head, as an empty record does.
         let bytes = match LogRecord::decode(bytes) {
             Ok(LogRecord::Edit(_)) => bytes.to_vec(),
             Ok(LogRecord::Checkpoint(_)) | Err(_) => Vec::new(),
         };
         self.size_bytes += bytes.len();
-        self.records.push_back(LoggedRecord { offset, bytes });
+        self.records.push_back(RawLogRecord { offset, bytes });
         while self.size_bytes > MAX_RECENT_BYTES || self.records.len() > MAX_RECENT_RECORDS {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
-    /// Forgets everything, as a checkpoint leaves a hole.
+    /// Removes all records, because applying a checkpoint leaves a gap.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Every record from `offset`, unless some are no longer kept.
-    pub fn since(&self, offset: u64) -> Option<Vec<LoggedRecord>> {
+    /// Returns all records from `offset` on; `None` if some are no longer kept.
+    pub fn since(&self, offset: u64) -> Option<Vec<RawLogRecord>> {
         let first = self.records.front()?.offset;
         let skip = usize::try_from(offset.checked_sub(first)?).ok()?;
         Some(self.records.iter().skip(skip).cloned().collect())
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         if let Some(oldest) = self.records.pop_front() {
             self.size_bytes -= oldest.bytes.len();
         }
--- a/src/document/section_reader.rs
+++ b/src/document/section_reader.rs
@@ -8,7 +8,7 @@
 use crate::document::key_change::parse_body;
 use crate::weights::Digest;
 
-/// Reads the values of one section and collects what is wrong with them.
+/// Reads the values of one section and collects the faults found.
 #[derive(Debug)]
 pub struct SectionReader<'a> {
     section: &'a Section,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> SectionReader<'a> {
-    /// Reads the body of `section`, whose keys must be among `known`.
+    /// Parses the body of `section` and checks that its keys are among `known`.
     pub fn new(section: &'a Section, known: &[&str]) -> Result<Self, Vec<SectionFault>> {
         let ini = parse_body(&section.body).map_err(|error| {
             vec![SectionFault {
@@ -35,43 +35,44 @@
         Ok(reader)
     }
 
-    /// A required text.
-    pub fn text(&mut self, key: &str) -> String {
+    /// Returns the text of `key`; adds a fault if it is missing or empty.
+    pub fn required_text(&mut self, key: &str) -> String {
         match self.properties.get(key) {
             Some(value) if !value.is_empty() => value.to_owned(),
             Some(value) => {
                 let value = value.to_owned();
-                self.invalid(key, value, "a text");
+                self.add_invalid_value(key, value, "a text");
                 String::new()
             }
             None => {
-                self.fault(key, FaultReason::MissingKey);
+                self.add_fault(key, FaultReason::MissingKey);
                 String::new()
             }
         }
     }
 
-    /// An optional text; an empty value is the same as none.
+    /// Returns the text of `key`; `None` if it is missing or empty.
     pub fn optional_text(&self, key: &str) -> Option<String> {
         let value = self.properties.get(key)?;
         (!value.is_empty()).then(|| value.to_owned())
     }
 
-    /// A required digest.
-    pub fn digest(&mut self, key: &str) -> Digest {
+    /// Returns the digest of `key`; adds a fault if it is missing or invalid.
+    pub fn required_digest(&mut self, key: &str) -> Digest {
         let missing = Digest::of_bytes(&[]);
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
-            self.fault(key, FaultReason::MissingKey);
+            self.add_fault(key, FaultReason::MissingKey);
             return missing;
         };
         value.parse().unwrap_or_else(|_| {
-            self.invalid(key, value, "a digest of 64 hexadecimal digits");
+            self.add_invalid_value(key, value, "a digest of 64 hexadecimal digits");
             missing
         })
     }
 
-    /// A number in `range`, or `default` when the key is absent.
-    pub fn number(&mut self, key: &str, range: RangeInclusive<u32>, default: u32) -> u32 {
+    /// Returns the number of `key`, or `default` if the key is missing; adds a fault if
+    /// the value is not a number in `range`.
+    pub fn number_or(&mut self, key: &str, range: RangeInclusive<u32>, default: u32) -> u32 {
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
             return default;
         };
@@ -79,22 +80,22 @@
             Ok(number) if range.contains(&number) => number,
             _ => {
                 let allowed = format!("a number from {} to {}", range.start(), range.end());
-                self.invalid(key, value, &allowed);
+                self.add_invalid_value(key, value, &allowed);
                 default
             }
         }
     }
 
-    /// A number in `range` that must be given.
+    /// Returns the number of `key`; adds a fault if it is missing or not in `range`.
     pub fn required_number(&mut self, key: &str, range: RangeInclusive<u32>) -> u32 {
         if self.properties.get(key).is_none() {
-            self.fault(key, FaultReason::MissingKey);
+            self.add_fault(key, FaultReason::MissingKey);
         }
         let default = *range.start();
-        self.number(key, range, default)
+        self.number_or(key, range, default)
     }
 
-    /// A list separated by commas; empty when the key is absent.
+    /// Returns the items of `key`, separated by commas; empty if the key is missing.
     pub fn list(&self, key: &str) -> Vec<String> {
         let value = self.properties.get(key).unwrap_or_default();
         value
@@ -105,39 +106,40 @@
             .collect()
     }
 
-    /// Adds a fault of a value.
-    pub fn invalid(&mut self, key: &str, value: String, allowed: &str) {
+    /// Adds the fault that `value` is not `allowed`.
+    pub fn add_invalid_value(&mut self, key: &str, value: String, allowed: &str) {
         let allowed = allowed.to_owned();
-        self.fault(key, FaultReason::InvalidValue { value, allowed });
+        self.add_fault(key, FaultReason::InvalidValue { value, allowed });
     }
 
-    /// `value`, unless a fault was found.
-    pub fn finish<T>(self, value: T) -> Result<T, Vec<SectionFault>> {
+    /// Returns `value`, or the faults if any were found.
+    pub fn into_result<T>(self, value: T) -> Result<T, Vec<SectionFault>> {
         if self.faults.is_empty() {
             return Ok(value);
         }
         Err(self.faults)
     }
 
+    /// Adds a fault for each key that is repeated or not in `known`.
     fn check_keys(&mut self, known: &[&str]) {
-        let mut seen: Vec<String> = Vec::new();
+        let mut checked: Vec<String> = Vec::new();
         let keys: Vec<String> = self
             .properties
             .iter()
             .map(|(key, _)| key.to_owned())
             .collect();
         for key in keys {
-            if seen.contains(&key) {
-                self.fault(&key, FaultReason::RepeatedKey);
+            if checked.contains(&key) {
+                self.add_fault(&key, FaultReason::RepeatedKey);
             } else if !known.contains(&key.as_str()) {
                 let known = known.iter().map(|key| (*key).to_owned()).collect();
-                self.fault(&key, FaultReason::UnknownKey { known });
+                self.add_fault(&key, FaultReason::UnknownKey { known });
             }
-            seen.push(key);
+            checked.push(key);
         }
     }
 
-    fn fault(&mut self, key: &str, reason: FaultReason) {
+    fn add_fault(&mut self, key: &str, reason: FaultReason) {
         self.faults.push(SectionFault {
             section: self.section.name.clone(),
             key: Some(key.to_owned()),
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -108,7 +108,7 @@
 impl Rounds {
     async fn run(&mut self) {
         let wants = self.wants();
-        let live = self.state.node.own().load.running > 0;
+        let live = self.state.node.own_state().load.running > 0;
         self.state.weights.links.up.set_live(live);
         self.state.weights.links.down.set_live(live);
         self.track(&wants);
@@ -125,7 +125,7 @@
             .iter()
             .filter_map(TrackedVersion::report)
             .collect();
-        self.state.node.own().served = served;
+        self.state.node.own_state().served = served;
     }
 
     /// The models that rank this host among those that serve them.
@@ -172,7 +172,7 @@
         };
         let roster = node.roster();
         let others = roster
-            .askable(HostRole::Endpoint, node.now_ms())
+            .contactable(HostRole::Endpoint, node.now_ms())
             .filter(|(_, host)| host.service.is_none() && host.name != node.name())
             .map(|(_, host)| SwarmMember {
                 host: SwarmHost {
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -134,7 +134,7 @@
     fn endpoint_leaves(&self) {
         let mut roster = self.state.node.roster();
         if let Some(key) = roster.key(&self.permit.endpoint) {
-            roster.leaving(key);
+            roster.record_leaving(key);
         }
     }
 
@@ -143,7 +143,7 @@
         let now_ms = node.now_ms();
         let mut roster = node.roster();
         if let Some(key) = roster.key(&self.permit.endpoint) {
-            roster.failed(key, now_ms);
+            roster.record_failure(key, now_ms);
         }
     }
 
@@ -159,6 +159,6 @@
             crash_no: CrashId::PROCESS_CRASH,
         };
         node.suspects().add_crash(request, death, now_ms);
-        Reporter::report_now(node).await;
+        Reporter::send_reports(node).await;
     }
 }
--- a/src/hosts/host.rs
+++ b/src/hosts/host.rs
@@ -3,62 +3,62 @@
 use crate::hosts::HostRecord;
 use crate::hosts::HostRole;
 use crate::hosts::HostState;
+use crate::hosts::HostedVersion;
 use crate::hosts::Load;
 use crate::hosts::Report;
-use crate::hosts::Served;
 use crate::hosts::StateTag;
 
-/// Silence after which a host gets no new work.
+/// Time without a message from a host after which it gets no new work, in ms.
 pub const SILENCE_MS: u64 = 2500;
 
-/// Whether a host may get new work.
+/// Whether a host may get new work, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// It was heard lately and takes work.
+pub enum HostStatus {
+    /// The last message from the host is recent, and the host takes work.
     Usable,
-    /// The list shows it, and it has not been heard yet.
-    Unheard,
-    /// It has not been heard for [`SILENCE_MS`].
+    /// The platform lists the host, but no message from it has arrived yet.
+    NeverReported,
+    /// No message from the host has arrived for [`SILENCE_MS`].
     Silent,
-    /// A call to it failed after it was last heard.
+    /// A call to the host failed after its last message.
     Failed,
-    /// It finishes its work and goes.
+    /// The host is draining and will stop.
     Leaving,
 }
 
-/// What this process knows of one host.
+/// What this process knows about another host.
 #[derive(Debug, Clone)]
 pub struct Host {
     /// Name of the host.
     pub name: String,
-    /// Address of its process.
+    /// Address of the process on the host.
     pub address: SocketAddr,
-    /// What runs on it.
+    /// Role of the process.
     pub role: HostRole,
-    /// Region it stands in.
+    /// Region of the host.
     pub region: String,
-    /// Failure domain inside the region.
+    /// Failure domain within the region.
     pub domain: String,
-    /// Plain service beside it.
+    /// Plain service that the endpoint serves, if it serves no model.
     pub service: Option<String>,
-    /// Incarnation last heard; 0 before the first report.
+    /// Latest incarnation that reported; 0 before the first report.
     pub incarnation: u64,
-    /// How busy it was when last heard.
+    /// Load in the last message.
     pub load: Load,
-    /// Versions on it when last heard.
-    pub served: Vec<Served>,
-    /// Epoch that new permits for it should name.
+    /// Model versions in the last report.
+    pub served: Vec<HostedVersion>,
+    /// Epoch to put into new permits for the host.
     pub permit_epoch: u64,
-    /// Configuration in force on it when last heard.
+    /// Configuration offset in the last message; `None` before the first report.
     pub config_offset: Option<u64>,
-    pub(super) state: Option<StateTag>,
-    pub(super) beat_sent_ms: u64,
-    pub(super) listed: bool,
-    pub(super) listed_leaving: bool,
-    pub(super) said_leaving: bool,
-    pub(super) heard_ms: Option<u64>,
-    pub(super) failed_ms: Option<u64>,
-    pub(super) unlisted_ms: u64,
+    pub(super) state_tag: Option<StateTag>,
+    pub(super) heartbeat_sent_ms: u64,
+    pub(super) is_listed: bool,
+    pub(super) is_listed_leaving: bool,
+    pub(super) has_reported_leaving: bool,
+    pub(super) last_received_ms: Option<u64>,
+    pub(super) last_failed_ms: Option<u64>,
+    pub(super) unlisted_since_ms: u64,
 }
 
 impl Host {
@@ -75,14 +75,14 @@
             served: Vec::new(),
             permit_epoch: 0,
             config_offset: None,
-            state: None,
-            beat_sent_ms: 0,
-            listed: true,
-            listed_leaving: record.state == HostState::Leaving,
-            said_leaving: false,
-            heard_ms: None,
-            failed_ms: None,
-            unlisted_ms: 0,
+            state_tag: None,
+            heartbeat_sent_ms: 0,
+            is_listed: true,
+            is_listed_leaving: record.state == HostState::Leaving,
+            has_reported_leaving: false,
+            last_received_ms: None,
+            last_failed_ms: None,
+            unlisted_since_ms: 0,
         }
     }
 
@@ -99,48 +99,48 @@
             served: report.served.clone(),
             permit_epoch: report.permit_epoch,
             config_offset: Some(report.config.offset),
-            state: Some(report.state_tag()),
-            beat_sent_ms: 0,
-            listed: false,
-            listed_leaving: false,
-            said_leaving: report.leaving,
-            heard_ms: Some(now_ms),
-            failed_ms: None,
-            unlisted_ms: now_ms,
+            state_tag: Some(report.state_tag()),
+            heartbeat_sent_ms: 0,
+            is_listed: false,
+            is_listed_leaving: false,
+            has_reported_leaving: report.leaving,
+            last_received_ms: Some(now_ms),
+            last_failed_ms: None,
+            unlisted_since_ms: now_ms,
         }
     }
 
-    /// Whether the host may get new work at `now_ms`.
-    pub fn standing(&self, now_ms: u64) -> Standing {
-        if self.listed_leaving || self.said_leaving {
-            return Standing::Leaving;
+    /// Whether the host may get new work at `now_ms`, and if not, why.
+    pub fn status(&self, now_ms: u64) -> HostStatus {
+        if self.is_listed_leaving || self.has_reported_leaving {
+            return HostStatus::Leaving;
         }
-        let Some(heard_ms) = self.heard_ms else {
-            return match self.failed_ms {
-                Some(_) => Standing::Failed,
-                None => Standing::Unheard,
+        let Some(last_received_ms) = self.last_received_ms else {
+            return match self.last_failed_ms {
+                Some(_) => HostStatus::Failed,
+                None => HostStatus::NeverReported,
             };
         };
         if self
-            .failed_ms
-            .is_some_and(|failed_ms| failed_ms >= heard_ms)
+            .last_failed_ms
+            .is_some_and(|last_failed_ms| last_failed_ms >= last_received_ms)
         {
-            return Standing::Failed;
+            return HostStatus::Failed;
         }
-        if now_ms.saturating_sub(heard_ms) > SILENCE_MS {
-            return Standing::Silent;
+        if now_ms.saturating_sub(last_received_ms) > SILENCE_MS {
+            return HostStatus::Silent;
         }
-        Standing::Usable
+        HostStatus::Usable
     }
 
-    /// The host's own clock when it sent its last beat.
-    pub fn beat_sent_ms(&self) -> u64 {
-        self.beat_sent_ms
+    /// Time at which the host sent its last heartbeat, on its own monotonic clock, in ms.
+    pub fn heartbeat_sent_ms(&self) -> u64 {
+        self.heartbeat_sent_ms
     }
 
-    /// Time since the host was last heard.
+    /// Time since the last message from the host, in ms; `None` before the first.
     pub fn silent_ms(&self, now_ms: u64) -> Option<u64> {
-        self.heard_ms
-            .map(|heard_ms| now_ms.saturating_sub(heard_ms))
+        self.last_received_ms
+            .map(|last_received_ms| now_ms.saturating_sub(last_received_ms))
     }
 }
--- a/src/node/config_pull.rs
+++ b/src/node/config_request.rs
@@ -3,56 +3,58 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::document::follow::ConfigUpdate;
 use crate::document::follow::Notice;
 use crate::document::follow::PeerAnswer;
-use crate::document::follow::PeerMark;
-use crate::document::follow::Update;
+use crate::document::follow::PeerStatus;
 use crate::hosts::HostRole;
 use crate::node::Node;
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Time a peer has to answer a pull.
-const PULL_WAIT_MS: u64 = 3000;
+/// Timeout of a configuration request to a peer, in ms.
+const FETCH_TIMEOUT_MS: u64 = 3000;
 
-/// Asks a peer for what this process lacks.
+/// Request for the records or the checkpoint that the sender lacks.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ConfigPull {
-    /// Head of the asking process.
+pub struct ConfigRequest {
+    /// Head of the requesting process.
     pub from: u64,
 }
 
-/// Takes over what the peer `name` at `address` holds beyond this process.
-pub async fn pull_config(node: &Node, name: &str, address: SocketAddr) {
+/// Fetches and applies the configuration that the peer `name` at `address` has and this
+/// process lacks.
+pub async fn fetch_config(node: &Node, name: &str, address: SocketAddr) {
     let url = format!("http://{address}/x/config");
-    let asked_ms = node.now_ms();
+    let requested_ms = node.now_ms();
     let from = node.follower().fold().head();
-    let pull = ConfigPull { from };
-    let answer: Result<PeerAnswer, _> = node.ask(&url, &pull, PULL_WAIT_MS).await;
+    let request = ConfigRequest { from };
+    let answer: Result<PeerAnswer, _> = node.request(&url, &request, FETCH_TIMEOUT_MS).await;
     if let Ok(answer) = answer {
-        take_answer(node, asked_ms, name, &answer);
+        apply_peer_answer(node, requested_ms, name, &answer);
     }
 }
 
-/// Draws on what the peer `name` says of its configuration.
-pub(super) fn take_mark(node: &Node, asked_ms: u64, name: &str, mark: PeerMark) {
+/// Applies the status of the peer `name`, received without an update.
+pub(super) fn apply_peer_status(node: &Node, requested_ms: u64, name: &str, mark: PeerStatus) {
     let answer = PeerAnswer {
         mark,
-        update: Update::None,
+        update: ConfigUpdate::None,
     };
-    take_answer(node, asked_ms, name, &answer);
+    apply_peer_answer(node, requested_ms, name, &answer);
 }
 
-fn take_answer(node: &Node, asked_ms: u64, name: &str, answer: &PeerAnswer) {
+/// Applies the answer of the peer `name` to a request sent at `requested_ms`.
+fn apply_peer_answer(node: &Node, requested_ms: u64, name: &str, answer: &PeerAnswer) {
     let listed = node.roster().listed_count(HostRole::Entry);
     let now_ms = node.now_ms();
     let notices = node
         .follower()
-        .peer_answer(now_ms, asked_ms, name, listed, answer);
+        .apply_peer_answer(now_ms, requested_ms, name, listed, answer);
     emit_notices(node, &notices);
 }
 
-/// Logs what an operator should hear of.
+/// Writes each notice to the log as its event.
 pub fn emit_notices(node: &Node, notices: &[Notice]) {
     let name = node.name();
     for notice in notices {
@@ -64,7 +66,7 @@
                 Event::RecordSkipped,
                 &[("host", &name), ("offset", offset), ("error", error)],
             ),
-            Notice::CheckpointDiffers { as_of } | Notice::CheckpointsContested { as_of } => emit(
+            Notice::CheckpointDiffers { as_of } | Notice::ConflictingCheckpoints { as_of } => emit(
                 Event::CheckpointDiffers,
                 &[("host", &name), ("as_of", as_of)],
             ),
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -19,48 +19,48 @@
 use crate::document::Document;
 use crate::document::follow::Follower;
 use crate::document::follow::PeerAnswer;
-use crate::hosts::Beat;
-use crate::hosts::BeatAnswer;
-use crate::hosts::ConfigMark;
+use crate::hosts::ConfigPosition;
+use crate::hosts::Heartbeat;
+use crate::hosts::HeartbeatAnswer;
 use crate::hosts::HostRole;
+use crate::hosts::HostedVersion;
 use crate::hosts::Load;
 use crate::hosts::NameTag;
 use crate::hosts::Report;
 use crate::hosts::ReportAnswer;
 use crate::hosts::Roster;
-use crate::hosts::Served;
 use crate::hosts::StateTag;
 use crate::links::Cuts;
 use crate::links::HttpClient;
 use crate::links::LinkError;
-use crate::node::Admission;
+use crate::node::ConfigAdmission;
 use crate::observe::Metrics;
 use crate::observe::Tally;
 
-/// Bytes of the head of a request or answer between two processes, about.
-const HEADER_BYTES: usize = 200;
+/// Estimated size of the HTTP head of a request or answer between two processes, in bytes.
+const HTTP_HEADER_BYTES: usize = 200;
 
-/// Bytes of the IP and UDP headers of a datagram.
-const DATAGRAM_HEADER_BYTES: usize = 28;
+/// Size of the IP and UDP headers of a datagram, in bytes.
+const IP_UDP_HEADER_BYTES: usize = 28;
 
-/// Time a request stays suspect after a crash it was near.
+/// Time for which a request stays suspect after an endpoint crashed while running it, in ms.
 const SUSPECT_WINDOW_MS: u64 = 600_000;
 
-/// Crashes remembered, counted once per request that ran.
-const MAX_SUSPECTS: usize = 1024;
+/// Largest number of suspect records; a crash adds one for each request that was running.
+const MAX_SUSPECT_RECORDS: usize = 1024;
 
-/// What this process says of itself beside its identity.
+/// Changing part of the state that this process reports.
 #[derive(Debug, Default)]
 pub struct OwnState {
-    /// How busy it is.
+    /// Load of the process.
     pub load: Load,
-    /// Versions on it.
-    pub served: Vec<Served>,
-    /// Epoch that new permits should name.
+    /// Model versions on the host.
+    pub served: Vec<HostedVersion>,
+    /// Epoch to put into new permits for the process.
     pub permit_epoch: u64,
 }
 
-/// One process of the system.
+/// State common to all parts of one process.
 #[derive(Debug)]
 pub struct Node {
     process: ProcessSettings,
@@ -74,14 +74,14 @@
     cuts: Arc<Cuts>,
     roster: Mutex<Roster>,
     follower: Mutex<Follower>,
-    own: Mutex<OwnState>,
+    own_state: Mutex<OwnState>,
     suspects: Mutex<SuspectTable>,
     leaving: AtomicBool,
     control_bytes: AtomicU64,
 }
 
 impl Node {
-    /// A fresh incarnation with nothing known.
+    /// Creates a new incarnation with an empty roster and configuration.
     pub fn new(
         process: ProcessSettings,
         platform: PlatformSettings,
@@ -103,91 +103,91 @@
             cuts,
             roster: Mutex::new(Roster::new()),
             follower: Mutex::new(Follower::new(0)),
-            own: Mutex::default(),
-            suspects: Mutex::new(SuspectTable::new(SUSPECT_WINDOW_MS, MAX_SUSPECTS)),
+            own_state: Mutex::default(),
+            suspects: Mutex::new(SuspectTable::new(SUSPECT_WINDOW_MS, MAX_SUSPECT_RECORDS)),
             leaving: AtomicBool::new(false),
             control_bytes: AtomicU64::new(0),
         }
     }
 
-    /// Who the process is.
+    /// Returns the settings of this process.
     pub fn process(&self) -> &ProcessSettings {
         &self.process
     }
 
-    /// Where the platform is.
+    /// Returns the settings of the platform.
     pub fn platform(&self) -> &PlatformSettings {
         &self.platform
     }
 
-    /// What all processes share.
+    /// Returns the settings common to all processes of the cluster.
     pub fn cluster(&self) -> &ClusterSettings {
         &self.cluster
     }
 
-    /// Plain service beside the process.
+    /// Returns the plain service that the endpoint serves, if it serves no model.
     pub fn service(&self) -> Option<&str> {
         self.service.as_deref()
     }
 
-    /// Name of the host.
+    /// Returns the name of the host.
     pub fn name(&self) -> &str {
         &self.process.name
     }
 
-    /// Grows with each start of the process on this host.
+    /// Returns the incarnation, which grows with each start of the process on this host.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Time since the process started; never goes back.
+    /// Returns the monotonic time since the start of the process, in ms.
     pub fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Counters of the process.
+    /// Returns the metrics of the process.
     pub fn metrics(&self) -> &Arc<Metrics> {
         &self.metrics
     }
 
-    /// Client towards the other processes.
+    /// Returns the HTTP client for other processes.
     pub fn http(&self) -> &HttpClient {
         &self.http
     }
 
-    /// Addresses that it does not reach during a drill.
+    /// Returns the simulated network cuts: addresses that the process must not reach in a test.
     pub fn cuts(&self) -> &Arc<Cuts> {
         &self.cuts
     }
 
-    /// Asks another process and counts the bytes of control traffic.
+    /// Sends a request to another process and counts the bytes as control traffic.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no usable answer came within `wait_ms`.
-    pub async fn ask<A: DeserializeOwned>(
+    /// Returns [`LinkError`] when no valid answer arrived within `wait_ms`.
+    pub async fn request<A: DeserializeOwned>(
         &self,
         url: &str,
-        question: &impl Serialize,
+        message: &impl Serialize,
         wait_ms: u64,
     ) -> Result<A, LinkError> {
         let malformed = |error: String| LinkError::Malformed(error);
         let body =
-            rmp_serde::to_vec_named(question).map_err(|error| malformed(error.to_string()))?;
-        self.count_control("sent", body.len());
+            rmp_serde::to_vec_named(message).map_err(|error| malformed(error.to_string()))?;
+        self.count_control_message("sent", body.len());
         let answer = self.http.post_rmp(url, body, wait_ms).await?;
-        self.count_control("received", answer.len());
+        self.count_control_message("received", answer.len());
         rmp_serde::from_slice(&answer).map_err(|error| malformed(error.to_string()))
     }
 
-    /// Counts a request or answer of control traffic with `body_bytes` of body.
-    pub fn count_control(&self, direction: &'static str, body_bytes: usize) {
-        self.count_control_bytes(direction, body_bytes + HEADER_BYTES);
+    /// Counts an HTTP message of control traffic with a body of `body_bytes`.
+    pub fn count_control_message(&self, direction: &'static str, body_bytes: usize) {
+        self.count_control_bytes(direction, body_bytes + HTTP_HEADER_BYTES);
     }
 
-    /// Counts a datagram of control traffic with `body_bytes` of body.
+    /// Counts a datagram of control traffic with a body of `body_bytes`.
     pub fn count_datagram(&self, direction: &'static str, body_bytes: usize) {
-        self.count_control_bytes(direction, body_bytes + DATAGRAM_HEADER_BYTES);
+        self.count_control_bytes(direction, body_bytes + IP_UDP_HEADER_BYTES);
     }
 
     fn count_control_bytes(&self, direction: &'static str, bytes: usize) {
@@ -197,99 +197,101 @@
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Bytes of control traffic so far, both ways, headers included.
+    /// Returns the control traffic since the start in both directions, headers included, in bytes.
     pub fn control_bytes(&self) -> u64 {
         self.control_bytes.load(Ordering::Relaxed)
     }
 
-    /// The hosts it knows.
+    /// Locks the roster of known hosts.
     pub fn roster(&self) -> MutexGuard<'_, Roster> {
         self.roster.lock().expect("no holder of the roster panics")
     }
 
-    /// The configuration it has folded and how it follows the log.
+    /// Locks the follower, which holds the configuration.
     pub fn follower(&self) -> MutexGuard<'_, Follower> {
         self.follower
             .lock()
             .expect("no holder of the follower panics")
     }
 
-    /// What it says of itself.
-    pub fn own(&self) -> MutexGuard<'_, OwnState> {
-        self.own.lock().expect("no holder of the own state panics")
+    /// Locks the changing part of the reported state.
+    pub fn own_state(&self) -> MutexGuard<'_, OwnState> {
+        self.own_state
+            .lock()
+            .expect("no holder of the own state panics")
     }
 
-    /// Requests that ran when endpoints crashed.
+    /// Locks the table of requests that were running when endpoints crashed.
     pub fn suspects(&self) -> MutexGuard<'_, SuspectTable> {
         self.suspects
             .lock()
             .expect("no holder of the suspects panics")
     }
 
-    /// Everything known of suspects, to spread.
+    /// Returns all suspect records, to send to other processes.
     pub fn known_suspects(&self) -> Vec<SuspectRecord> {
         let now_ms = self.now_ms();
         self.suspects().export_records(now_ms)
     }
 
-    /// Tag of everything known of suspects.
+    /// Returns the tag of all suspect records.
     pub fn suspects_tag(&self) -> StateTag {
         let now_ms = self.now_ms();
         StateTag::of(self.suspects().digest(now_ms).as_bytes())
     }
 
-    /// The document in force.
+    /// Returns the current configuration document.
     pub fn document(&self) -> Arc<Document> {
         self.follower().fold().shared_document()
     }
 
-    /// How far the configuration has been folded.
-    pub fn config_mark(&self) -> ConfigMark {
+    /// Returns the position up to which the configuration log is applied.
+    pub fn config_position(&self) -> ConfigPosition {
         let follower = self.follower();
         let fold = follower.fold();
-        ConfigMark {
+        ConfigPosition {
             offset: fold.head(),
             digest: fold.digest(),
         }
     }
 
-    /// Whether the process is leaving.
+    /// Whether the process is draining and will stop.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Starts to leave: no new work from now on.
+    /// Starts the drain: the process takes no new work from now on.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Whether the process may admit new work, going by its configuration.
-    pub fn admission(&self) -> Admission {
+    /// Decides whether the state of the configuration allows to admit new work.
+    pub fn admission(&self) -> ConfigAdmission {
         let now_ms = self.now_ms();
         let follower = self.follower();
         let age_ms = follower.confirmed_age_ms(now_ms).unwrap_or(now_ms);
-        Admission::decide(
+        ConfigAdmission::decide(
             follower.admits(now_ms),
             age_ms,
             self.cluster.partition_policy,
         )
     }
 
-    /// Whether the process admits new work; work admitted while cut off is counted.
+    /// Whether the process admits new work; counts admissions while cut off from the log.
     pub fn is_ready(&self) -> bool {
         let admission = self.admission();
-        if admission == Admission::CutOffServing {
+        if admission == ConfigAdmission::CutOffServing {
             self.metrics
                 .add(Tally::CutOff, 1, "policy", admission.name());
         }
         admission.admits()
     }
 
-    /// What the process answers a peer that reported.
+    /// Creates the answer to a report of a peer.
     pub fn report_answer(&self) -> ReportAnswer {
-        let mark = self.follower().mark(self.now_ms());
+        let mark = self.follower().status(self.now_ms());
         ReportAnswer {
-            config: ConfigMark {
+            config: ConfigPosition {
                 offset: mark.head,
                 digest: mark.digest,
             },
@@ -299,17 +301,17 @@
         }
     }
 
-    /// What the process answers a peer whose head is `from`.
+    /// Creates the answer to a configuration request of a peer whose head is `from`.
     pub fn config_answer(&self, from: u64) -> PeerAnswer {
-        let mut answer = self.follower().answer(self.now_ms(), from);
+        let mut answer = self.follower().answer_peer(self.now_ms(), from);
         answer.mark.is_voter &= self.process.role == HostRole::Entry;
         answer
     }
 
-    /// The process's sign of life.
-    pub fn beat(&self, wants_answer: bool) -> Beat {
+    /// Creates a heartbeat of this process.
+    pub fn heartbeat(&self, wants_answer: bool) -> Heartbeat {
         let report = self.report();
-        Beat {
+        Heartbeat {
             name: NameTag::of(&self.process.name),
             incarnation: self.incarnation,
             sent_ms: self.now_ms(),
@@ -323,10 +325,11 @@
         }
     }
 
-    /// What the process answers to a beat sent at `asked_ms` of the sender's clock.
-    pub fn beat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> BeatAnswer {
+    /// Creates the answer to the heartbeat that incarnation `to` sent at `asked_ms` on its
+    /// own clock.
+    pub fn heartbeat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> HeartbeatAnswer {
         let answer = self.report_answer();
-        BeatAnswer {
+        HeartbeatAnswer {
             name: NameTag::of(&self.process.name),
             to,
             asked_ms,
@@ -337,10 +340,10 @@
         }
     }
 
-    /// What the process says of itself now.
+    /// Creates a full report of this process.
     pub fn report(&self) -> Report {
         let suspects = self.known_suspects();
-        let own = self.own();
+        let own = self.own_state();
         Report {
             name: self.process.name.clone(),
             address: self.process.listen,
@@ -350,7 +353,7 @@
             service: self.service.clone(),
             incarnation: self.incarnation,
             leaving: self.is_leaving(),
-            config: self.config_mark(),
+            config: self.config_position(),
             load: own.load,
             served: own.served.clone(),
             permit_epoch: own.permit_epoch,
@@ -359,7 +362,7 @@
     }
 }
 
-/// Time of the wall clock; only ever compared on the same host.
+/// Returns the time of the wall clock in µs, which is only compared on the same host.
 fn unix_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -12,13 +12,13 @@
 use crate::support::until;
 use bergamotfork::conf::PartitionPolicy;
 use bergamotfork::document::Fold;
-use bergamotfork::hosts::BeatAnswer;
-use bergamotfork::hosts::BeatKey;
-use bergamotfork::hosts::ConfigMark;
+use bergamotfork::hosts::ConfigPosition;
 use bergamotfork::hosts::Datagram;
+use bergamotfork::hosts::HeartbeatAnswer;
+use bergamotfork::hosts::HeartbeatKey;
 use bergamotfork::hosts::NameTag;
-use bergamotfork::node::Admission;
 use bergamotfork::node::CUT_OFF_MS;
+use bergamotfork::node::ConfigAdmission;
 
 /// Longer than the pause that a process notices.
 const PAUSE: Duration = Duration::from_millis(6_000);
@@ -100,15 +100,15 @@
 
 #[test]
 fn admission_cut_off_policy() {
-    let decide = |age_ms, policy| Admission::decide(true, age_ms, policy);
+    let decide = |age_ms, policy| ConfigAdmission::decide(true, age_ms, policy);
     let serve = PartitionPolicy::Serve;
     let refuse = PartitionPolicy::Refuse;
-    assert_eq!(decide(CUT_OFF_MS - 1, refuse), Admission::Confirmed);
-    assert_eq!(decide(CUT_OFF_MS, serve), Admission::CutOffServing);
-    assert_eq!(decide(CUT_OFF_MS, refuse), Admission::CutOffRefusing);
+    assert_eq!(decide(CUT_OFF_MS - 1, refuse), ConfigAdmission::Confirmed);
+    assert_eq!(decide(CUT_OFF_MS, serve), ConfigAdmission::CutOffServing);
+    assert_eq!(decide(CUT_OFF_MS, refuse), ConfigAdmission::CutOffRefusing);
     assert!(!decide(CUT_OFF_MS, refuse).admits() && decide(CUT_OFF_MS, serve).admits());
-    let unconfirmed = Admission::decide(false, 0, serve);
-    assert_eq!(unconfirmed, Admission::Unconfirmed);
+    let unconfirmed = ConfigAdmission::decide(false, 0, serve);
+    assert_eq!(unconfirmed, ConfigAdmission::Unconfirmed);
 }
 
 #[actix_rt::test]
@@ -128,19 +128,19 @@
     let url = format!("{}/v1/hosts/entry-1", cluster.hosts_url());
     let put = cluster.call(Method::PUT, &url, Some(&record)).await;
     put.expect("the host list takes a host");
-    let answer = BeatAnswer {
+    let answer = HeartbeatAnswer {
         name: NameTag::of("entry-1"),
         to: 1,
         asked_ms: 1_000,
         wants_report: false,
-        config: ConfigMark {
+        config: ConfigPosition {
             offset: 0,
             digest: Fold::new().digest(),
         },
         is_voter: true,
         confirmed_age_ms: Some(0),
     };
-    let key = BeatKey::derive(Cluster::SHARED_KEY);
+    let key = HeartbeatKey::derive(Cluster::SHARED_KEY);
     let datagram = Datagram::Answer(answer).seal(&key);
     let to = entry.strip_prefix("http://").expect("a URL");
     until_in_force(&cluster, &entry, 0, 2).await;
--- a/tests/document/fold.rs
+++ b/tests/document/fold.rs
@@ -1,27 +1,27 @@
 use crate::support::apply;
 use crate::support::delete;
 use crate::support::edit;
-use bergamotfork::document::Adopted;
-use bergamotfork::document::Applied;
 use bergamotfork::document::Checkpoint;
+use bergamotfork::document::CheckpointOutcome;
 use bergamotfork::document::EditOutcome;
 use bergamotfork::document::Fold;
 use bergamotfork::document::LogRecord;
 use bergamotfork::document::MAX_EDIT_ENTRIES;
+use bergamotfork::document::RecordOutcome;
 
-fn accepted(offset: u64) -> Applied {
-    Applied::Decided(EditOutcome::Accepted {
+fn accepted(offset: u64) -> RecordOutcome {
+    RecordOutcome::Decided(EditOutcome::Accepted {
         offset,
         revision: offset + 1,
     })
 }
 
-fn conflict(offset: u64, revision: u64) -> Applied {
-    Applied::Decided(EditOutcome::Conflict { offset, revision })
+fn conflict(offset: u64, revision: u64) -> RecordOutcome {
+    RecordOutcome::Decided(EditOutcome::Conflict { offset, revision })
 }
 
 #[test]
-fn apply_racing_editors() {
+fn apply_concurrent_edits() {
     let mut fold = Fold::new();
     assert_eq!(apply(&mut fold, edit("a", "s x", 0, "k = 1")), accepted(0));
     assert_eq!(
@@ -39,15 +39,15 @@
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     apply(&mut fold, edit("b", "s x", 0, "k = 2"));
-    let first = *fold.outcome("a").expect("remembered");
-    let again = apply(&mut fold, edit("a", "s x", 0, "k = 1"));
-    assert_eq!(again, Applied::Repeated(first));
-    let again = apply(&mut fold, edit("b", "s x", 0, "k = 2"));
+    let first = *fold.edit_outcome("a").expect("remembered");
+    let repeated = apply(&mut fold, edit("a", "s x", 0, "k = 1"));
+    assert_eq!(repeated, RecordOutcome::Repeated(first));
+    let repeated = apply(&mut fold, edit("b", "s x", 0, "k = 2"));
     let outcome = EditOutcome::Conflict {
         offset: 1,
         revision: 1,
     };
-    assert_eq!(again, Applied::Repeated(outcome));
+    assert_eq!(repeated, RecordOutcome::Repeated(outcome));
     assert_eq!(fold.history().count(), 2);
 }
 
@@ -72,61 +72,70 @@
 fn apply_out_of_order() {
     let mut fold = Fold::new();
     let record = LogRecord::Edit(edit("a", "s x", 0, "k = 1")).encode();
-    assert_eq!(fold.apply(1, &record), Applied::Gap { wanted: 0 });
+    assert_eq!(fold.apply(1, &record), RecordOutcome::Gap { wanted: 0 });
     fold.apply(0, &record);
-    assert_eq!(fold.apply(0, &record), Applied::Past);
+    assert_eq!(fold.apply(0, &record), RecordOutcome::AlreadyApplied);
     assert_eq!(fold.head(), 1);
 }
 
 #[test]
-fn apply_undecodable() {
+fn apply_undecodable_record() {
     let mut fold = Fold::new();
-    assert!(matches!(fold.apply(0, b"\xffnoise"), Applied::Skipped(_)));
+    assert!(matches!(
+        fold.apply(0, b"\xffnoise"),
+        RecordOutcome::Skipped(_)
+    ));
     assert_eq!(fold.head(), 1);
     assert_eq!(apply(&mut fold, edit("a", "s x", 0, "k = 1")), accepted(1));
 }
 
 #[test]
-fn apply_checkpoint_of_own_state() {
+fn apply_matching_checkpoint() {
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     let checkpoint = LogRecord::Checkpoint(fold.checkpoint()).encode();
     apply(&mut fold, edit("b", "s y", 0, "k = 1"));
     let applied = fold.apply(2, &checkpoint);
-    assert_eq!(applied, Applied::CheckpointAgreed { as_of: 1 });
+    assert_eq!(applied, RecordOutcome::CheckpointMatches { as_of: 1 });
 }
 
 #[test]
-fn apply_contradicting_checkpoint() {
+fn apply_differing_checkpoint() {
     let mut other = Fold::new();
     apply(&mut other, edit("z", "s z", 0, "k = 9"));
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     let applied = fold.apply(1, &LogRecord::Checkpoint(other.checkpoint()).encode());
-    assert_eq!(applied, Applied::CheckpointDiffers { as_of: 1 });
+    assert_eq!(applied, RecordOutcome::CheckpointDiffers { as_of: 1 });
     assert!(fold.document().section("s z").is_none());
-    assert_eq!(fold.adopt(&other.checkpoint()), Adopted::Differs);
+    assert_eq!(
+        fold.apply_checkpoint(&other.checkpoint()),
+        CheckpointOutcome::Differs
+    );
 }
 
 #[test]
-fn adopt_only_forward() {
+fn apply_checkpoint_only_forward() {
     let mut ahead = Fold::new();
     apply(&mut ahead, edit("a", "s x", 0, "k = 1"));
     let early = ahead.checkpoint();
     apply(&mut ahead, edit("b", "s x", 1, "k = 2"));
     let mut fresh = Fold::new();
-    assert_eq!(fresh.adopt(&ahead.checkpoint()), Adopted::Advanced);
+    assert_eq!(
+        fresh.apply_checkpoint(&ahead.checkpoint()),
+        CheckpointOutcome::Advanced
+    );
     assert_eq!(fresh.digest(), ahead.digest());
-    assert_eq!(fresh.outcome("a"), ahead.outcome("a"));
-    assert_eq!(fresh.adopt(&early), Adopted::NotNewer);
+    assert_eq!(fresh.edit_outcome("a"), ahead.edit_outcome("a"));
+    assert_eq!(fresh.apply_checkpoint(&early), CheckpointOutcome::NotNewer);
     assert_eq!(fresh.head(), 2);
     let mut altered = early;
     altered.as_of = 9;
-    assert_eq!(fresh.adopt(&altered), Adopted::Corrupt);
+    assert_eq!(fresh.apply_checkpoint(&altered), CheckpointOutcome::Corrupt);
 }
 
 #[test]
-fn apply_forgets_oldest_edit() {
+fn apply_removes_oldest_edit() {
     let mut fold = Fold::new();
     let mut checkpoint = fold.checkpoint();
     apply(&mut fold, edit("id-0", "s x", 0, "k = 1"));
@@ -143,15 +152,15 @@
         })
         .collect();
     let as_of = MAX_EDIT_ENTRIES as u64;
-    let full = Checkpoint::seal(as_of, fold.document(), &checkpoint.edits);
-    assert_eq!(fold.adopt(&full), Adopted::Advanced);
+    let full = Checkpoint::new(as_of, fold.document(), &checkpoint.edits);
+    assert_eq!(fold.apply_checkpoint(&full), CheckpointOutcome::Advanced);
     apply(&mut fold, edit("last", "s x", 1, "k = 2"));
-    assert!(fold.outcome("id-0").is_none());
-    assert!(fold.outcome("id-1").is_some());
-    // The base revision refuses a record whose id is forgotten.
+    assert!(fold.edit_outcome("id-0").is_none());
+    assert!(fold.edit_outcome("id-1").is_some());
+    // The base revision makes a repeated edit conflict whose id is no longer kept.
     let late = apply(&mut fold, edit("id-0", "s x", 0, "k = 1"));
     assert!(matches!(
         late,
-        Applied::Decided(EditOutcome::Conflict { .. })
+        RecordOutcome::Decided(EditOutcome::Conflict { .. })
     ));
 }
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -1,26 +1,27 @@
-//! The merged live list under a lagging, empty or halved list of the platform.
+//! Tests of the roster with a lagging, empty or halved list of the platform.
 
-mod beat;
+mod heartbeat;
 
 use arbtest::arbtest;
 
 use bergamotfork::clients::HostList;
-use bergamotfork::hosts::ConfigMark;
-use bergamotfork::hosts::DOUBT_MS;
-use bergamotfork::hosts::FORGET_MS;
-use bergamotfork::hosts::Heard;
+use bergamotfork::hosts::ConfigPosition;
+use bergamotfork::hosts::HOST_EXPIRY_MS;
 use bergamotfork::hosts::HostRecord;
 use bergamotfork::hosts::HostRole;
 use bergamotfork::hosts::HostState;
-use bergamotfork::hosts::ListTaken;
+use bergamotfork::hosts::HostStatus;
+use bergamotfork::hosts::ListOutcome;
 use bergamotfork::hosts::Load;
+use bergamotfork::hosts::REMOVAL_DELAY_MS;
 use bergamotfork::hosts::Report;
+use bergamotfork::hosts::ReportOutcome;
 use bergamotfork::hosts::Roster;
 use bergamotfork::hosts::SILENCE_MS;
-use bergamotfork::hosts::Standing;
 use bergamotfork::weights::Digest;
 
-/// The brief allows a few seconds; the project promises this.
+/// Promised time after the last message of a failed host from which on it gets no new
+/// work, in ms.
 const NO_NEW_WORK_MS: u64 = 3000;
 
 fn record(number: usize) -> HostRecord {
@@ -55,7 +56,7 @@
         service: None,
         incarnation,
         leaving: false,
-        config: ConfigMark {
+        config: ConfigPosition {
             offset: 0,
             digest: Digest::of_bytes(b""),
         },
@@ -66,104 +67,119 @@
     }
 }
 
-fn standing(roster: &Roster, number: usize, now_ms: u64) -> Option<Standing> {
+fn status(roster: &Roster, number: usize, now_ms: u64) -> Option<HostStatus> {
     let key = roster.key(&record(number).name)?;
-    roster.host(key).map(|host| host.standing(now_ms))
+    roster.host(key).map(|host| host.status(now_ms))
 }
 
 #[test]
-fn standing_dead_host_still_listed() {
+fn status_silent_host_still_listed() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 3), 0);
-    roster.heard(&report(0, 1), 1000);
-    assert_eq!(standing(&roster, 0, 1000), Some(Standing::Usable));
-    roster.take_list(&list(1, 3), 1000 + NO_NEW_WORK_MS);
+    roster.merge_list(&list(1, 3), 0);
+    roster.merge_report(&report(0, 1), 1000);
+    assert_eq!(status(&roster, 0, 1000), Some(HostStatus::Usable));
+    roster.merge_list(&list(1, 3), 1000 + NO_NEW_WORK_MS);
     assert_eq!(
-        standing(&roster, 0, 1000 + NO_NEW_WORK_MS),
-        Some(Standing::Silent)
+        status(&roster, 0, 1000 + NO_NEW_WORK_MS),
+        Some(HostStatus::Silent)
     );
     const { assert!(SILENCE_MS < NO_NEW_WORK_MS) };
 }
 
 #[test]
-fn standing_failed_until_heard_again() {
+fn status_failed_until_next_report() {
     let mut roster = Roster::new();
-    roster.heard(&report(0, 1), 1000);
+    roster.merge_report(&report(0, 1), 1000);
     let key = roster.key("host-000").expect("the host was heard");
-    roster.failed(key, 1100);
-    assert_eq!(standing(&roster, 0, 1100), Some(Standing::Failed));
-    roster.heard(&report(0, 1), 1200);
-    assert_eq!(standing(&roster, 0, 1200), Some(Standing::Usable));
+    roster.record_failure(key, 1100);
+    assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Failed));
+    roster.merge_report(&report(0, 1), 1200);
+    assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Usable));
 }
 
 #[test]
-fn heard_replaced_at_same_address() {
+fn merge_report_replaced_incarnation() {
     let mut roster = Roster::new();
-    roster.heard(&report(0, 5), 1000);
+    roster.merge_report(&report(0, 5), 1000);
     let key = roster.key("host-000").expect("the host was heard");
-    roster.leaving(key);
-    assert_eq!(roster.heard(&report(0, 4), 1100), Heard::Outdated);
-    assert_eq!(standing(&roster, 0, 1100), Some(Standing::Leaving));
-    assert_eq!(roster.heard(&report(0, 6), 1200), Heard::Replaced);
-    assert_eq!(standing(&roster, 0, 1200), Some(Standing::Usable));
+    roster.record_leaving(key);
+    assert_eq!(
+        roster.merge_report(&report(0, 4), 1100),
+        ReportOutcome::Outdated
+    );
+    assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Leaving));
+    assert_eq!(
+        roster.merge_report(&report(0, 6), 1200),
+        ReportOutcome::Replaced
+    );
+    assert_eq!(status(&roster, 0, 1200), Some(HostStatus::Usable));
 }
 
 #[test]
-fn leaving_stays_for_the_incarnation() {
+fn merge_report_leaving_is_kept() {
     let mut roster = Roster::new();
-    let mut last_words = report(0, 5);
-    last_words.leaving = true;
-    roster.heard(&last_words, 1000);
-    // A report sent before the last one arrives after it.
-    roster.heard(&report(0, 5), 1100);
-    assert_eq!(standing(&roster, 0, 1100), Some(Standing::Leaving));
+    let mut leaving_report = report(0, 5);
+    leaving_report.leaving = true;
+    roster.merge_report(&leaving_report, 1000);
+    // A report that was sent before the last one arrives after it.
+    roster.merge_report(&report(0, 5), 1100);
+    assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Leaving));
 }
 
 #[test]
-fn take_list_empty_keeps_hosts() {
+fn merge_list_empty_keeps_hosts() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 4), 0);
-    assert_eq!(roster.take_list(&list(2, 0), 1000), ListTaken::Doubted);
-    let later_ms = 1000 + 10 * DOUBT_MS;
-    assert_eq!(roster.take_list(&list(2, 0), later_ms), ListTaken::Doubted);
+    roster.merge_list(&list(1, 4), 0);
+    assert_eq!(
+        roster.merge_list(&list(2, 0), 1000),
+        ListOutcome::RemovalsDeferred
+    );
+    let later_ms = 1000 + 10 * REMOVAL_DELAY_MS;
+    assert_eq!(
+        roster.merge_list(&list(2, 0), later_ms),
+        ListOutcome::RemovalsDeferred
+    );
     assert_eq!(roster.hosts().count(), 4);
 }
 
 #[test]
-fn take_list_halved_waits() {
+fn merge_list_halved_defers_removals() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 8), 0);
-    assert_eq!(roster.take_list(&list(2, 4), 1000), ListTaken::Doubted);
+    roster.merge_list(&list(1, 8), 0);
+    assert_eq!(
+        roster.merge_list(&list(2, 4), 1000),
+        ListOutcome::RemovalsDeferred
+    );
     assert_eq!(roster.hosts().count(), 8);
-    let believed_ms = 1000 + DOUBT_MS;
+    let applied_ms = 1000 + REMOVAL_DELAY_MS;
     assert_eq!(
-        roster.take_list(&list(2, 4), believed_ms),
-        ListTaken::Applied
+        roster.merge_list(&list(2, 4), applied_ms),
+        ListOutcome::Applied
     );
-    roster.forget(believed_ms + FORGET_MS + 1);
+    roster.remove_expired(applied_ms + HOST_EXPIRY_MS + 1);
     assert_eq!(roster.hosts().count(), 4);
 }
 
 #[test]
-fn take_list_one_by_one() {
+fn merge_list_removals_one_by_one() {
     let mut roster = Roster::new();
-    roster.take_list(&list(1, 8), 0);
-    for left in (1..8).rev() {
-        let version = 9 - left as u64;
-        roster.take_list(&list(version, left), version * 1000);
+    roster.merge_list(&list(1, 8), 0);
+    for remaining in (1..8).rev() {
+        let version = 9 - remaining as u64;
+        roster.merge_list(&list(version, remaining), version * 1000);
     }
-    // The last removal, of one host in two, is the only one in doubt.
+    // Only the last removal, of one of two hosts, is deferred.
     assert_eq!(roster.list_version(), 7);
 }
 
 #[test]
-fn host_forgotten_key() {
+fn host_removed_key() {
     let mut roster = Roster::new();
-    roster.heard(&report(0, 1), 0);
+    roster.merge_report(&report(0, 1), 0);
     let key = roster.key("host-000").expect("the host was heard");
-    roster.forget(FORGET_MS + 1);
+    roster.remove_expired(HOST_EXPIRY_MS + 1);
     assert!(roster.host(key).is_none());
-    roster.heard(&report(1, 1), FORGET_MS + 2);
+    roster.merge_report(&report(1, 1), HOST_EXPIRY_MS + 2);
     assert!(
         roster.host(key).is_none(),
         "a stale key names no other host"
@@ -171,27 +187,29 @@
 }
 
 #[test]
-fn roster_any_order_of_evidence() {
+fn status_any_message_order() {
     arbtest(|u| {
         let mut roster = Roster::new();
-        let mut last_heard_ms = [None; 4];
+        let mut last_received_ms = [None; 4];
         let mut now_ms = 0;
         for _ in 0..40 {
             now_ms += u64::from(u.int_in_range(0..=4000u16)?);
             if u.ratio(1, 3)? {
                 let count = u.int_in_range(0..=4)?;
-                roster.take_list(&list(now_ms, count), now_ms);
+                roster.merge_list(&list(now_ms, count), now_ms);
             } else {
                 let number = u.choose_index(4)?;
                 let incarnation = u.int_in_range(1..=3)?;
-                if roster.heard(&report(number, incarnation), now_ms) != Heard::Outdated {
-                    last_heard_ms[number] = Some(now_ms);
+                if roster.merge_report(&report(number, incarnation), now_ms)
+                    != ReportOutcome::Outdated
+                {
+                    last_received_ms[number] = Some(now_ms);
                 }
             }
-            for (number, heard_ms) in last_heard_ms.iter().enumerate() {
-                let Some(heard_ms) = heard_ms else { continue };
-                let usable = standing(&roster, number, now_ms) == Some(Standing::Usable);
-                let silent_ms = now_ms - heard_ms;
+            for (number, last_ms) in last_received_ms.iter().enumerate() {
+                let Some(last_ms) = last_ms else { continue };
+                let usable = status(&roster, number, now_ms) == Some(HostStatus::Usable);
+                let silent_ms = now_ms - last_ms;
                 assert!(usable || silent_ms > SILENCE_MS, "heard and not usable");
                 assert!(!usable || silent_ms < NO_NEW_WORK_MS, "silent and usable");
             }
