--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -119,7 +119,7 @@
 fn check(state: &EntryState, edit: &Edit) -> Result<(), ApiError> {
     if !state.node.is_ready() {
         let message = "the configuration of this entry is not confirmed; nothing was changed";
-        return Err(ApiError::later(
+        return Err(ApiError::retryable(
             ErrorCode::NotReady,
             message,
             RETRY_AFTER_MS,
@@ -147,7 +147,7 @@
             Err(error) if certainly_not_appended(&error) && !may_stand => {
                 let message = format!("{error}; nothing was changed");
                 let code = ErrorCode::LogUnavailable;
-                return Err(ApiError::later(code, message, RETRY_AFTER_MS));
+                return Err(ApiError::retryable(code, message, RETRY_AFTER_MS));
             }
             Err(_) => deadline_ms.min(node.now_ms() + LOST_REPLY_WAIT_MS),
         };
@@ -158,7 +158,7 @@
         if node.now_ms() >= deadline_ms {
             let message = "the log has not shown the edit yet; send the same edit id again";
             let code = ErrorCode::OutcomeUnknown;
-            return Err(ApiError::later(code, message, RETRY_AFTER_MS));
+            return Err(ApiError::retryable(code, message, RETRY_AFTER_MS));
         }
         node.metrics().retried("edit_reply_lost");
     }
--- a/src/entry/api_error.rs
+++ b/src/entry/api_error.rs
@@ -26,7 +26,7 @@
     /// A code and what to say with it.
     Plain { code: ErrorCode, message: String },
     /// The caller may come back after a while.
-    Later {
+    Retryable {
         code: ErrorCode,
         message: String,
         retry_after_ms: u64,
@@ -49,8 +49,8 @@
     }
 
     /// An error that may be gone after `retry_after_ms`.
-    pub fn later(code: ErrorCode, message: impl Into<String>, retry_after_ms: u64) -> Self {
-        Self::Later {
+    pub fn retryable(code: ErrorCode, message: impl Into<String>, retry_after_ms: u64) -> Self {
+        Self::Retryable {
             code,
             message: message.into(),
             retry_after_ms,
@@ -69,9 +69,9 @@
     /// Stable code.
     pub fn code(&self) -> ErrorCode {
         match self {
-            Self::Plain { code, .. } | Self::Later { code, .. } | Self::Detailed { code, .. } => {
-                *code
-            }
+            Self::Plain { code, .. }
+            | Self::Retryable { code, .. }
+            | Self::Detailed { code, .. } => *code,
         }
     }
 
@@ -79,7 +79,7 @@
     pub fn message(&self) -> &str {
         match self {
             Self::Plain { message, .. }
-            | Self::Later { message, .. }
+            | Self::Retryable { message, .. }
             | Self::Detailed { message, .. } => message,
         }
     }
@@ -89,7 +89,9 @@
         let mut body = json!({"code": self.code().name(), "message": self.message()});
         match self {
             Self::Plain { .. } => {}
-            Self::Later { retry_after_ms, .. } => body["retry_after_ms"] = json!(retry_after_ms),
+            Self::Retryable { retry_after_ms, .. } => {
+                body["retry_after_ms"] = json!(retry_after_ms)
+            }
             Self::Detailed { details, .. } => body["details"] = details.clone(),
         }
         body
@@ -109,7 +111,7 @@
 
     fn error_response(&self) -> HttpResponse {
         let mut response = HttpResponse::build(self.status_code());
-        if let Self::Later { retry_after_ms, .. } = self {
+        if let Self::Retryable { retry_after_ms, .. } = self {
             let seconds = retry_after_ms.div_ceil(MS_PER_S);
             response.insert_header((RETRY_AFTER, seconds.to_string()));
         }
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -21,9 +21,9 @@
 use crate::entry::ErrorCode;
 use crate::entry::auth;
 use crate::entry::call_answer::respond;
-use crate::entry::call_once::CallOnce;
 use crate::entry::call_permits;
-use crate::entry::call_repeatable::call_repeatable;
+use crate::entry::idempotent_call::send_idempotent_call;
+use crate::entry::non_idempotent_call::NonIdempotentCall;
 use crate::observe::Event;
 use crate::observe::emit;
 
@@ -78,7 +78,7 @@
     };
     let deadline = Instant::now() + Duration::from_millis(deadline_ms);
     let outcome = if service.idempotent.contains(&call.path) {
-        call_repeatable(&state, call, deadline).await
+        send_idempotent_call(&state, call, deadline).await
     } else {
         let send_no = body.send.unwrap_or(UNNUMBERED_SEND);
         call_with(&state, call, body.permit, send_no, deadline).await
@@ -115,7 +115,7 @@
         permit: Some(permit.clone()),
         ..call
     };
-    let once = CallOnce {
+    let once = NonIdempotentCall {
         state,
         call,
         permit,
--- a/src/entry/call_answer.rs
+++ b/src/entry/call_answer.rs
@@ -15,7 +15,7 @@
 
 /// What a caller is told of a call without an answer of its service.
 #[derive(Debug, Serialize)]
-struct Ending<'a> {
+struct CallErrorBody<'a> {
     code: &'static str,
     outcome: &'static str,
     reason: &'static str,
@@ -44,7 +44,7 @@
         }
         CallOutcome::NotRun { reason: why, .. } => builder(code_of(why).status(), retry_after_ms)
             .insert_header((REQUEST_ID_HEADER, request_id))
-            .json(Ending {
+            .json(CallErrorBody {
                 code: code_of(why).name(),
                 outcome: "not_run",
                 reason,
@@ -55,7 +55,7 @@
             }),
         CallOutcome::Unknown { .. } => builder(ErrorCode::OutcomeUnknown.status(), retry_after_ms)
             .insert_header((REQUEST_ID_HEADER, request_id))
-            .json(Ending {
+            .json(CallErrorBody {
                 code: ErrorCode::OutcomeUnknown.name(),
                 outcome: "unknown",
                 reason,
--- a/src/entry/call_link.rs
+++ b/src/entry/call_exchange.rs
@@ -21,9 +21,9 @@
 
 /// What came back over one connection to an endpoint.
 #[derive(Debug)]
-pub(super) enum Heard {
+pub(super) enum ExchangeResult {
     /// A whole answer to this request.
-    Told(CallReport),
+    Report(CallReport),
     /// No byte of the request left.
     NotSent,
     /// The request left and no usable answer came.
@@ -34,7 +34,7 @@
 
 /// Which connection to use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Connection {
+pub(super) enum ConnectionKind {
     /// One from the pool, which may have gone silent unnoticed.
     Pooled,
     /// A new one of its own.
@@ -44,40 +44,42 @@
 /// Sends `question` to an endpoint and reads its answer, however long it beats.
 pub(super) async fn exchange(
     http: &HttpClient,
-    connection: Connection,
+    connection: ConnectionKind,
     url: &str,
     request_id: &str,
     question: &impl Serialize,
     deadline: Instant,
-) -> Heard {
+) -> ExchangeResult {
     let Ok(body) = rmp_serde::to_vec_named(question) else {
-        return Heard::NotSent;
+        return ExchangeResult::NotSent;
     };
     let request = match connection {
-        Connection::Pooled => http.request(Method::POST, url),
-        Connection::Fresh => http.fresh_request(Method::POST, url),
+        ConnectionKind::Pooled => http.request(Method::POST, url),
+        ConnectionKind::Fresh => http.fresh_request(Method::POST, url),
     };
     let wait_ms = left_ms(deadline).min(SILENCE_MS);
     let mut answer = match HttpClient::open(request, body, wait_ms).await {
         Ok(answer) if answer.status().is_success() => answer,
-        Ok(_) => return Heard::Lost("status"),
-        Err(LinkError::NotSent(_)) => return Heard::NotSent,
-        Err(LinkError::Timeout { wait_ms }) if wait_ms < SILENCE_MS => return Heard::StillRunning,
-        Err(LinkError::Timeout { .. }) => return Heard::Lost("silent"),
-        Err(_) => return Heard::Lost("broken"),
+        Ok(_) => return ExchangeResult::Lost("status"),
+        Err(LinkError::NotSent(_)) => return ExchangeResult::NotSent,
+        Err(LinkError::Timeout { wait_ms }) if wait_ms < SILENCE_MS => {
+            return ExchangeResult::StillRunning;
+        }
+        Err(LinkError::Timeout { .. }) => return ExchangeResult::Lost("silent"),
+        Err(_) => return ExchangeResult::Lost("broken"),
     };
     let mut whole = BytesMut::new();
     loop {
         let wait_ms = left_ms(deadline).min(SILENCE_MS);
         match timeout(Duration::from_millis(wait_ms), answer.next()).await {
             Ok(Some(Ok(chunk))) => whole.extend_from_slice(&chunk),
-            Ok(Some(Err(_))) => return Heard::Lost("broken"),
+            Ok(Some(Err(_))) => return ExchangeResult::Lost("broken"),
             Ok(None) => return decode(&whole, request_id),
-            Err(_) if wait_ms < SILENCE_MS => return Heard::StillRunning,
-            Err(_) => return Heard::Lost("silent"),
+            Err(_) if wait_ms < SILENCE_MS => return ExchangeResult::StillRunning,
+            Err(_) => return ExchangeResult::Lost("silent"),
         }
         if whole.len() > MAX_ANSWER_BYTES {
-            return Heard::Lost("too_large");
+            return ExchangeResult::Lost("too_large");
         }
     }
 }
@@ -88,14 +90,14 @@
 }
 
 /// Takes an answer only if it is whole and belongs to the request.
-fn decode(whole: &[u8], request_id: &str) -> Heard {
+fn decode(whole: &[u8], request_id: &str) -> ExchangeResult {
     let beats = whole
         .iter()
         .take_while(|byte| **byte == HEARTBEAT_BYTE)
         .count();
     match rmp_serde::from_slice::<ServiceReply>(&whole[beats..]) {
-        Ok(reply) if reply.request_id == request_id => Heard::Told(reply.told),
-        Ok(_) => Heard::Lost("crossed"),
-        Err(_) => Heard::Lost("malformed"),
+        Ok(reply) if reply.request_id == request_id => ExchangeResult::Report(reply.told),
+        Ok(_) => ExchangeResult::Lost("crossed"),
+        Err(_) => ExchangeResult::Lost("malformed"),
     }
 }
--- a/src/entry/generate.rs
+++ b/src/entry/generate.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 use super::generate_event::GenerateEvent;
-use super::generate_relay::Relay;
+use super::generate_relay::GenerateRelay;
 use crate::calls::GenerateCall;
 use crate::calls::Nonce;
 use crate::entry::ApiError;
@@ -49,7 +49,7 @@
 ) -> Result<HttpResponse, ApiError> {
     if !state.node.is_ready() {
         let message = "the entry has not confirmed its configuration";
-        return Err(ApiError::later(
+        return Err(ApiError::retryable(
             ErrorCode::NotReady,
             message,
             NOT_READY_RETRY_MS,
@@ -88,11 +88,11 @@
         deadline_ms: body.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS),
         is_suspect: false,
     };
-    answer(Relay::new(state.into_inner(), call)).await
+    answer(GenerateRelay::new(state.into_inner(), call)).await
 }
 
 /// Waits for the first event, so that a refusal gets its own status, then streams.
-async fn answer(mut relay: Relay) -> Result<HttpResponse, ApiError> {
+async fn answer(mut relay: GenerateRelay) -> Result<HttpResponse, ApiError> {
     let Some(first) = relay.next().await else {
         let message = "the stream was empty";
         return Err(ApiError::new(ErrorCode::Internal, message));
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -10,7 +10,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::LocalBoxStream;
 
-use super::generate_routing::Choice;
+use super::generate_routing::RouteChoice;
 use crate::calls::AttemptOutcome;
 use crate::calls::FrameBuffer;
 use crate::calls::GenerateCall;
@@ -96,7 +96,7 @@
 
 impl Attempt {
     /// An attempt that the router has counted as started.
-    pub(super) fn new(state: Arc<EntryState>, choice: &Choice) -> Self {
+    pub(super) fn new(state: Arc<EntryState>, choice: &RouteChoice) -> Self {
         Self {
             state,
             key: choice.key,
--- a/src/entry/generate_event.rs
+++ b/src/entry/generate_event.rs
@@ -30,7 +30,7 @@
 impl GenerateEvent {
     pub(super) fn error(request_id: &str, error: &ApiError) -> Self {
         let retry_after_ms = match error {
-            ApiError::Later { retry_after_ms, .. } => Some(*retry_after_ms),
+            ApiError::Retryable { retry_after_ms, .. } => Some(*retry_after_ms),
             ApiError::Plain { .. } | ApiError::Detailed { .. } => None,
         };
         Self::Error {
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -4,7 +4,7 @@
 use super::generate_attempt::Attempt;
 use super::generate_attempt::RetryReason;
 use super::generate_event::GenerateEvent;
-use super::generate_routing::Choice;
+use super::generate_routing::RouteChoice;
 use crate::calls::AttemptOutcome;
 use crate::calls::CrashId;
 use crate::calls::GenerateCall;
@@ -32,16 +32,16 @@
 const NO_REPLICA_RETRY_MS: u64 = 1000;
 
 /// What one frame leads to.
-enum Step {
-    Again,
+enum RelayStep {
+    Continue,
     Emit(GenerateEvent),
     Retry(RetryReason),
-    Last(GenerateEvent),
+    Finish(GenerateEvent),
     Fail(ApiError),
 }
 
 /// One request of a caller: attempts at endpoints, joined to one answer.
-pub(super) struct Relay {
+pub(super) struct GenerateRelay {
     state: Arc<EntryState>,
     call: GenerateCall,
     deadline_at_ms: u64,
@@ -58,7 +58,7 @@
     has_ended: bool,
 }
 
-impl Relay {
+impl GenerateRelay {
     pub(super) fn new(state: Arc<EntryState>, call: GenerateCall) -> Self {
         state.routing.retries().count_request(&call.branch);
         Self {
@@ -85,17 +85,17 @@
         }
         loop {
             match self.step().await {
-                Step::Again => {}
-                Step::Emit(event) => return Some(Ok(event)),
-                Step::Last(event) => {
+                RelayStep::Continue => {}
+                RelayStep::Emit(event) => return Some(Ok(event)),
+                RelayStep::Finish(event) => {
                     self.has_ended = true;
                     let metrics = self.state.node.metrics();
                     metrics.add(Tally::Requests, 1, "outcome", "done");
                     self.attempt = None;
                     return Some(Ok(event));
                 }
-                Step::Fail(error) => return Some(Err(self.fail(error))),
-                Step::Retry(reason) => {
+                RelayStep::Fail(error) => return Some(Err(self.fail(error))),
+                RelayStep::Retry(reason) => {
                     if let Err(error) = self.allow_retry(reason) {
                         return Some(Err(self.fail(error)));
                     }
@@ -120,10 +120,10 @@
         error
     }
 
-    async fn step(&mut self) -> Step {
+    async fn step(&mut self) -> RelayStep {
         let left_ms = self.left_ms();
         if left_ms == 0 {
-            return Step::Fail(deadline_passed());
+            return RelayStep::Fail(deadline_passed());
         }
         let wait_ms = left_ms.min(self.state.settings.silence_ms);
         let wait = Duration::from_millis(wait_ms);
@@ -133,18 +133,18 @@
         match attempt.next(wait).await {
             Ok(frame) => self.take(frame),
             // Silence until the deadline is the end of the request, not of the endpoint.
-            Err(RetryReason::Silent) if wait_ms == left_ms => Step::Fail(deadline_passed()),
-            Err(reason) => Step::Retry(reason),
+            Err(RetryReason::Silent) if wait_ms == left_ms => RelayStep::Fail(deadline_passed()),
+            Err(reason) => RelayStep::Retry(reason),
         }
     }
 
     /// Sends the call to an endpoint that has not been tried.
-    async fn open(&mut self, left_ms: u64, wait: Duration) -> Step {
+    async fn open(&mut self, left_ms: u64, wait: Duration) -> RelayStep {
         match self.standing() {
             SuspectStatus::Clear => {}
             SuspectStatus::Suspect => self.call.is_suspect = true,
             SuspectStatus::Refused => {
-                return Step::Fail(refusal_error(RefusalReason::CrashSuspect, None));
+                return RelayStep::Fail(refusal_error(RefusalReason::CrashSuspect, None));
             }
         }
         let mut chosen = self.choose();
@@ -154,7 +154,7 @@
             chosen = self.choose();
         }
         let Some(choice) = chosen else {
-            return Step::Fail(self.no_replica());
+            return RelayStep::Fail(self.no_replica());
         };
         self.tried.push(choice.key);
         self.attempts += 1;
@@ -167,12 +167,12 @@
             .await;
         self.attempt = Some(attempt);
         match sent {
-            Ok(()) => Step::Again,
-            Err(reason) => Step::Retry(reason),
+            Ok(()) => RelayStep::Continue,
+            Err(reason) => RelayStep::Retry(reason),
         }
     }
 
-    fn choose(&self) -> Option<Choice> {
+    fn choose(&self) -> Option<RouteChoice> {
         let node = &self.state.node;
         let routing = &self.state.routing;
         routing.choose(node, &self.call, self.pinned, &self.tried)
@@ -216,25 +216,25 @@
         routing.has_room(node, &self.call, self.pinned, &self.tried)
     }
 
-    fn take(&mut self, frame: GenerateFrame) -> Step {
+    fn take(&mut self, frame: GenerateFrame) -> RelayStep {
         let attempt = self.attempt.as_mut().expect("frames come from an attempt");
         match frame {
             GenerateFrame::Started { load } => {
                 attempt.saw_load(load);
                 // One change of replica is enough; the second answer may take its time.
                 attempt.saw_start(self.attempts > 1);
-                Step::Again
+                RelayStep::Continue
             }
             GenerateFrame::Token { index, text } if index == self.next_index => {
                 attempt.saw_token();
                 self.next_index += 1;
                 self.pinned = Some(self.call.manifest);
-                Step::Emit(GenerateEvent::Token { index, text })
+                RelayStep::Emit(GenerateEvent::Token { index, text })
             }
-            GenerateFrame::Token { .. } => Step::Retry(RetryReason::WrongAnswer),
+            GenerateFrame::Token { .. } => RelayStep::Retry(RetryReason::WrongAnswer),
             GenerateFrame::Beat { load } => {
                 attempt.saw_load(load);
-                Step::Emit(GenerateEvent::Beat)
+                RelayStep::Emit(GenerateEvent::Beat)
             }
             GenerateFrame::End {
                 request_id,
@@ -248,14 +248,14 @@
                     && manifest == self.call.manifest
                     && tokens == self.next_index;
                 if !is_ours {
-                    return Step::Retry(RetryReason::WrongAnswer);
+                    return RelayStep::Retry(RetryReason::WrongAnswer);
                 }
                 attempt.ending = AttemptOutcome::Complete;
                 if self.call.is_suspect {
                     let request = self.call.fingerprint();
                     self.state.node.suspects().clear_request(request);
                 }
-                Step::Last(GenerateEvent::End {
+                RelayStep::Finish(GenerateEvent::End {
                     request_id,
                     tokens,
                     manifest,
@@ -273,31 +273,33 @@
             GenerateFrame::Failed { fault, load } => {
                 attempt.saw_load(load);
                 match fault {
-                    StreamFault::DeadlinePassed => Step::Fail(deadline_passed()),
+                    StreamFault::DeadlinePassed => RelayStep::Fail(deadline_passed()),
                     StreamFault::EngineCrashed { crash_no } => {
                         self.note_crash(crash_no);
-                        Step::Retry(RetryReason::EngineCrashed)
+                        RelayStep::Retry(RetryReason::EngineCrashed)
                     }
-                    StreamFault::EngineFailed => Step::Retry(RetryReason::EngineFailed),
-                    StreamFault::NotLoaded => Step::Retry(RetryReason::NotLoaded),
-                    StreamFault::WrongAnswer => Step::Retry(RetryReason::WrongAnswer),
+                    StreamFault::EngineFailed => RelayStep::Retry(RetryReason::EngineFailed),
+                    StreamFault::NotLoaded => RelayStep::Retry(RetryReason::NotLoaded),
+                    StreamFault::WrongAnswer => RelayStep::Retry(RetryReason::WrongAnswer),
                 }
             }
         }
     }
 
-    fn refused(&mut self, reason: RefusalReason, retry_after_ms: Option<u64>) -> Step {
+    fn refused(&mut self, reason: RefusalReason, retry_after_ms: Option<u64>) -> RelayStep {
         let error = refusal_error(reason, retry_after_ms);
         match reason {
-            RefusalReason::Leaving | RefusalReason::NotReady => Step::Retry(RetryReason::Leaving),
+            RefusalReason::Leaving | RefusalReason::NotReady => {
+                RelayStep::Retry(RetryReason::Leaving)
+            }
             RefusalReason::Overloaded | RefusalReason::OverShare
                 if self.refusals < MAX_REFUSALS && self.has_room() =>
             {
                 self.refusals += 1;
                 self.refusal = Some(error);
-                Step::Retry(RetryReason::Refused)
+                RelayStep::Retry(RetryReason::Refused)
             }
-            _ => Step::Fail(error),
+            _ => RelayStep::Fail(error),
         }
     }
 
@@ -343,10 +345,10 @@
                 "the answer broke off ({}) after a part of it",
                 reason.name()
             );
-            return ApiError::later(ErrorCode::StreamBroken, message, NO_REPLICA_RETRY_MS);
+            return ApiError::retryable(ErrorCode::StreamBroken, message, NO_REPLICA_RETRY_MS);
         }
         let message = format!("the last try failed ({})", reason.name());
-        ApiError::later(ErrorCode::RetryBudgetSpent, message, NO_REPLICA_RETRY_MS)
+        ApiError::retryable(ErrorCode::RetryBudgetSpent, message, NO_REPLICA_RETRY_MS)
     }
 
     fn no_replica(&mut self) -> ApiError {
@@ -354,7 +356,7 @@
             return refusal;
         }
         let message = format!("no live endpoint serves model {:?}", self.call.model);
-        ApiError::later(ErrorCode::NoReplica, message, NO_REPLICA_RETRY_MS)
+        ApiError::retryable(ErrorCode::NoReplica, message, NO_REPLICA_RETRY_MS)
     }
 
     fn left_ms(&self) -> u64 {
@@ -378,7 +380,7 @@
         _ => ErrorCode::NotRun,
     };
     match retry_after_ms {
-        Some(retry_after_ms) => ApiError::later(code, reason.meaning(), retry_after_ms),
+        Some(retry_after_ms) => ApiError::retryable(code, reason.meaning(), retry_after_ms),
         None => ApiError::new(code, reason.meaning()),
     }
 }
--- a/src/entry/generate_routing.rs
+++ b/src/entry/generate_routing.rs
@@ -25,13 +25,13 @@
 
 /// Routing state of an entry.
 #[derive(Debug)]
-pub struct Routing {
+pub struct GenerateRouting {
     router: Mutex<Router>,
     retries: Mutex<RetryBudget>,
     first_tokens: Mutex<FirstTokenTimes>,
 }
 
-impl Routing {
+impl GenerateRouting {
     /// Fresh state of the entry called `name`.
     pub fn new(name: &str, retry_budget_percent: u64) -> Self {
         let ratio_permille = (retry_budget_percent * 10) as u32;
@@ -71,7 +71,7 @@
         call: &GenerateCall,
         pinned: Option<Digest>,
         tried: &[HostKey],
-    ) -> Option<Choice> {
+    ) -> Option<RouteChoice> {
         let now_ms = node.now_ms();
         let roster = node.roster();
         let candidates = candidates(&roster, call, pinned, now_ms);
@@ -88,7 +88,7 @@
         let host = roster.host(key)?;
         let manifest = served_manifest(host, call, pinned)?;
         router.record_start(key, now_ms);
-        Some(Choice {
+        Some(RouteChoice {
             key,
             address: host.address,
             manifest,
@@ -135,7 +135,7 @@
 
 /// Where a request goes.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Choice {
+pub(super) struct RouteChoice {
     pub(super) key: HostKey,
     pub(super) address: SocketAddr,
     /// Version that is to answer.
--- a/src/entry/call_repeatable.rs
+++ b/src/entry/idempotent_call.rs
@@ -10,9 +10,9 @@
 use crate::calls::ServiceCall;
 use crate::calls::UnknownReason;
 use crate::entry::EntryState;
-use crate::entry::call_link::Connection;
-use crate::entry::call_link::Heard;
-use crate::entry::call_link::exchange;
+use crate::entry::call_exchange::ConnectionKind;
+use crate::entry::call_exchange::ExchangeResult;
+use crate::entry::call_exchange::exchange;
 use crate::hosts::HostKey;
 use crate::hosts::HostRole;
 use crate::observe::Event;
@@ -22,7 +22,7 @@
 const MAX_TRIES: usize = 3;
 
 /// Sends an idempotent call, again elsewhere if its answer is lost.
-pub(super) async fn call_repeatable(
+pub(super) async fn send_idempotent_call(
     state: &EntryState,
     call: ServiceCall,
     deadline: Instant,
@@ -41,8 +41,8 @@
         }
         // A pooled connection may have gone silent; a retry takes a new one.
         let connection = match tried {
-            0 => Connection::Pooled,
-            _ => Connection::Fresh,
+            0 => ConnectionKind::Pooled,
+            _ => ConnectionKind::Fresh,
         };
         last = send(state, &call, key, address, connection, deadline).await;
         if !is_worth_retry(&last) {
@@ -99,7 +99,7 @@
     call: &ServiceCall,
     key: HostKey,
     address: SocketAddr,
-    connection: Connection,
+    connection: ConnectionKind,
     deadline: Instant,
 ) -> CallOutcome {
     let left = deadline.saturating_duration_since(Instant::now());
@@ -113,11 +113,11 @@
     let request_id = attempt.request_id.as_str();
     let heard = exchange(http, connection, &url, request_id, &attempt, deadline).await;
     let outcome = match heard {
-        Heard::Told(CallReport::Ended(outcome)) => outcome,
-        Heard::Told(CallReport::NotHere(reason)) => CallOutcome::unknown(reason),
-        Heard::StillRunning => CallOutcome::unknown(UnknownReason::StillRunning),
-        Heard::NotSent => CallOutcome::not_run(RefusalReason::Unreachable),
-        Heard::Lost(cause) => {
+        ExchangeResult::Report(CallReport::Ended(outcome)) => outcome,
+        ExchangeResult::Report(CallReport::NotHere(reason)) => CallOutcome::unknown(reason),
+        ExchangeResult::StillRunning => CallOutcome::unknown(UnknownReason::StillRunning),
+        ExchangeResult::NotSent => CallOutcome::not_run(RefusalReason::Unreachable),
+        ExchangeResult::Lost(cause) => {
             emit(Event::ConnectionSilent, &[("cause", &cause)]);
             CallOutcome::unknown(UnknownReason::EndpointLost)
         }
--- a/src/entry/call_once.rs
+++ b/src/entry/non_idempotent_call.rs
@@ -14,13 +14,13 @@
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
 use crate::entry::EntryState;
-use crate::entry::call_link::Connection;
-use crate::entry::call_link::Heard;
-use crate::entry::call_link::exchange;
+use crate::entry::call_exchange::ConnectionKind;
+use crate::entry::call_exchange::ExchangeResult;
+use crate::entry::call_exchange::exchange;
 use crate::node::Reporter;
 
 /// One send of a call that may not be repeated.
-pub(super) struct CallOnce<'a> {
+pub(super) struct NonIdempotentCall<'a> {
     pub(super) state: &'a EntryState,
     pub(super) call: ServiceCall,
     pub(super) permit: Permit,
@@ -28,7 +28,7 @@
     pub(super) deadline: Instant,
 }
 
-impl CallOnce<'_> {
+impl NonIdempotentCall<'_> {
     /// Dispatches the call and tells what became of it.
     pub(super) async fn outcome(self) -> CallOutcome {
         if let Some(reason) = self.refusal() {
@@ -44,17 +44,21 @@
         }
         let heard = self.send("call", &self.call.request_id, &self.call).await;
         match heard {
-            Heard::Told(CallReport::Ended(outcome)) => self.conclude(SendResult::Ended(outcome)),
-            Heard::Told(CallReport::NotHere(reason)) => {
+            ExchangeResult::Report(CallReport::Ended(outcome)) => {
+                self.conclude(SendResult::Ended(outcome))
+            }
+            ExchangeResult::Report(CallReport::NotHere(reason)) => {
                 self.conclude(SendResult::DispatchUnknown(reason))
             }
-            Heard::StillRunning => self.conclude(SendResult::Lost(UnknownReason::StillRunning)),
-            Heard::NotSent => {
+            ExchangeResult::StillRunning => {
+                self.conclude(SendResult::Lost(UnknownReason::StillRunning))
+            }
+            ExchangeResult::NotSent => {
                 self.state.calls.ledger().undo_dispatch(self.permit.nonce);
                 self.endpoint_failed();
                 self.refuse(RefusalReason::Unreachable).await
             }
-            Heard::Lost(cause) => {
+            ExchangeResult::Lost(cause) => {
                 self.state.node.metrics().retried(cause);
                 let reply = self.ask(RefusalReason::Withdrawn).await;
                 if reply == SendResult::Lost(UnknownReason::EndpointGone) {
@@ -101,20 +105,25 @@
         };
         let heard = self.send("nonce", &question.request_id, &question).await;
         match heard {
-            Heard::Told(CallReport::Ended(outcome)) => SendResult::Ended(outcome),
-            Heard::Told(CallReport::NotHere(reason)) => SendResult::QueryUnknown(reason),
-            Heard::StillRunning => SendResult::Lost(UnknownReason::StillRunning),
-            Heard::NotSent => SendResult::Lost(UnknownReason::EndpointGone),
-            Heard::Lost(_) => SendResult::Lost(UnknownReason::EndpointLost),
+            ExchangeResult::Report(CallReport::Ended(outcome)) => SendResult::Ended(outcome),
+            ExchangeResult::Report(CallReport::NotHere(reason)) => SendResult::QueryUnknown(reason),
+            ExchangeResult::StillRunning => SendResult::Lost(UnknownReason::StillRunning),
+            ExchangeResult::NotSent => SendResult::Lost(UnknownReason::EndpointGone),
+            ExchangeResult::Lost(_) => SendResult::Lost(UnknownReason::EndpointLost),
         }
     }
 
-    async fn send(&self, route: &str, request_id: &str, question: &impl serde::Serialize) -> Heard {
+    async fn send(
+        &self,
+        route: &str,
+        request_id: &str,
+        question: &impl serde::Serialize,
+    ) -> ExchangeResult {
         let url = format!("http://{}/x/{route}", self.permit.address);
         let http = self.state.node.http();
         exchange(
             http,
-            Connection::Fresh,
+            ConnectionKind::Fresh,
             &url,
             request_id,
             question,
--- a/src/entry/call_book.rs
+++ b/src/entry/service_call_state.rs
@@ -15,12 +15,12 @@
 
 /// What an entry remembers of the calls of plain services.
 #[derive(Debug)]
-pub struct CallBook {
+pub struct ServiceCallState {
     ledger: Mutex<DispatchLedger>,
     retries: Mutex<RetryBudget>,
 }
 
-impl CallBook {
+impl ServiceCallState {
     /// Nothing remembered yet.
     pub fn new() -> Self {
         Self {
@@ -42,7 +42,7 @@
     }
 }
 
-impl Default for CallBook {
+impl Default for ServiceCallState {
     fn default() -> Self {
         Self::new()
     }
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -3,8 +3,8 @@
 use crate::calls::PermitKey;
 use crate::clients::LogClient;
 use crate::conf::EntrySettings;
-use crate::entry::Routing;
-use crate::entry::call_book::CallBook;
+use crate::entry::GenerateRouting;
+use crate::entry::service_call_state::ServiceCallState;
 use crate::node::Node;
 
 /// State shared by the handlers of an entry.
@@ -17,11 +17,11 @@
     /// The stream of the log that carries the configuration.
     pub log: LogClient,
     /// What it remembers of the calls of plain services.
-    pub calls: CallBook,
+    pub calls: ServiceCallState,
     /// Seals permits.
     pub permit_key: PermitKey,
     /// Load and pace of the endpoints, and retries left.
-    pub routing: Routing,
+    pub routing: GenerateRouting,
 }
 
 impl EntryState {
@@ -36,12 +36,12 @@
         let log = LogClient::new(&settings.platform.log_url, &settings.platform.config_stream)
             .with_cuts(Arc::clone(node.cuts()));
         let permit_key = PermitKey::derive(&settings.cluster.shared_key);
-        let routing = Routing::new(&settings.process.name, settings.retry_budget_percent);
+        let routing = GenerateRouting::new(&settings.process.name, settings.retry_budget_percent);
         Self {
             settings,
             node,
             log,
-            calls: CallBook::new(),
+            calls: ServiceCallState::new(),
             permit_key,
             routing,
         }
--- a/src/entry/tailer.rs
+++ b/src/entry/tailer.rs
@@ -50,12 +50,12 @@
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
                 pause_ms = match step(&state).await {
-                    Step::Read => RETRY_PAUSE_MS,
-                    Step::Idle => {
+                    ReadStep::Read => RETRY_PAUSE_MS,
+                    ReadStep::Idle => {
                         sleep(Duration::from_millis(IDLE_MS)).await;
                         RETRY_PAUSE_MS
                     }
-                    Step::Failed => {
+                    ReadStep::Failed => {
                         let jitter_ms = rand::rng().random_range(0..=pause_ms);
                         sleep(Duration::from_millis(pause_ms + jitter_ms)).await;
                         (pause_ms * 2).min(MAX_RETRY_PAUSE_MS)
@@ -68,13 +68,13 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum ReadStep {
     Read,
     Idle,
     Failed,
 }
 
-async fn step(state: &EntryState) -> Step {
+async fn step(state: &EntryState) -> ReadStep {
     let duty = log_duty(state);
     let node = &state.node;
     let now_ms = node.now_ms();
@@ -84,7 +84,7 @@
         (follower.admits(now_ms), age_ms)
     };
     if admits && !duty.reads(unconfirmed_ms) {
-        return Step::Idle;
+        return ReadStep::Idle;
     }
     let before = node.follower().read_from();
     let wait_ms = if admits {
@@ -93,13 +93,13 @@
         0
     };
     if !read_log(state, wait_ms).await {
-        return Step::Failed;
+        return ReadStep::Failed;
     }
     publish_checkpoint(state, duty).await;
     // A read that brought nothing without a wait must not be repeated at once.
     let at_once = node.now_ms() - now_ms < IDLE_MS;
     if at_once && node.follower().read_from() == before {
-        return Step::Idle;
+        return ReadStep::Idle;
     }
-    Step::Read
+    ReadStep::Read
 }
--- a/tests/api_errors/main.rs
+++ b/tests/api_errors/main.rs
@@ -30,9 +30,9 @@
 }
 
 #[actix_rt::test]
-async fn error_later() {
+async fn error_retryable() {
     for (retry_after_ms, seconds) in [(0, "0"), (1, "1"), (1000, "1"), (1001, "2")] {
-        let error = ApiError::later(ErrorCode::Overloaded, "full", retry_after_ms);
+        let error = ApiError::retryable(ErrorCode::Overloaded, "full", retry_after_ms);
         let response = error.error_response();
         assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
         let header = response.headers().get("retry-after");
