--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -204,7 +204,7 @@
     match process.role {
         HostRole::Entry => {
             let settings = EntrySettings::new(process, platform, cluster);
-            Ok(Arc::clone(entry::start(settings).await?.node()))
+            Ok(Arc::clone(entry::start_entry(settings).await?.node()))
         }
         HostRole::Endpoint => {
             let backend = BackendSettings::Service {
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -35,7 +35,7 @@
 use crate::endpoint::GenerateServer;
 use crate::endpoint::SLOTS_PER_RESERVED;
 use crate::entry::EntryState;
-use crate::entry::generate_route;
+use crate::entry::post_generate;
 use crate::hosts::HostRole;
 use crate::hosts::Load;
 use crate::hosts::Progress;
@@ -253,7 +253,7 @@
         let handle = serve(address, &options, move |app| {
             add_thread(&threads);
             app.app_data(shared.clone())
-                .route("/v1/generate", web::post().to(generate_route));
+                .route("/v1/generate", web::post().to(post_generate));
         })?;
         self.states.push(state);
         self.handles.push(handle);
--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -149,7 +149,7 @@
             token_digest: Digest::of_bytes(TEAM_TOKEN.as_bytes()),
             sections: vec!["*".to_owned()],
         });
-        let machine = Machine::start(move || entry::start(settings))?;
+        let machine = Machine::start(move || entry::start_entry(settings))?;
         self.entries.push(machine);
         Ok(())
     }
--- a/src/cli/entry.rs
+++ b/src/cli/entry.rs
@@ -37,7 +37,7 @@
 pub fn run(args: EntryArgs) -> Result<(), CliError> {
     let settings = args.load()?;
     run_process(async move {
-        let handle = entry::start(settings).await?;
+        let handle = entry::start_entry(settings).await?;
         Ok(move || async move { handle.stop().await })
     })
 }
--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -58,27 +58,27 @@
 }
 
 /// Answers which entries to use, for how long, and permits for a service.
-pub async fn addresses(
+pub async fn get_addresses(
     state: web::Data<EntryState>,
     request: HttpRequest,
     query: web::Query<AddressesQuery>,
 ) -> Result<HttpResponse, ApiError> {
     let document = state.node.document();
-    let branch = auth::branch(&document, &query.branch, &request)?;
+    let branch = auth::authenticate_branch(&document, &query.branch, &request)?;
     let wanted = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
     let permits = match &query.service {
-        Some(service) => call_permits::issue(&state, &branch.name, service, wanted),
+        Some(service) => call_permits::issue_permits(&state, &branch.name, service, wanted),
         None => Vec::new(),
     };
     Ok(HttpResponse::Ok().json(AddressesAnswer {
-        entries: entries(&state, query.region.as_deref()),
+        entries: live_entries(&state, query.region.as_deref()),
         lifetime_ms: state.settings.address_lifetime_ms,
         permits,
     }))
 }
 
 /// Live entries, spread over the failure domains, those of region `near` first.
-fn entries(state: &EntryState, near: Option<&str>) -> Vec<EntryAddress> {
+fn live_entries(state: &EntryState, near: Option<&str>) -> Vec<EntryAddress> {
     let node = &state.node;
     let now_ms = node.now_ms();
     let mut entries: Vec<EntryAddress> = node
--- a/src/entry/admin/diff.rs
+++ b/src/entry/admin/diff.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 
 use super::answers::DiffAnswer;
-use super::team::team;
+use super::team::authenticate_team;
 use crate::document::Edit;
 use crate::document::KeyChange;
 use crate::document::check_edit;
@@ -12,7 +12,7 @@
 use crate::entry::EntryState;
 
 /// Stands for the edit's id, which a comparison does not have.
-const DIFF_ID: &str = "diff";
+const DIFF_EDIT_ID: &str = "diff";
 
 /// A body to compare with the section.
 #[derive(Debug, Deserialize)]
@@ -22,20 +22,20 @@
 }
 
 /// Compares a body with the section in force and checks it, without an edit.
-pub async fn diff(
+pub async fn diff_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
     name: web::Path<String>,
     body: web::Json<DiffBody>,
 ) -> Result<HttpResponse, ApiError> {
-    let team = team(&state, &request)?;
+    let team = authenticate_team(&state, &request)?;
     let document = state.node.document();
     let name = name.into_inner();
     let current = document.section(&name);
     let before = current.map_or("", |section| section.body.as_str());
     let changes = KeyChange::between(before, &body.body).unwrap_or_default();
     let edit = Edit {
-        edit_id: DIFF_ID.to_owned(),
+        edit_id: DIFF_EDIT_ID.to_owned(),
         team: team.name.clone(),
         base_revision: document.revision(&name),
         section: name,
--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -10,7 +10,7 @@
 use super::answers::ConflictDetails;
 use super::answers::DeleteBody;
 use super::answers::PutBody;
-use super::team::writing_team;
+use super::team::authorize_team;
 use crate::document::Edit;
 use crate::document::EditOutcome;
 use crate::document::LogRecord;
@@ -26,28 +26,28 @@
 use crate::observe::emit;
 
 /// Longest time an edit waits for its outcome.
-const DECIDE_WAIT_MS: u64 = 12_000;
+const MAX_OUTCOME_WAIT_MS: u64 = 12_000;
 
 /// Time the fold has to show an append whose reply was lost, before it is repeated.
 const LOST_REPLY_WAIT_MS: u64 = 1_500;
 
 /// Pause between two looks at the fold.
-const POLL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// When to come back after the log did not answer.
 const RETRY_AFTER_MS: u64 = 2_000;
 
 /// HTTP status of a log that is down.
-const UNAVAILABLE: u16 = 503;
+const SERVICE_UNAVAILABLE_STATUS: u16 = 503;
 
 /// Replaces or creates a section.
-pub async fn put(
+pub async fn put_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
     name: web::Path<String>,
     body: web::Json<PutBody>,
 ) -> Result<HttpResponse, ApiError> {
-    let team = writing_team(&state, &request, &name)?;
+    let team = authorize_team(&state, &request, &name)?;
     let body = body.into_inner();
     let edit = Edit {
         edit_id: body.edit_id,
@@ -56,19 +56,19 @@
         base_revision: body.base_revision,
         body: Some(body.body),
     };
-    answer(&state, edit)
+    submit_edit(&state, edit)
         .await
         .inspect_err(|error| state.node.metrics().refused(error.code().name()))
 }
 
 /// Deletes a section.
-pub async fn delete(
+pub async fn delete_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
     name: web::Path<String>,
     body: web::Json<DeleteBody>,
 ) -> Result<HttpResponse, ApiError> {
-    let team = writing_team(&state, &request, &name)?;
+    let team = authorize_team(&state, &request, &name)?;
     let body = body.into_inner();
     let edit = Edit {
         edit_id: body.edit_id,
@@ -77,18 +77,18 @@
         base_revision: body.base_revision,
         body: None,
     };
-    answer(&state, edit)
+    submit_edit(&state, edit)
         .await
         .inspect_err(|error| state.node.metrics().refused(error.code().name()))
 }
 
-async fn answer(state: &EntryState, edit: Edit) -> Result<HttpResponse, ApiError> {
+async fn submit_edit(state: &EntryState, edit: Edit) -> Result<HttpResponse, ApiError> {
     let outcome = match known_outcome(state, &edit)? {
         Some(outcome) => outcome,
         None => {
-            check(state, &edit)?;
-            let outcome = append_and_learn(state, &edit).await?;
-            audit(&edit, outcome);
+            check_before_append(state, &edit)?;
+            let outcome = append_until_decided(state, &edit).await?;
+            log_decision(&edit, outcome);
             outcome
         }
     };
@@ -98,7 +98,7 @@
             offset,
             revision,
         })),
-        EditOutcome::Conflict { offset, .. } => Err(conflict(state, &edit, Some(offset))),
+        EditOutcome::Conflict { offset, .. } => Err(conflict_error(state, &edit, Some(offset))),
     }
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// What can be refused without an append.
-fn check(state: &EntryState, edit: &Edit) -> Result<(), ApiError> {
+fn check_before_append(state: &EntryState, edit: &Edit) -> Result<(), ApiError> {
     if !state.node.is_ready() {
         let message = "the configuration of this entry is not confirmed; nothing was changed";
         return Err(ApiError::retryable(
@@ -128,31 +128,31 @@
     let document = state.node.document();
     // Revisions only grow, so no append could still be accepted.
     if document.revision(&edit.section) > edit.base_revision {
-        return Err(conflict(state, edit, None));
+        return Err(conflict_error(state, edit, None));
     }
-    check_edit(&document, edit).map_err(|faults| invalid(&faults))
+    check_edit(&document, edit).map_err(|faults| invalid_edit_error(&faults))
 }
 
 /// Appends the edit, again after a lost reply, until the fold shows its outcome.
-async fn append_and_learn(state: &EntryState, edit: &Edit) -> Result<EditOutcome, ApiError> {
+async fn append_until_decided(state: &EntryState, edit: &Edit) -> Result<EditOutcome, ApiError> {
     let node = &state.node;
-    let deadline_ms = node.now_ms() + DECIDE_WAIT_MS;
+    let deadline_ms = node.now_ms() + MAX_OUTCOME_WAIT_MS;
     let record = LogRecord::Edit(edit.clone()).encode();
-    let mut may_stand = false;
+    let mut may_be_appended = false;
     loop {
         node.metrics()
             .add(Tally::PlatformCalls, 1, "call", "log_append");
-        let learn_until_ms = match state.log.append(record.clone()).await {
+        let wait_until_ms = match state.log.append(record.clone()).await {
             Ok(_) => deadline_ms,
-            Err(error) if certainly_not_appended(&error) && !may_stand => {
+            Err(error) if is_known_not_appended(&error) && !may_be_appended => {
                 let message = format!("{error}; nothing was changed");
                 let code = ErrorCode::LogUnavailable;
                 return Err(ApiError::retryable(code, message, RETRY_AFTER_MS));
             }
             Err(_) => deadline_ms.min(node.now_ms() + LOST_REPLY_WAIT_MS),
         };
-        may_stand = true;
-        if let Some(outcome) = learn(state, &edit.edit_id, learn_until_ms).await {
+        may_be_appended = true;
+        if let Some(outcome) = wait_for_outcome(state, &edit.edit_id, wait_until_ms).await {
             return Ok(outcome);
         }
         if node.now_ms() >= deadline_ms {
@@ -165,28 +165,28 @@
 }
 
 /// Reads the log until the fold shows the edit.
-async fn learn(state: &EntryState, edit_id: &str, until_ms: u64) -> Option<EditOutcome> {
+async fn wait_for_outcome(state: &EntryState, edit_id: &str, until_ms: u64) -> Option<EditOutcome> {
     loop {
         let known = state.node.follower().fold().outcome(edit_id).copied();
         if known.is_some() || state.node.now_ms() >= until_ms {
             return known;
         }
         if !read_log(state, 0).await {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn certainly_not_appended(error: &LinkError) -> bool {
+fn is_known_not_appended(error: &LinkError) -> bool {
     match error {
         LinkError::NotSent(_) => true,
-        LinkError::Status { status, .. } => *status == UNAVAILABLE,
+        LinkError::Status { status, .. } => *status == SERVICE_UNAVAILABLE_STATUS,
         _ => false,
     }
 }
 
-fn conflict(state: &EntryState, edit: &Edit, offset: Option<u64>) -> ApiError {
+fn conflict_error(state: &EntryState, edit: &Edit, offset: Option<u64>) -> ApiError {
     let document = state.node.document();
     let winner = document.section(&edit.section).cloned();
     let by = match &winner {
@@ -203,13 +203,13 @@
     ApiError::detailed(ErrorCode::Conflict, message, json!(details))
 }
 
-fn invalid(faults: &[SectionFault]) -> ApiError {
+fn invalid_edit_error(faults: &[SectionFault]) -> ApiError {
     let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
     let message = texts.join("; ");
     ApiError::detailed(ErrorCode::InvalidEdit, message, json!({ "faults": faults }))
 }
 
-fn audit(edit: &Edit, outcome: EditOutcome) {
+fn log_decision(edit: &Edit, outcome: EditOutcome) {
     let decision = if outcome.is_accepted() {
         "accepted"
     } else {
--- a/src/entry/admin/in_force.rs
+++ b/src/entry/admin/in_force.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 use super::answers::InForceAnswer;
-use super::team::team;
+use super::team::authenticate_team;
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 use crate::hosts::Standing;
@@ -16,7 +16,7 @@
 const MAX_WAIT_MS: u64 = 60_000;
 
 /// Time between two looks.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What to wait for.
 #[derive(Debug, Deserialize)]
@@ -27,25 +27,25 @@
 }
 
 /// Waits until every known process has a revision in force, and tells which lack it.
-pub async fn wait(
+pub async fn wait_in_force(
     state: web::Data<EntryState>,
     request: HttpRequest,
     query: web::Query<WaitQuery>,
 ) -> Result<HttpResponse, ApiError> {
-    team(&state, &request)?;
+    authenticate_team(&state, &request)?;
     let node = &state.node;
     let deadline_ms = node.now_ms() + query.wait_ms.min(MAX_WAIT_MS);
     loop {
-        let answer = in_force(&state, query.revision);
+        let answer = count_in_force(&state, query.revision);
         if answer.lacking.is_empty() || node.now_ms() >= deadline_ms {
             return Ok(HttpResponse::Ok().json(answer));
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// A revision is in force on a process whose head is at least the revision.
-fn in_force(state: &EntryState, revision: u64) -> InForceAnswer {
+fn count_in_force(state: &EntryState, revision: u64) -> InForceAnswer {
     let node = &state.node;
     let now_ms = node.now_ms();
     let mut lacking = Vec::new();
--- a/src/entry/admin/mod.rs
+++ b/src/entry/admin/mod.rs
@@ -24,7 +24,7 @@
 pub use answers::PutBody;
 pub use answers::SectionAnswer;
 pub use answers::SectionHead;
-pub(super) use team::team;
+pub(super) use team::authenticate_team;
 
 /// Paths of the administration API.
 pub const PATHS: [&str; 5] = [
@@ -36,15 +36,24 @@
 ];
 
 /// Routes of the administration API.
-pub fn routes(app: &mut ServiceConfig) {
-    app.route("/v1/config", web::get().to(show::document))
-        .route("/v1/config/history", web::get().to(show::history))
-        .route("/v1/config/wait", web::get().to(in_force::wait))
-        .route("/v1/config/sections/{name}", web::get().to(show::section))
-        .route("/v1/config/sections/{name}", web::put().to(edit::put))
-        .route("/v1/config/sections/{name}", web::delete().to(edit::delete))
+pub fn add_routes(app: &mut ServiceConfig) {
+    app.route("/v1/config", web::get().to(show::get_document))
+        .route("/v1/config/history", web::get().to(show::get_history))
+        .route("/v1/config/wait", web::get().to(in_force::wait_in_force))
+        .route(
+            "/v1/config/sections/{name}",
+            web::get().to(show::get_section),
+        )
+        .route(
+            "/v1/config/sections/{name}",
+            web::put().to(edit::put_section),
+        )
+        .route(
+            "/v1/config/sections/{name}",
+            web::delete().to(edit::delete_section),
+        )
         .route(
             "/v1/config/sections/{name}/diff",
-            web::post().to(diff::diff),
+            web::post().to(diff::diff_section),
         );
 }
--- a/src/entry/admin/show.rs
+++ b/src/entry/admin/show.rs
@@ -7,7 +7,7 @@
 use super::answers::HistoryAnswer;
 use super::answers::SectionAnswer;
 use super::answers::SectionHead;
-use super::team::team;
+use super::team::authenticate_team;
 use crate::document::EditEntry;
 use crate::document::inert_parts;
 use crate::entry::ApiError;
@@ -17,11 +17,11 @@
 const DEFAULT_HISTORY: usize = 50;
 
 /// Shows the whole document.
-pub async fn document(
+pub async fn get_document(
     state: web::Data<EntryState>,
     request: HttpRequest,
 ) -> Result<HttpResponse, ApiError> {
-    team(&state, &request)?;
+    authenticate_team(&state, &request)?;
     let node = &state.node;
     let admission = node.admission().name().to_owned();
     let follower = node.follower();
@@ -45,12 +45,12 @@
 }
 
 /// Shows one section and the revision to edit it from.
-pub async fn section(
+pub async fn get_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
     name: web::Path<String>,
 ) -> Result<HttpResponse, ApiError> {
-    team(&state, &request)?;
+    authenticate_team(&state, &request)?;
     let follower = state.node.follower();
     let document = follower.fold().document();
     Ok(HttpResponse::Ok().json(SectionAnswer {
@@ -68,12 +68,12 @@
 }
 
 /// Shows decided edits, the latest first.
-pub async fn history(
+pub async fn get_history(
     state: web::Data<EntryState>,
     request: HttpRequest,
     query: web::Query<HistoryQuery>,
 ) -> Result<HttpResponse, ApiError> {
-    team(&state, &request)?;
+    authenticate_team(&state, &request)?;
     let follower = state.node.follower();
     let wanted = |entry: &&EditEntry| {
         let section = query.section.as_ref();
--- a/src/entry/admin/team.rs
+++ b/src/entry/admin/team.rs
@@ -11,7 +11,7 @@
 /// # Errors
 ///
 /// A typed error when there is no token or no team has it.
-pub fn team<'a>(
+pub fn authenticate_team<'a>(
     state: &'a EntryState,
     request: &HttpRequest,
 ) -> Result<&'a TeamSettings, ApiError> {
@@ -27,12 +27,12 @@
 /// # Errors
 ///
 /// [`ErrorCode::Forbidden`] when it may not.
-pub fn writing_team<'a>(
+pub fn authorize_team<'a>(
     state: &'a EntryState,
     request: &HttpRequest,
     name: &str,
 ) -> Result<&'a TeamSettings, ApiError> {
-    let team = team(state, request)?;
+    let team = authenticate_team(state, request)?;
     if team.may_write(name) {
         return Ok(team);
     }
--- a/src/entry/auth.rs
+++ b/src/entry/auth.rs
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// A typed error when the branch does not exist or the token is not its own.
-pub fn branch(
+pub fn authenticate_branch(
     document: &Document,
     name: &str,
     request: &HttpRequest,
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -20,7 +20,7 @@
 use crate::entry::EntryState;
 use crate::entry::ErrorCode;
 use crate::entry::auth;
-use crate::entry::call_answer::respond;
+use crate::entry::call_answer::call_response;
 use crate::entry::call_permits;
 use crate::entry::idempotent_call::send_idempotent_call;
 use crate::entry::non_idempotent_call::NonIdempotentCall;
@@ -54,16 +54,16 @@
 }
 
 /// Sends a call to an endpoint of a plain service.
-pub async fn call(
+pub async fn post_call(
     state: web::Data<EntryState>,
     request: HttpRequest,
     body: web::Json<CallBody>,
 ) -> Result<HttpResponse, ApiError> {
     let document = state.node.document();
     let body = body.into_inner();
-    let branch = auth::branch(&document, &body.branch, &request)?;
-    let service = usable_service(&document, &branch, &body.service)?;
-    check_path(&body.path)?;
+    let branch = auth::authenticate_branch(&document, &body.branch, &request)?;
+    let service = authorize_service(&document, &branch, &body.service)?;
+    check_call_path(&body.path)?;
     let deadline_ms = body.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     let deadline_ms = deadline_ms.min(MAX_DEADLINE_MS);
     let request_id = request_id(&request);
@@ -81,7 +81,7 @@
         send_idempotent_call(&state, call, deadline).await
     } else {
         let send_no = body.send.unwrap_or(UNNUMBERED_SEND);
-        call_with(&state, call, body.permit, send_no, deadline).await
+        call_with_permit(&state, call, body.permit, send_no, deadline).await
     };
     if let CallOutcome::NotRun { reason, .. } = &outcome {
         state.node.metrics().refused(reason.code());
@@ -90,12 +90,12 @@
             &[("request_id", &request_id), ("reason", &reason.code())],
         );
     }
-    let fresh = || call_permits::issue(&state, &branch.name, &service.name, 1).pop();
-    Ok(respond(outcome, &request_id, fresh))
+    let issue_permit = || call_permits::issue_permits(&state, &branch.name, &service.name, 1).pop();
+    Ok(call_response(outcome, &request_id, issue_permit))
 }
 
 /// Sends a call under its permit, if that is good for it.
-async fn call_with(
+async fn call_with_permit(
     state: &EntryState,
     call: ServiceCall,
     permit: Option<Permit>,
@@ -126,7 +126,7 @@
 }
 
 /// The service called `name`, if `branch` may use it.
-pub(super) fn usable_service(
+pub(super) fn authorize_service(
     document: &Document,
     branch: &BranchSection,
     name: &str,
@@ -146,7 +146,7 @@
 }
 
 /// A path is made of plain segments, so that it cannot leave the service's call root.
-fn check_path(path: &str) -> Result<(), ApiError> {
+fn check_call_path(path: &str) -> Result<(), ApiError> {
     let is_plain = |segment: &str| {
         !segment.is_empty()
             && segment
--- a/src/entry/call_answer.rs
+++ b/src/entry/call_answer.rs
@@ -27,7 +27,7 @@
 }
 
 /// Tells the caller the outcome of its request, with a fresh permit where it helps.
-pub(super) fn respond(
+pub(super) fn call_response(
     outcome: CallOutcome,
     request_id: &str,
     permit: impl FnOnce() -> Option<Permit>,
@@ -42,32 +42,36 @@
                 .content_type("application/json")
                 .body(answer.body)
         }
-        CallOutcome::NotRun { reason: why, .. } => builder(code_of(why).status(), retry_after_ms)
+        CallOutcome::NotRun {
+            reason: refusal, ..
+        } => response_builder(error_code(refusal).status(), retry_after_ms)
             .insert_header((REQUEST_ID_HEADER, request_id))
             .json(CallErrorBody {
-                code: code_of(why).name(),
+                code: error_code(refusal).name(),
                 outcome: "not_run",
                 reason,
-                message: why.meaning(),
+                message: refusal.meaning(),
                 request_id,
                 retry_after_ms,
                 permit: retry_after_ms.and_then(|_| permit()),
             }),
-        CallOutcome::Unknown { .. } => builder(ErrorCode::OutcomeUnknown.status(), retry_after_ms)
-            .insert_header((REQUEST_ID_HEADER, request_id))
-            .json(CallErrorBody {
-                code: ErrorCode::OutcomeUnknown.name(),
-                outcome: "unknown",
-                reason,
-                message: ErrorCode::OutcomeUnknown.meaning(),
-                request_id,
-                retry_after_ms,
-                permit: None,
-            }),
+        CallOutcome::Unknown { .. } => {
+            response_builder(ErrorCode::OutcomeUnknown.status(), retry_after_ms)
+                .insert_header((REQUEST_ID_HEADER, request_id))
+                .json(CallErrorBody {
+                    code: ErrorCode::OutcomeUnknown.name(),
+                    outcome: "unknown",
+                    reason,
+                    message: ErrorCode::OutcomeUnknown.meaning(),
+                    request_id,
+                    retry_after_ms,
+                    permit: None,
+                })
+        }
     }
 }
 
-fn builder(status: StatusCode, retry_after_ms: Option<u64>) -> HttpResponseBuilder {
+fn response_builder(status: StatusCode, retry_after_ms: Option<u64>) -> HttpResponseBuilder {
     let mut builder = HttpResponse::build(status);
     if let Some(wait_ms) = retry_after_ms {
         let seconds = wait_ms.div_ceil(MS_PER_S);
@@ -77,7 +81,7 @@
 }
 
 /// Code of the API for a refusal; `reason` tells more.
-fn code_of(reason: RefusalReason) -> ErrorCode {
+fn error_code(reason: RefusalReason) -> ErrorCode {
     match reason {
         RefusalReason::NotAllowed => ErrorCode::Forbidden,
         RefusalReason::BodyTooLarge => ErrorCode::BodyTooLarge,
--- a/src/entry/call_permits.rs
+++ b/src/entry/call_permits.rs
@@ -10,7 +10,7 @@
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 use crate::entry::auth;
-use crate::entry::call::usable_service;
+use crate::entry::call::authorize_service;
 use crate::hosts::HostRole;
 
 #[derive(Debug, Deserialize)]
@@ -20,28 +20,33 @@
 }
 
 /// Answers with fresh permits for a service.
-pub async fn permits(
+pub async fn get_permits(
     state: web::Data<EntryState>,
     request: HttpRequest,
     query: web::Query<PermitsQuery>,
 ) -> Result<HttpResponse, ApiError> {
     let document = state.node.document();
-    let branch = auth::branch(&document, &query.branch, &request)?;
-    usable_service(&document, &branch, &query.service)?;
+    let branch = auth::authenticate_branch(&document, &query.branch, &request)?;
+    authorize_service(&document, &branch, &query.service)?;
     let wanted = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
-    let permits = issue(&state, &branch.name, &query.service, wanted);
+    let permits = issue_permits(&state, &branch.name, &query.service, wanted);
     Ok(HttpResponse::Ok().json(json!({ "permits": permits })))
 }
 
 /// Issues up to `wanted` permits, spread over the usable endpoints of a service.
-pub(super) fn issue(state: &EntryState, branch: &str, service: &str, wanted: usize) -> Vec<Permit> {
-    let mut places = places(state, service);
-    places.shuffle(&mut rand::rng());
-    let permits: Vec<Permit> = places
+pub(super) fn issue_permits(
+    state: &EntryState,
+    branch: &str,
+    service: &str,
+    wanted: usize,
+) -> Vec<Permit> {
+    let mut targets = permit_targets(state, service);
+    targets.shuffle(&mut rand::rng());
+    let permits: Vec<Permit> = targets
         .into_iter()
         .cycle()
         .take(wanted)
-        .map(|place| Permit::issue(&state.permit_key, place, branch, service))
+        .map(|target| Permit::issue(&state.permit_key, target, branch, service))
         .collect();
     let mut ledger = state.calls.ledger();
     for permit in &permits {
@@ -50,7 +55,7 @@
     permits
 }
 
-fn places(state: &EntryState, service: &str) -> Vec<PermitTarget> {
+fn permit_targets(state: &EntryState, service: &str) -> Vec<PermitTarget> {
     let now_ms = state.node.now_ms();
     state
         .node
--- a/src/entry/generate.rs
+++ b/src/entry/generate.rs
@@ -42,7 +42,7 @@
 }
 
 /// Sends a request for tokens to a replica and streams the answer back.
-pub async fn generate(
+pub async fn post_generate(
     state: web::Data<EntryState>,
     request: HttpRequest,
     body: web::Json<GenerateBody>,
@@ -57,7 +57,7 @@
     }
     let document = state.node.document();
     let body = body.into_inner();
-    let branch = auth::branch(&document, &body.branch, &request)?;
+    let branch = auth::authenticate_branch(&document, &body.branch, &request)?;
     let model = document.model(&body.model).ok_or_else(|| {
         let message = format!("model {:?} does not exist", body.model);
         ApiError::new(ErrorCode::UnknownModel, message)
@@ -88,11 +88,11 @@
         deadline_ms: body.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS),
         is_suspect: false,
     };
-    answer(GenerateRelay::new(state.into_inner(), call)).await
+    stream_response(GenerateRelay::new(state.into_inner(), call)).await
 }
 
 /// Waits for the first event, so that a refusal gets its own status, then streams.
-async fn answer(mut relay: GenerateRelay) -> Result<HttpResponse, ApiError> {
+async fn stream_response(mut relay: GenerateRelay) -> Result<HttpResponse, ApiError> {
     let Some(first) = relay.next().await else {
         let message = "the stream was empty";
         return Err(ApiError::new(ErrorCode::Internal, message));
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -26,10 +26,10 @@
 
 pub use api_error::ApiError;
 pub use error_code::ErrorCode;
-pub use generate::generate as generate_route;
+pub use generate::post_generate;
 pub use generate_routing::GenerateRouting;
 pub use server::EntryHandle;
-pub use server::start;
+pub use server::start_entry;
 pub use state::EntryState;
 pub use status_view::HoldView;
 pub use status_view::HostView;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// The I/O error when the address cannot be bound.
-pub async fn start(settings: EntrySettings) -> io::Result<EntryHandle> {
+pub async fn start_entry(settings: EntrySettings) -> io::Result<EntryHandle> {
     let options = ServeOptions {
         client_timeout_ms: settings.slow_client_timeout_ms,
         drain_ms: settings.drain_ms,
@@ -53,13 +53,28 @@
             .app_data(api_error::json_config(max_body_bytes))
             .app_data(api_error::payload_config(max_body_bytes))
             .app_data(api_error::query_config())
-            .service(at("/v1/addresses", web::get().to(addresses::addresses)))
-            .service(at("/v1/generate", web::post().to(generate::generate)))
-            .service(at("/v1/call", web::post().to(call::call)))
-            .service(at("/v1/permits", web::get().to(call_permits::permits)))
-            .service(at("/v1/status", web::get().to(status::status)))
+            .service(single_method_resource(
+                "/v1/addresses",
+                web::get().to(addresses::get_addresses),
+            ))
+            .service(single_method_resource(
+                "/v1/generate",
+                web::post().to(generate::post_generate),
+            ))
+            .service(single_method_resource(
+                "/v1/call",
+                web::post().to(call::post_call),
+            ))
+            .service(single_method_resource(
+                "/v1/permits",
+                web::get().to(call_permits::get_permits),
+            ))
+            .service(single_method_resource(
+                "/v1/status",
+                web::get().to(status::get_status),
+            ))
             .default_service(web::to(api_error::unknown_path));
-        admin::routes(app);
+        admin::add_routes(app);
         for path in admin::PATHS {
             let refuse = web::to(api_error::wrong_method);
             app.service(web::resource(path).default_service(refuse));
@@ -77,7 +92,7 @@
 }
 
 /// A path that takes one method; the others get a typed error.
-fn at(path: &str, route: Route) -> Resource {
+fn single_method_resource(path: &str, route: Route) -> Resource {
     web::resource(path)
         .route(route)
         .default_service(web::to(api_error::wrong_method))
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -8,11 +8,11 @@
 use crate::entry::admin;
 
 /// Answers a team with what this entry knows of the whole system.
-pub async fn status(
+pub async fn get_status(
     state: web::Data<EntryState>,
     request: HttpRequest,
 ) -> Result<HttpResponse, ApiError> {
-    admin::team(&state, &request)?;
+    admin::authenticate_team(&state, &request)?;
     let node = &state.node;
     let document = node.document();
     let config = node.config_mark();
