--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -27,21 +27,22 @@
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Time allowed when the caller names none.
+/// Deadline when the caller names none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
-/// Longest deadline a caller may name.
+/// Longest deadline that a caller may name, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Longest request id of a caller that is echoed.
+/// Longest request id of a caller that is used; a longer one is replaced.
 const MAX_REQUEST_ID_CHARS: usize = 128;
 
-/// Number taken for a send that the caller did not number.
+/// Send number of a call that carries none.
 ///
-/// Only send 1 can be vouched for, so an unnumbered one never counts as that.
+/// Only send 1 can be the sole send of a permit, for which "not run" may be reported, so
+/// a send without a number must not count as send 1.
 const UNNUMBERED_SEND: u32 = u32::MAX;
 
-/// A caller's call of a plain service.
+/// Body of `POST /v1/call`.
 #[derive(Debug, Deserialize)]
 pub struct CallBody {
     branch: String,
@@ -53,7 +54,7 @@
     deadline_ms: Option<u64>,
 }
 
-/// Sends a call to an endpoint of a plain service.
+/// Handles `POST /v1/call`: sends a call to an endpoint of a service.
 pub async fn post_call(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -94,7 +95,7 @@
     Ok(call_response(outcome, &request_id, issue_permit))
 }
 
-/// Sends a call under its permit, if that is good for it.
+/// Sends a non-idempotent call if its permit is valid for it.
 async fn call_with_permit(
     state: &EntryState,
     call: ServiceCall,
@@ -125,7 +126,11 @@
     call.run().await
 }
 
-/// The service called `name`, if `branch` may use it.
+/// The service with the given name, if the branch may use it.
+///
+/// # Errors
+///
+/// [`ErrorCode::UnknownService`] or [`ErrorCode::Forbidden`].
 pub(super) fn authorize_service(
     document: &Document,
     branch: &BranchSection,
@@ -145,7 +150,8 @@
     Err(ApiError::new(ErrorCode::Forbidden, message))
 }
 
-/// A path is made of plain segments, so that it cannot leave the service's call root.
+/// Checks that a path consists of plain segments, so that it cannot escape the base path
+/// of the service's calls.
 fn check_call_path(path: &str) -> Result<(), ApiError> {
     let is_plain = |segment: &str| {
         !segment.is_empty()
@@ -156,11 +162,13 @@
     if path.split('/').all(is_plain) {
         return Ok(());
     }
-    let message = format!("path {path:?} is not made of letters, digits, '-', '_' and '/'");
+    let message = format!(
+        "path {path:?} must consist of segments of letters, digits, '-' and '_', separated by '/'"
+    );
     Err(ApiError::new(ErrorCode::BadRequest, message))
 }
 
-/// The caller's own id of the request, or a fresh one.
+/// Request id that the caller sent, or a new one.
 fn request_id(request: &HttpRequest) -> String {
     request
         .headers()
--- a/src/entry/call_answer.rs
+++ b/src/entry/call_answer.rs
@@ -10,10 +10,10 @@
 use crate::clients::REQUEST_ID_HEADER;
 use crate::entry::ErrorCode;
 
-/// Milliseconds in a second, the unit of `Retry-After`.
+/// Milliseconds per second, the unit of the header `Retry-After`.
 const MS_PER_S: u64 = 1000;
 
-/// What a caller is told of a call without an answer of its service.
+/// Body of the answer to a call that has no answer of the service.
 #[derive(Debug, Serialize)]
 struct CallErrorBody<'a> {
     code: &'static str,
@@ -22,11 +22,12 @@
     message: &'static str,
     request_id: &'a str,
     retry_after_ms: Option<u64>,
-    /// Permit for the next try, after "not run".
+    /// Permit for the next send, if the call was not run and may be sent again.
     permit: Option<Permit>,
 }
 
-/// Tells the caller the outcome of its request, with a fresh permit where it helps.
+/// Answer to the caller; `permit` issues a new one if the call was not run and may be
+/// sent again.
 pub(super) fn call_response(
     outcome: CallOutcome,
     request_id: &str,
@@ -80,7 +81,7 @@
     builder
 }
 
-/// Code of the API for a refusal; `reason` tells more.
+/// API error code for a refusal; several reasons share a code.
 fn error_code(reason: RefusalReason) -> ErrorCode {
     match reason {
         RefusalReason::NotAllowed => ErrorCode::Forbidden,
--- a/src/entry/call_exchange.rs
+++ b/src/entry/call_exchange.rs
@@ -13,35 +13,39 @@
 use crate::links::HttpClient;
 use crate::links::LinkError;
 
-/// Silence after which a connection is left; an endpoint beats twice a second.
+/// Silence after which a connection is given up, in milliseconds.
+///
+/// Endpoints send a heartbeat every 500 ms.
 const MAX_SILENCE_MS: u64 = 1_250;
 
-/// Longest answer read from an endpoint.
+/// Largest answer that is read from an endpoint, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// What came back over one connection to an endpoint.
+/// Result of one exchange with an endpoint.
 #[derive(Debug)]
 pub(super) enum ExchangeResult {
-    /// A whole answer to this request.
+    /// The endpoint sent a complete answer to this message.
     Report(CallReport),
-    /// No byte of the request left.
+    /// No byte of the message was sent.
     NotSent,
-    /// The request left and no usable answer came.
+    /// The message may have been sent, and no usable answer was received; with the cause.
     Lost(&'static str),
-    /// The deadline passed first.
+    /// The deadline passed before the answer.
     StillRunning,
 }
 
-/// Which connection to use.
+/// Kind of connection to use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionKind {
-    /// One from the pool, which may have gone silent unnoticed.
+    /// A pooled connection, which may have broken unnoticed.
     Pooled,
-    /// A new one of its own.
+    /// A new connection.
     Fresh,
 }
 
-/// Sends `message` to an endpoint and reads its answer, however long it beats.
+/// Sends a message to an endpoint and reads its answer.
+///
+/// Waits until the deadline as long as the endpoint sends heartbeats.
 pub(super) async fn exchange(
     http: &HttpClient,
     connection: ConnectionKind,
@@ -84,12 +88,13 @@
     }
 }
 
+/// Time left until the deadline, in milliseconds.
 fn left_ms(deadline: Instant) -> u64 {
     let left = deadline.saturating_duration_since(Instant::now());
     u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Takes an answer only if it is whole and belongs to the request.
+/// Decodes an answer; it must be complete and belong to the request.
 fn decode_reply(received: &[u8], request_id: &str) -> ExchangeResult {
     let heartbeats = received
         .iter()
--- a/src/entry/call_permits.rs
+++ b/src/entry/call_permits.rs
@@ -13,13 +13,14 @@
 use crate::entry::call::authorize_service;
 use crate::hosts::HostRole;
 
+/// Query parameters of `GET /v1/permits`.
 #[derive(Debug, Deserialize)]
 pub struct PermitsQuery {
     branch: String,
     service: String,
 }
 
-/// Answers with fresh permits for a service.
+/// Handles `GET /v1/permits`: new permits for a service.
 pub async fn get_permits(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -33,7 +34,8 @@
     Ok(HttpResponse::Ok().json(json!({ "permits": permits })))
 }
 
-/// Issues up to `wanted` permits, spread over the usable endpoints of a service.
+/// Issues `wanted` permits, spread evenly over the usable endpoints of a service; none if
+/// there is no such endpoint.
 pub(super) fn issue_permits(
     state: &EntryState,
     branch: &str,
@@ -55,6 +57,7 @@
     permits
 }
 
+/// Endpoint processes of a service for which permits can be issued.
 fn permit_targets(state: &EntryState, service: &str) -> Vec<PermitTarget> {
     let now_ms = state.node.now_ms();
     state
--- a/src/entry/idempotent_call.rs
+++ b/src/entry/idempotent_call.rs
@@ -18,10 +18,10 @@
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Endpoints tried for one call.
+/// Largest number of attempts for one call.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Sends an idempotent call, again elsewhere if its answer is lost.
+/// Sends an idempotent call, and again to another endpoint if its answer is lost.
 pub(super) async fn send_idempotent_call(
     state: &EntryState,
     call: ServiceCall,
@@ -42,7 +42,7 @@
         if Instant::now() >= deadline {
             return CallOutcome::not_run(RefusalReason::DeadlinePassed);
         }
-        // A pooled connection may have gone silent; a retry takes a new one.
+        // A pooled connection may have broken unnoticed, so a retry opens a new one.
         let connection = match attempt_no {
             0 => ConnectionKind::Pooled,
             _ => ConnectionKind::Fresh,
@@ -55,6 +55,7 @@
     last_outcome
 }
 
+/// Usable endpoints of a service in the order of attempts, at random.
 fn call_candidates(state: &EntryState, service: &str) -> Vec<(HostKey, SocketAddr)> {
     let now_ms = state.node.now_ms();
     let mut endpoints: Vec<_> = state
@@ -65,7 +66,7 @@
         .map(|(host_key, host)| (host_key, host.address))
         .collect();
     endpoints.shuffle(&mut rand::rng());
-    // A lone endpoint is tried again over a new connection.
+    // The list repeats, so that a single endpoint is tried again over a new connection.
     let endpoint_count = endpoints.len();
     endpoints
         .into_iter()
@@ -74,6 +75,7 @@
         .collect()
 }
 
+/// Takes a retry from the budget of the branch; returns false if there is none left.
 fn take_retry(state: &EntryState, branch: &str, last_outcome: &CallOutcome) -> bool {
     if !state.calls.retry_budget().try_retry(branch) {
         let reason = RefusalReason::RetryBudgetSpent;
@@ -85,7 +87,7 @@
     true
 }
 
-/// Whether another endpoint, or another connection, may do better.
+/// Whether an attempt at another endpoint or over another connection may succeed.
 fn is_retryable(outcome: &CallOutcome) -> bool {
     match outcome {
         CallOutcome::Answer(_) => false,
@@ -97,6 +99,7 @@
     }
 }
 
+/// Sends the call to one endpoint and updates the endpoint's status in the roster.
 async fn send_attempt(
     state: &EntryState,
     call: &ServiceCall,
--- a/src/entry/non_idempotent_call.rs
+++ b/src/entry/non_idempotent_call.rs
@@ -19,7 +19,7 @@
 use crate::entry::call_exchange::exchange;
 use crate::node::Reporter;
 
-/// One send of a call that may not be repeated.
+/// One send of a call that must not run twice, under its permit.
 pub(super) struct NonIdempotentCall<'a> {
     pub(super) state: &'a EntryState,
     pub(super) call: ServiceCall,
@@ -29,7 +29,7 @@
 }
 
 impl NonIdempotentCall<'_> {
-    /// Dispatches the call and tells what became of it.
+    /// Sends the call to the endpoint of its permit and determines its outcome.
     pub(super) async fn run(self) -> CallOutcome {
         if let Some(reason) = self.refusal_reason() {
             return self.refuse(reason).await;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Why the call is not sent on at all.
+    /// Reason for which the call is not dispatched, if any.
     fn refusal_reason(&self) -> Option<RefusalReason> {
         if Instant::now() >= self.deadline {
             return Some(RefusalReason::DeadlinePassed);
@@ -86,7 +86,10 @@
         (status == SuspectStatus::Refused).then_some(RefusalReason::CrashSuspect)
     }
 
-    /// Tells "not run" where this entry can vouch for it, else has the endpoint say so.
+    /// Refuses the call without dispatching it.
+    ///
+    /// Where this entry cannot rule out that another send has run, it queries the
+    /// endpoint for the outcome.
     async fn refuse(&self, reason: RefusalReason) -> CallOutcome {
         let outcome = self.record_result(SendResult::NotSent(reason));
         if !matches!(outcome, CallOutcome::Unknown { .. }) {
@@ -98,7 +101,9 @@
         }
     }
 
-    /// Asks for the nonce over a new connection, and has it refused if the call has not arrived.
+    /// Queries the endpoint for the status of the permit.
+    ///
+    /// If the call has not arrived there, the endpoint refuses the permit from then on.
     async fn query_permit_status(&self, reason: RefusalReason) -> SendResult {
         let query = PermitStatusQuery {
             request_id: Nonce::random().to_string(),
@@ -115,6 +120,7 @@
         }
     }
 
+    /// Sends a message to the endpoint of the permit over a new connection.
     async fn send_message(
         &self,
         route: &str,
@@ -134,6 +140,7 @@
         .await
     }
 
+    /// Records the result of the send in the ledger and returns the outcome to report.
     fn record_result(&self, result: SendResult) -> CallOutcome {
         if result == SendResult::Ended(CallOutcome::not_run(RefusalReason::Leaving)) {
             self.mark_endpoint_leaving();
@@ -158,7 +165,8 @@
         }
     }
 
-    /// Notes that the endpoint died with the call on it, and tells the other entries.
+    /// Records that the endpoint process crashed while it ran the call, and reports it to
+    /// the other processes.
     async fn record_endpoint_crash(&self) {
         self.mark_endpoint_failed();
         let node = &self.state.node;
--- a/src/entry/service_call_state.rs
+++ b/src/entry/service_call_state.rs
@@ -4,16 +4,16 @@
 use crate::calls::DispatchLedger;
 use crate::calls::RetryBudget;
 
-/// Permits this entry remembers having issued.
+/// Largest number of issued permits that are remembered.
 const MAX_REMEMBERED_PERMITS: usize = 131_072;
 
-/// Retries of idempotent calls for every thousand calls of a branch.
+/// Retries of idempotent calls per thousand calls of a branch.
 const RETRY_RATIO_PERMILLE: u32 = 100;
 
-/// Retries of a branch that may come at once.
+/// Largest number of retries that a branch may make at once.
 const RETRY_BURST: u32 = 10;
 
-/// What an entry remembers of the calls of plain services.
+/// State that an entry keeps between service calls.
 #[derive(Debug)]
 pub struct ServiceCallState {
     ledger: Mutex<DispatchLedger>,
@@ -21,7 +21,7 @@
 }
 
 impl ServiceCallState {
-    /// Nothing remembered yet.
+    /// State without permits or calls.
     pub fn new() -> Self {
         Self {
             ledger: Mutex::new(DispatchLedger::new(MAX_REMEMBERED_PERMITS)),
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Dispatches of the permits issued here.
+    /// Sends and dispatches of the permits that this entry issued.
     pub(super) fn ledger(&self) -> MutexGuard<'_, DispatchLedger> {
         self.ledger.lock().expect("no holder of the ledger panics")
     }
 
-    /// Retries left to the branches.
+    /// Retry budgets of the branches.
     pub(super) fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.retry_budget
             .lock()
