--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -15,9 +15,10 @@
 use crate::regions::Place;
 use crate::regions::spread;
 
-/// Entries named in one answer.
+/// Largest number of entries in one answer.
 const MAX_ENTRIES: usize = 8;
 
+/// Query parameters of `GET /v1/addresses`.
 #[derive(Debug, Deserialize)]
 pub struct AddressesQuery {
     branch: String,
@@ -25,7 +26,7 @@
     region: Option<String>,
 }
 
-/// One entry a caller may use.
+/// Address and location of an entry.
 #[derive(Debug, Serialize)]
 struct EntryAddress {
     url: String,
@@ -50,6 +51,7 @@
     }
 }
 
+/// Answer of `GET /v1/addresses`.
 #[derive(Debug, Serialize)]
 struct AddressesAnswer {
     entries: Vec<EntryAddress>,
@@ -57,7 +59,8 @@
     permits: Vec<Permit>,
 }
 
-/// Answers which entries to use, for how long, and permits for a service.
+/// Handles `GET /v1/addresses`: the entries to use, how long they are valid, and
+/// permits for a service if one is named.
 pub async fn get_addresses(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -77,7 +80,8 @@
     }))
 }
 
-/// Live entries, spread over the failure domains, those of region `near` first.
+/// Live entries in an order that alternates between failure domains, those of region
+/// `near` first.
 fn live_entries(state: &EntryState, near: Option<&str>) -> Vec<EntryAddress> {
     let node = &state.node;
     let now_ms = node.now_ms();
--- a/src/entry/admin/answers.rs
+++ b/src/entry/admin/answers.rs
@@ -7,62 +7,62 @@
 use crate::document::SectionFault;
 use crate::weights::Digest;
 
-/// One section without its body.
+/// A section without its body.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SectionHead {
-    /// Full name.
+    /// Name of the section, with its kind.
     pub name: String,
     /// Team that made the last accepted edit.
     pub team: String,
-    /// Revision to edit from.
+    /// Current revision, the base of the next edit.
     pub revision: u64,
 }
 
 /// Answer of `GET /v1/config`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DocumentAnswer {
-    /// Next offset of the log.
+    /// Offset of the next log record that this entry will apply.
     pub offset: u64,
-    /// Digest of the state there.
+    /// Digest of the configuration at that offset.
     pub digest: Digest,
-    /// How this entry stands: `confirmed`, or why not.
+    /// `confirmed`, or why the configuration of this entry is not confirmed.
     pub admission: String,
-    /// Time since the offset was known to be the end of the log.
+    /// Time since the offset was confirmed to be the end of the log, in milliseconds.
     pub confirmed_age_ms: Option<u64>,
-    /// Sections, by name.
+    /// Sections of the document, by name.
     pub sections: Vec<SectionHead>,
-    /// The whole document as INI.
+    /// The complete document in INI syntax.
     pub document: String,
-    /// Parts that have no effect, as texts.
+    /// Descriptions of the parts that have no effect.
     pub inert: Vec<String>,
 }
 
 /// Answer of `GET /v1/config/sections/NAME`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SectionAnswer {
-    /// Next offset of the log.
+    /// Offset of the next log record that this entry will apply.
     pub offset: u64,
-    /// Revision to edit from; of the deletion if the section is gone.
+    /// Base of the next edit; the revision of the deletion if the section was deleted.
     pub revision: u64,
-    /// The section, unless it does not exist.
+    /// The section; `None` if it does not exist.
     pub section: Option<Section>,
 }
 
-/// Answer of `GET /v1/config/history`, latest first.
+/// Answer of `GET /v1/config/history`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HistoryAnswer {
-    /// Decided edits.
+    /// Accepted and conflicting edits, the latest first.
     pub edits: Vec<EditEntry>,
 }
 
 /// Answer of `POST /v1/config/sections/NAME/diff`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DiffAnswer {
-    /// Revision the change would be made from.
+    /// Base revision that the edit would have.
     pub revision: u64,
-    /// Keys that would change.
+    /// Changes of single keys that the edit would make.
     pub changes: Vec<KeyChange>,
-    /// What would be refused.
+    /// Faults for which the edit would be refused.
     pub faults: Vec<SectionFault>,
 }
 
@@ -74,7 +74,7 @@
     pub edit_id: String,
     /// Revision the edit was made from.
     pub base_revision: u64,
-    /// INI lines `key = value`.
+    /// New body of the section, as INI lines `key = value`.
     pub body: String,
 }
 
@@ -88,10 +88,10 @@
     pub base_revision: u64,
 }
 
-/// Answer to an accepted edit.
+/// Answer of `PUT` and `DELETE` when the edit was accepted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AcceptedAnswer {
-    /// The editor's id.
+    /// Id of the edit.
     pub edit_id: String,
     /// Offset of the edit in the log.
     pub offset: u64,
@@ -99,16 +99,16 @@
     pub revision: u64,
 }
 
-/// Details of a conflict.
+/// Details of the error `conflict`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ConflictDetails {
-    /// The editor's id.
+    /// Id of the edit.
     pub edit_id: String,
-    /// Offset of the edit in the log, unless it was not appended.
+    /// Offset of the edit in the log; `None` if it was not appended.
     pub offset: Option<u64>,
-    /// Revision to edit from now.
+    /// Current revision of the section, the base of the next edit.
     pub revision: u64,
-    /// The section as it is now; none if it was deleted.
+    /// The current section; `None` if it was deleted.
     pub winner: Option<Section>,
 }
 
@@ -117,10 +117,10 @@
 pub struct InForceAnswer {
     /// Revision that was waited for.
     pub revision: u64,
-    /// Processes this entry knows, itself included, leaving ones excluded.
+    /// Number of processes known to this entry, itself included, leaving ones excluded.
     pub processes: usize,
-    /// Processes with the revision in force.
+    /// Number of those processes on which the revision is in force.
     pub in_force: usize,
-    /// Names of those without it.
+    /// Names of the processes on which it is not in force.
     pub lacking: Vec<String>,
 }
--- a/src/entry/admin/diff.rs
+++ b/src/entry/admin/diff.rs
@@ -11,17 +11,18 @@
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 
-/// Stands for the edit's id, which a comparison does not have.
+/// Edit id of the edit that is only checked and never appended.
 const DIFF_EDIT_ID: &str = "diff";
 
-/// A body to compare with the section.
+/// Body of `POST /v1/config/sections/NAME/diff`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiffBody {
     body: String,
 }
 
-/// Compares a body with the section in force and checks it, without an edit.
+/// Handles `POST /v1/config/sections/NAME/diff`: compares a body with the section in
+/// force and checks it, without an edit.
 pub async fn diff_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -25,22 +25,24 @@
 use crate::observe::Tally;
 use crate::observe::emit;
 
-/// Longest time an edit waits for its outcome.
+/// Longest time for which a request waits for the outcome of its edit, in milliseconds.
 const MAX_OUTCOME_WAIT_MS: u64 = 12_000;
 
-/// Time the fold has to show an append whose reply was lost, before it is repeated.
+/// Wait for a record whose append was not answered to be read from the log, in
+/// milliseconds; then the append is repeated.
 const LOST_REPLY_WAIT_MS: u64 = 1_500;
 
-/// Pause between two looks at the fold.
+/// Pause between two reads of the log while an edit waits for its outcome.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// When to come back after the log did not answer.
+/// Suggested wait before a request that the log or this entry could not serve is
+/// repeated, in milliseconds.
 const RETRY_AFTER_MS: u64 = 2_000;
 
-/// HTTP status of a log that is down.
+/// HTTP status of an unavailable log, which has appended nothing.
 const SERVICE_UNAVAILABLE_STATUS: u16 = 503;
 
-/// Replaces or creates a section.
+/// Handles `PUT /v1/config/sections/NAME`: creates or replaces a section.
 pub async fn put_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -61,7 +63,7 @@
         .inspect_err(|error| state.node.metrics().refused(error.code().name()))
 }
 
-/// Deletes a section.
+/// Handles `DELETE /v1/config/sections/NAME`: deletes a section.
 pub async fn delete_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -82,6 +84,7 @@
         .inspect_err(|error| state.node.metrics().refused(error.code().name()))
 }
 
+/// Answers with the known outcome of the edit, or checks and appends it first.
 async fn submit_edit(state: &EntryState, edit: Edit) -> Result<HttpResponse, ApiError> {
     let outcome = match known_outcome(state, &edit)? {
         Some(outcome) => outcome,
@@ -102,7 +105,11 @@
     }
 }
 
-/// The outcome of an edit that was sent before.
+/// Outcome of an edit that was sent before; `None` if its id is new.
+///
+/// # Errors
+///
+/// [`ErrorCode::BadRequest`] when the id belongs to another edit.
 fn known_outcome(state: &EntryState, edit: &Edit) -> Result<Option<EditOutcome>, ApiError> {
     let follower = state.node.follower();
     let Some(entry) = follower.fold().entry(&edit.edit_id) else {
@@ -115,7 +122,7 @@
     Err(ApiError::new(ErrorCode::BadRequest, message))
 }
 
-/// What can be refused without an append.
+/// Refuses an edit that cannot be accepted, before it is appended.
 fn check_before_append(state: &EntryState, edit: &Edit) -> Result<(), ApiError> {
     if !state.node.is_ready() {
         let message = "the configuration of this entry is not confirmed; nothing was changed";
@@ -126,14 +133,16 @@
         ));
     }
     let document = state.node.document();
-    // Revisions only grow, so no append could still be accepted.
+    // Revisions only increase, so an append could not be accepted any more.
     if document.revision(&edit.section) > edit.base_revision {
         return Err(conflict_error(state, edit, None));
     }
     check_edit(&document, edit).map_err(|faults| invalid_edit_error(&faults))
 }
 
-/// Appends the edit, again after a lost reply, until the fold shows its outcome.
+/// Appends the edit until its outcome is known; an append that was not answered is repeated.
+///
+/// A repeated record is harmless, because the first one with an edit id decides.
 async fn append_until_decided(state: &EntryState, edit: &Edit) -> Result<EditOutcome, ApiError> {
     let node = &state.node;
     let deadline_ms = node.now_ms() + MAX_OUTCOME_WAIT_MS;
@@ -156,7 +165,8 @@
             return Ok(outcome);
         }
         if node.now_ms() >= deadline_ms {
-            let message = "the log has not shown the edit yet; send the same edit id again";
+            let message =
+                "the outcome of the edit is not known yet; send it again with the same edit id";
             let code = ErrorCode::OutcomeUnknown;
             return Err(ApiError::retryable(code, message, RETRY_AFTER_MS));
         }
@@ -164,7 +174,7 @@
     }
 }
 
-/// Reads the log until the fold shows the edit.
+/// Reads the log until the outcome of the edit is known or `until_ms` has passed.
 async fn wait_for_outcome(state: &EntryState, edit_id: &str, until_ms: u64) -> Option<EditOutcome> {
     loop {
         let known = state.node.follower().fold().outcome(edit_id).copied();
@@ -178,6 +188,7 @@
     }
 }
 
+/// Whether the error proves that the record is not in the log.
 fn is_known_not_appended(error: &LinkError) -> bool {
     match error {
         LinkError::NotSent(_) => true,
@@ -190,7 +201,7 @@
     let document = state.node.document();
     let winner = document.section(&edit.section).cloned();
     let by = match &winner {
-        Some(section) => format!("team {:?} was first", section.team),
+        Some(section) => format!("the edit of team {:?} was accepted first", section.team),
         None => "the section was deleted".to_owned(),
     };
     let message = format!("section {:?} has changed: {by}", edit.section);
@@ -209,6 +220,7 @@
     ApiError::detailed(ErrorCode::InvalidEdit, message, json!({ "faults": faults }))
 }
 
+/// Logs who edited which section, and the outcome.
 fn log_decision(edit: &Edit, outcome: EditOutcome) {
     let decision = if outcome.is_accepted() {
         "accepted"
--- a/src/entry/admin/in_force.rs
+++ b/src/entry/admin/in_force.rs
@@ -12,13 +12,13 @@
 use crate::entry::EntryState;
 use crate::hosts::Standing;
 
-/// Longest wait of one call.
+/// Longest wait of one request, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// Time between two looks.
+/// Time between two checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to wait for.
+/// Query parameters of `GET /v1/config/wait`.
 #[derive(Debug, Deserialize)]
 pub struct WaitQuery {
     revision: u64,
@@ -26,7 +26,8 @@
     wait_ms: u64,
 }
 
-/// Waits until every known process has a revision in force, and tells which lack it.
+/// Handles `GET /v1/config/wait`: waits until a revision is in force on every known
+/// process, and answers on which it is not.
 pub async fn wait_in_force(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -44,7 +45,9 @@
     }
 }
 
-/// A revision is in force on a process whose head is at least the revision.
+/// Counts the known processes on which a revision is in force.
+///
+/// That is so from the log offset equal to the revision.
 fn count_in_force(state: &EntryState, revision: u64) -> InForceAnswer {
     let node = &state.node;
     let now_ms = node.now_ms();
--- a/src/entry/admin/mod.rs
+++ b/src/entry/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The administration API: one document, edited section by section.
+//! The administration API: one configuration document, edited section by section.
 //!
-//! An edit is answered only after this entry's own fold shows how the log's
-//! order decided it. The same edit id may be sent again, through any entry, and
-//! gets the first outcome.
+//! The order of the records in the log decides which edit is accepted. An edit is
+//! answered only after this entry has read its record back from the log. The same
+//! edit id may be sent again, through any entry, and gets the first outcome.
 
 mod answers;
 mod diff;
@@ -35,7 +35,7 @@
     "/v1/config/sections/{name}/diff",
 ];
 
-/// Routes of the administration API.
+/// Adds the routes of the administration API.
 pub fn add_routes(app: &mut ServiceConfig) {
     app.route("/v1/config", web::get().to(show::get_document))
         .route("/v1/config/history", web::get().to(show::get_history))
--- a/src/entry/admin/show.rs
+++ b/src/entry/admin/show.rs
@@ -13,10 +13,10 @@
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 
-/// Edits in one answer when the caller names no limit.
+/// Number of edits in an answer when the request names no limit.
 const DEFAULT_HISTORY_LIMIT: usize = 50;
 
-/// Shows the whole document.
+/// Handles `GET /v1/config`: the complete document.
 pub async fn get_document(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -44,7 +44,7 @@
     }))
 }
 
-/// Shows one section and the revision to edit it from.
+/// Handles `GET /v1/config/sections/NAME`: one section and its revision.
 pub async fn get_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
@@ -60,14 +60,14 @@
     }))
 }
 
-/// Which edits to show.
+/// Query parameters of `GET /v1/config/history`.
 #[derive(Debug, Deserialize)]
 pub struct HistoryQuery {
     section: Option<String>,
     limit: Option<usize>,
 }
 
-/// Shows decided edits, the latest first.
+/// Handles `GET /v1/config/history`: accepted and conflicting edits, the latest first.
 pub async fn get_history(
     state: web::Data<EntryState>,
     request: HttpRequest,
--- a/src/entry/admin/team.rs
+++ b/src/entry/admin/team.rs
@@ -6,11 +6,11 @@
 use crate::entry::ErrorCode;
 use crate::entry::auth;
 
-/// The team whose token `request` carries.
+/// The team whose token the request carries.
 ///
 /// # Errors
 ///
-/// A typed error when there is no token or no team has it.
+/// [`ErrorCode::MissingToken`], or [`ErrorCode::WrongToken`] when no team has the token.
 pub fn authenticate_team<'a>(
     state: &'a EntryState,
     request: &HttpRequest,
@@ -19,14 +19,15 @@
     let mut teams = state.settings.teams.iter();
     teams
         .find(|team| team.token_digest == token)
-        .ok_or_else(|| ApiError::new(ErrorCode::WrongToken, "the token is not that of a team"))
+        .ok_or_else(|| ApiError::new(ErrorCode::WrongToken, "the token does not belong to a team"))
 }
 
-/// The team of `request`, if it may write the section called `name`.
+/// The team whose token the request carries, if it may write the named section.
 ///
 /// # Errors
 ///
-/// [`ErrorCode::Forbidden`] when it may not.
+/// Those of [`authenticate_team`], and [`ErrorCode::Forbidden`] when the team may not
+/// write the section.
 pub fn authorize_team<'a>(
     state: &'a EntryState,
     request: &HttpRequest,
