--- a/src/entry/api_error.rs
+++ b/src/entry/api_error.rs
@@ -17,21 +17,21 @@
 
 use super::ErrorCode;
 
-/// Milliseconds in a second, the unit of `Retry-After`.
+/// Milliseconds per second, the unit of the header `Retry-After`.
 const MS_PER_S: u64 = 1000;
 
-/// A final answer that is not a success.
+/// An error that ends a request, as answered to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApiError {
-    /// A code and what to say with it.
+    /// Code and message only.
     Plain { code: ErrorCode, message: String },
-    /// The caller may come back after a while.
+    /// The caller may send the request again after `retry_after_ms`.
     Retryable {
         code: ErrorCode,
         message: String,
         retry_after_ms: u64,
     },
-    /// The answer carries more than text, such as the winner of a conflict.
+    /// The answer carries structured details, such as the winner of a conflict.
     Detailed {
         code: ErrorCode,
         message: String,
@@ -40,7 +40,7 @@
 }
 
 impl ApiError {
-    /// An error that coming back does not mend.
+    /// An error that persists if the request is repeated.
     pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         Self::Plain {
             code,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// An error that may be gone after `retry_after_ms`.
+    /// An error after which the request may be sent again in `retry_after_ms`.
     pub fn retryable(code: ErrorCode, message: impl Into<String>, retry_after_ms: u64) -> Self {
         Self::Retryable {
             code,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// An error with `details` in the answer.
+    /// An error with structured details.
     pub fn detailed(code: ErrorCode, message: impl Into<String>, details: Value) -> Self {
         Self::Detailed {
             code,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Stable code.
+    /// Code of the error.
     pub fn code(&self) -> ErrorCode {
         match self {
             Self::Plain { code, .. }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Text for people.
+    /// Message for people.
     pub fn message(&self) -> &str {
         match self {
             Self::Plain { message, .. }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Body of the answer.
+    /// JSON body of the answer.
     pub fn body(&self) -> Value {
         let mut body = json!({"code": self.code().name(), "message": self.message()});
         match self {
@@ -119,7 +119,7 @@
     }
 }
 
-/// Limits JSON bodies to `max_body_bytes` and types their errors.
+/// Limits JSON bodies to `max_body_bytes` and maps their errors to codes.
 pub fn json_config(max_body_bytes: u64) -> JsonConfig {
     JsonConfig::default()
         .limit(max_body_bytes as usize)
@@ -131,26 +131,30 @@
     PayloadConfig::new(max_body_bytes as usize)
 }
 
-/// Types the errors of query strings.
+/// Maps the errors of query strings to codes.
 pub fn query_config() -> QueryConfig {
     QueryConfig::default().error_handler(|error: QueryPayloadError, _| {
         ApiError::new(ErrorCode::BadRequest, error.to_string()).into()
     })
 }
 
-/// Answer to a path that does not exist.
+/// Answers a request to a path that does not exist.
 pub async fn unknown_path(request: HttpRequest) -> HttpResponse {
-    let message = format!("there is nothing at {}", request.path());
+    let message = format!("path {} does not exist", request.path());
     ApiError::new(ErrorCode::UnknownPath, message).error_response()
 }
 
-/// Answer to a method that a path does not take.
+/// Answers a request with a method that the path does not accept.
 pub async fn wrong_method(request: HttpRequest) -> HttpResponse {
-    let message = format!("{} does not take {}", request.path(), request.method());
+    let message = format!(
+        "path {} does not accept the method {}",
+        request.path(),
+        request.method()
+    );
     ApiError::new(ErrorCode::WrongMethod, message).error_response()
 }
 
-/// Typed form of a raw body's error.
+/// Error for a raw body that could not be read.
 pub fn payload_error(error: &PayloadError) -> ApiError {
     let code = match error {
         PayloadError::Overflow => ErrorCode::BodyTooLarge,
@@ -160,6 +164,7 @@
     ApiError::new(code, error.to_string())
 }
 
+/// Error for a JSON body that could not be read or parsed.
 fn json_error(error: &JsonPayloadError) -> ApiError {
     match error {
         JsonPayloadError::OverflowKnownLength { .. } | JsonPayloadError::Overflow { .. } => {
--- a/src/entry/auth.rs
+++ b/src/entry/auth.rs
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// [`ErrorCode::MissingToken`] when there is none.
+/// [`ErrorCode::MissingToken`] when the request has no bearer token.
 pub fn token_digest(request: &HttpRequest) -> Result<Digest, ApiError> {
     request
         .headers()
@@ -25,11 +25,11 @@
         })
 }
 
-/// The branch called `name`, if the request carries its token.
+/// The branch with the given name, if the request carries its token.
 ///
 /// # Errors
 ///
-/// A typed error when the branch does not exist or the token is not its own.
+/// [`ErrorCode::MissingToken`], [`ErrorCode::UnknownBranch`] or [`ErrorCode::WrongToken`].
 pub fn authenticate_branch(
     document: &Document,
     name: &str,
@@ -41,7 +41,7 @@
         ApiError::new(ErrorCode::UnknownBranch, message)
     })?;
     if branch.token_digest != token {
-        let message = format!("the token is not that of branch {name:?}");
+        let message = format!("the token does not belong to branch {name:?}");
         return Err(ApiError::new(ErrorCode::WrongToken, message));
     }
     Ok(branch)
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -12,10 +12,10 @@
 use crate::observe::Tally;
 use crate::observe::emit;
 
-/// Records asked for in one read.
+/// Largest number of records requested in one read.
 const MAX_RECORDS_PER_READ: usize = 256;
 
-/// What this entry does at the log now, going by its rank among the live entries.
+/// What this entry has to do at the log, according to its rank among the live entries.
 pub fn log_duty(state: &EntryState) -> LogDuty {
     let node = &state.node;
     let own = LogReader {
@@ -40,7 +40,9 @@
     }
 }
 
-/// Reads and folds one run of records; returns whether the log answered.
+/// Reads the next records and applies them; returns whether the log answered.
+///
+/// The log holds the answer for up to `wait_ms` if there is no new record.
 pub async fn read_log(state: &EntryState, wait_ms: u64) -> bool {
     let node = &state.node;
     node.metrics()
@@ -64,7 +66,7 @@
     true
 }
 
-/// Publishes a checkpoint if it is this entry's turn.
+/// Appends a checkpoint to the log if this entry's rank makes it due.
 pub async fn publish_checkpoint(state: &EntryState, duty: LogDuty) {
     let node = &state.node;
     let now_ms = node.now_ms();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,7 @@
-//! The entry role: addresses, permits, routing and the administration API.
+//! The entry role: the HTTP API for callers and administrators.
+//!
+//! An entry lists the addresses of entries, issues permits, routes requests to
+//! endpoints and edits the configuration.
 
 mod addresses;
 pub mod admin;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -27,18 +27,18 @@
 use crate::observe::emit;
 use crate::standin::Handle;
 
-/// A running entry.
+/// Handle of a running entry.
 #[derive(Debug, Clone)]
 pub struct EntryHandle {
     server: Handle,
     state: Arc<EntryState>,
 }
 
-/// Starts an entry.
+/// Starts an entry: its HTTP server, host list watcher, heartbeats and log tailer.
 ///
 /// # Errors
 ///
-/// The I/O error when the address cannot be bound.
+/// The I/O error when an address cannot be bound.
 pub async fn start_entry(settings: EntrySettings) -> io::Result<EntryHandle> {
     let options = ServeOptions {
         client_timeout_ms: settings.slow_client_timeout_ms,
@@ -91,7 +91,7 @@
     Ok(EntryHandle { server, state })
 }
 
-/// A path that takes one method; the others get a typed error.
+/// A path that accepts one method; any other is answered with `wrong_method`.
 fn single_method_resource(path: &str, route: Route) -> Resource {
     web::resource(path)
         .route(route)
@@ -99,7 +99,7 @@
 }
 
 impl EntryHandle {
-    /// Identity, hosts and configuration of the entry.
+    /// Identity of the process, known hosts and configuration.
     pub fn node(&self) -> &Arc<Node> {
         &self.state.node
     }
@@ -109,13 +109,15 @@
         self.server.url()
     }
 
-    /// Stops at once; requests in progress are cut.
+    /// Stops at once; requests in progress are cut off.
     pub async fn kill(&self) {
         self.server.kill().await;
     }
 
-    /// Leaves: drops out of the addresses, serves until the addresses given
-    /// have lapsed, then finishes the requests in progress.
+    /// Stops without failing a request.
+    ///
+    /// The entry removes itself from the addresses, serves until those that callers
+    /// hold have expired, and then finishes the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit(Event::ProcessStopping, &[("host", &node.name())]);
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -10,22 +10,22 @@
 /// State shared by the handlers of an entry.
 #[derive(Debug)]
 pub struct EntryState {
-    /// Settings of the process.
+    /// Settings of the entry process.
     pub settings: EntrySettings,
-    /// Identity, hosts and configuration.
+    /// Identity of the process, known hosts and configuration.
     pub node: Arc<Node>,
-    /// The stream of the log that carries the configuration.
+    /// Client of the log stream that holds the configuration.
     pub log: LogClient,
-    /// What it remembers of the calls of plain services.
+    /// Dispatches and retry budget of service calls.
     pub calls: ServiceCallState,
-    /// Seals permits.
+    /// Key that seals permits.
     pub permit_key: PermitKey,
-    /// Load and pace of the endpoints, and retries left.
+    /// Statistics of the endpoints and retry budget of token streams.
     pub routing: GenerateRouting,
 }
 
 impl EntryState {
-    /// State of a fresh process.
+    /// State of a process that just started.
     pub fn new(settings: EntrySettings) -> Self {
         let node = Arc::new(Node::new(
             settings.process.clone(),
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -7,7 +7,7 @@
 use crate::entry::StatusView;
 use crate::entry::admin;
 
-/// Answers a team with what this entry knows of the whole system.
+/// Handles `GET /v1/status`: the state of all hosts and models as known to this entry.
 pub async fn get_status(
     state: web::Data<EntryState>,
     request: HttpRequest,
--- a/src/entry/status_view.rs
+++ b/src/entry/status_view.rs
@@ -15,84 +15,85 @@
 use crate::hosts::Standing;
 use crate::weights::Digest;
 
-/// What one entry knows of the whole system.
+/// State of all hosts and models as known to one entry.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StatusView {
-    /// Name of the entry that answers.
+    /// Name of the answering entry.
     pub answered_by: String,
-    /// Whether its configuration is confirmed.
+    /// Whether the configuration of the answering entry is confirmed.
     pub ready: bool,
-    /// Configuration in force on it.
+    /// Configuration in force on the answering entry.
     pub config: ConfigMark,
-    /// Hosts that are behind this configuration, by name.
+    /// Names of the hosts whose configuration is older than `config`.
     pub behind: Vec<String>,
     /// Every model of the configuration.
     pub models: Vec<ModelView>,
-    /// Every host that the entry knows.
+    /// Every host known to the entry.
     pub hosts: Vec<HostView>,
 }
 
-/// How far one model has come.
+/// Rollout state of one model.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ModelView {
     /// Name of the model.
     pub name: String,
-    /// Version that the configuration asks for.
+    /// Configured version.
     pub version: String,
-    /// Digest of its manifest.
+    /// Digest of the manifest of that version.
     pub manifest: Digest,
-    /// Replicas that the configuration asks for.
+    /// Configured number of replicas.
     pub wanted: u32,
-    /// Live replicas that serve this version.
+    /// Number of live replicas that serve this version.
     pub serving: u32,
-    /// Live hosts that hold all of it and do not serve it yet.
+    /// Number of live hosts that hold and have verified this version and do not serve it yet.
     pub verified: u32,
-    /// Live hosts that fetch it.
+    /// Number of live hosts that are fetching this version.
     pub fetching: u32,
-    /// Live replicas that still serve another version.
+    /// Number of live replicas that serve another version.
     pub other_versions: u32,
-    /// Hosts that cannot proceed, and why.
+    /// Live hosts on which the rollout of this version is held.
     pub held: Vec<HoldView>,
 }
 
-/// Why a version cannot proceed on a host.
+/// A host on which the rollout of a version is held, and the cause.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HoldView {
     /// Name of the host.
     pub host: String,
-    /// Cause of the hold.
+    /// Cause, as text.
     pub cause: String,
 }
 
-/// What the entry knows of one host.
+/// State of one host as known to the entry.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HostView {
     /// Name of the host.
     pub name: String,
-    /// What runs on it.
+    /// Role of its process.
     pub role: HostRole,
     /// Address of its process.
     pub address: SocketAddr,
-    /// Region it stands in.
+    /// Region of the host.
     pub region: String,
-    /// Failure domain inside the region.
+    /// Failure domain of the host within its region.
     pub domain: String,
-    /// Plain service beside it.
+    /// Service that is reached through this endpoint; `None` for other hosts.
     pub service: Option<String>,
-    /// Whether it may get new work.
+    /// Whether it is given new work: `usable`, or why not.
     pub standing: String,
-    /// Time since it was last heard.
+    /// Time since the last heartbeat or report was received from it, in milliseconds;
+    /// `None` before the first.
     pub silent_ms: Option<u64>,
-    /// Next offset of the log that it wants.
+    /// Offset of the next log record that it will apply.
     pub config_offset: Option<u64>,
-    /// How busy it is.
+    /// Load that it last reported.
     pub load: Load,
-    /// Versions on it.
+    /// Model versions on it, with their rollout state.
     pub versions: Vec<Served>,
 }
 
 impl StatusView {
-    /// The view of an entry with `roster` and `document` at `now_ms`.
+    /// State as known to the entry `answered_by` at `now_ms`.
     pub fn new(
         answered_by: &str,
         ready: bool,
@@ -147,6 +148,7 @@
         view
     }
 
+    /// Counts a version on a live host, if it is one of this model.
     fn count_version(&mut self, host: &str, served: &Served) {
         if served.model != self.name {
             return;
@@ -168,7 +170,7 @@
 }
 
 impl HostView {
-    /// The answering entry, which does not report to itself.
+    /// View of the answering entry, which sends no reports to itself.
     fn for_answering_entry(host: &Host, config: ConfigMark) -> Self {
         Self {
             standing: standing_name(Standing::Usable).to_owned(),
@@ -195,7 +197,7 @@
     }
 }
 
-/// Hosts that are heard and have not folded as far as this entry.
+/// Names of the reachable hosts whose configuration is older than that of this entry.
 fn hosts_behind(roster: &Roster, config: ConfigMark, now_ms: u64) -> Vec<String> {
     roster
         .hosts()
--- a/src/entry/tailer.rs
+++ b/src/entry/tailer.rs
@@ -13,29 +13,30 @@
 use crate::entry::log_reader::publish_checkpoint;
 use crate::entry::log_reader::read_log;
 
-/// Time a read waits at the log for a new record.
+/// Time for which a read waits at the log for a new record, in milliseconds.
 const READ_WAIT_MS: u64 = 2000;
 
-/// A read waits at most this fraction of the retention, as checkpoints are due in between.
+/// A read waits at most this fraction of the log's retention, so that checkpoints are
+/// published in time.
 const READ_WAIT_FRACTION: u64 = 16;
 
-/// Time between two looks at whether this entry should read.
+/// Pause before the next check whether this entry should read the log, in milliseconds.
 const IDLE_PAUSE_MS: u64 = 500;
 
-/// Pause after the first failed read; it doubles with each further one.
+/// Pause after a failed read, in milliseconds; it doubles with each further failure.
 const RETRY_PAUSE_MS: u64 = 250;
 
-/// Longest pause between failed reads.
+/// Longest pause between failed reads, in milliseconds.
 const MAX_RETRY_PAUSE_MS: u64 = 4_000;
 
-/// Follows the log when it is this entry's turn, and folds the configuration.
+/// Reads the log while this entry's rank requires it, and applies the configuration.
 #[derive(Debug)]
 pub struct Tailer {
     state: Arc<EntryState>,
 }
 
 impl Tailer {
-    /// Tailer of `state`'s stream.
+    /// Tailer of the configuration stream of `state`.
     pub fn new(state: Arc<EntryState>) -> Self {
         Self { state }
     }
@@ -67,13 +68,18 @@
     }
 }
 
+/// Result of one step, which determines the pause before the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadStep {
+    /// The log was read.
     Read,
+    /// There was nothing to read, or another entry reads the log.
     Idle,
+    /// The log did not answer.
     Failed,
 }
 
+/// Reads the log if this entry has to, and publishes a checkpoint if one is due.
 async fn read_step(state: &EntryState) -> ReadStep {
     let duty = log_duty(state);
     let node = &state.node;
@@ -96,7 +102,7 @@
         return ReadStep::Failed;
     }
     publish_checkpoint(state, duty).await;
-    // A read that brought nothing without a wait must not be repeated at once.
+    // Without this pause, a log that answers empty reads at once would be polled in a busy loop.
     let was_immediate = node.now_ms() - now_ms < IDLE_PAUSE_MS;
     if was_immediate && node.follower().read_from() == offset_before {
         return ReadStep::Idle;
