--- a/src/entry/generate.rs
+++ b/src/entry/generate.rs
@@ -97,13 +97,13 @@
 ///
 /// Waits for the first event, so that a refusal is answered with its HTTP status.
 async fn stream_response(mut relay: GenerateRelay) -> Result<HttpResponse, ApiError> {
-    let Some(first) = relay.next().await else {
+    let Some(first) = relay.next_event().await else {
         let message = "the token stream ended without an event";
         return Err(ApiError::new(ErrorCode::Internal, message));
     };
     let first_line = Bytes::from(first?.to_line());
     let rest = stream::unfold(relay, |mut relay| async move {
-        let event = match relay.next().await? {
+        let event = match relay.next_event().await? {
             Ok(event) => event,
             Err(error) => GenerateEvent::error(relay.request_id(), &error),
         };
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -82,13 +82,15 @@
 /// One attempt to run a request at one endpoint.
 ///
 /// Dropping it closes its connection and records its end with the router.
-pub(super) struct Attempt {
+pub(super) struct GenerateAttempt {
     state: Arc<EntryState>,
     pub(super) host_key: HostKey,
     started_ms: u64,
     pub(super) outcome: AttemptOutcome,
+    /// Body of the response; `None` for a chunk after which the connection broke.
     chunks: LocalBoxStream<'static, Option<Bytes>>,
     frames: FrameBuffer,
+    /// Number of tokens received.
     tokens: u32,
     first_token_at: Option<Instant>,
     /// When the entry learned that the request had left the endpoint's queue.
@@ -97,7 +99,7 @@
     first_token_limit_ms: Option<u64>,
 }
 
-impl Attempt {
+impl GenerateAttempt {
     /// An attempt whose start the router has already recorded.
     pub(super) fn new(state: Arc<EntryState>, choice: &RouteChoice) -> Self {
         Self {
@@ -143,7 +145,10 @@
     }
 
     /// Waits for the next frame, for at most `wait` or until the first token is late.
-    pub(super) async fn next(&mut self, wait: Duration) -> Result<GenerateFrame, RetryReason> {
+    pub(super) async fn wait_for_frame(
+        &mut self,
+        wait: Duration,
+    ) -> Result<GenerateFrame, RetryReason> {
         let until_late = self.time_until_late();
         let is_late_first = until_late.is_some_and(|until_late| until_late < wait);
         let reason = match is_late_first {
@@ -217,7 +222,7 @@
     }
 }
 
-impl Drop for Attempt {
+impl Drop for GenerateAttempt {
     fn drop(&mut self) {
         let now_ms = self.state.node.now_ms();
         let mut router = self.state.routing.router();
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::generate_attempt::Attempt;
+use super::generate_attempt::GenerateAttempt;
 use super::generate_attempt::RetryReason;
 use super::generate_event::GenerateEvent;
 use super::generate_routing::RouteChoice;
@@ -55,7 +55,8 @@
     call: GenerateCall,
     /// Deadline on the clock of the node, in milliseconds.
     deadline_at_ms: u64,
-    attempt: Option<Attempt>,
+    /// Attempt in progress.
+    attempt: Option<GenerateAttempt>,
     /// Hosts that are not tried again.
     tried_hosts: Vec<HostKey>,
     attempt_count: usize,
@@ -93,7 +94,7 @@
     }
 
     /// The next event or the final error; `None` after either end of the stream.
-    pub(super) async fn next(&mut self) -> Option<Result<GenerateEvent, ApiError>> {
+    pub(super) async fn next_event(&mut self) -> Option<Result<GenerateEvent, ApiError>> {
         if self.has_ended {
             return None;
         }
@@ -146,7 +147,7 @@
         let Some(attempt) = &mut self.attempt else {
             return self.start_attempt(left_ms, wait).await;
         };
-        match attempt.next(wait).await {
+        match attempt.wait_for_frame(wait).await {
             Ok(frame) => self.handle_frame(frame),
             // A wait that the deadline cut short does not count against the endpoint.
             Err(RetryReason::Silent) if wait_ms == left_ms => RelayStep::Fail(deadline_error()),
@@ -175,7 +176,7 @@
         };
         self.tried_hosts.push(choice.host_key);
         self.attempt_count += 1;
-        let mut attempt = Attempt::new(Arc::clone(&self.state), &choice);
+        let mut attempt = GenerateAttempt::new(Arc::clone(&self.state), &choice);
         self.call.manifest = choice.manifest;
         self.call.resume_from = self.next_index;
         self.call.deadline_ms = left_ms;
