--- a/tests/api_errors/main.rs
+++ b/tests/api_errors/main.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn codes_are_errors() {
+fn error_code_status_is_error() {
     for code in ErrorCode::ALL {
         let status = code.status();
         assert!(
--- a/tests/api_input/main.rs
+++ b/tests/api_input/main.rs
@@ -4,14 +4,14 @@
 #[path = "../support/mod.rs"]
 mod support;
 
-mod raw;
+mod raw_http;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use self::raw::Answer;
-use self::raw::exchange;
-use self::raw::send_slowly;
+use self::raw_http::RawAnswer;
+use self::raw_http::exchange;
+use self::raw_http::send_slowly;
 use bergamotfork::weights::Digest;
 use support::Cluster;
 use support::TOKEN;
@@ -21,7 +21,7 @@
 const SLOW_CLIENT_TIMEOUT_MS: u64 = 1000;
 
 /// An entry that knows one branch, a model it may use and one it may not.
-async fn entry() -> (Cluster, SocketAddr) {
+async fn start_entry() -> (Cluster, SocketAddr) {
     let mut cluster = Cluster::new().await;
     let settings = format!(
         "max_body_bytes = {MAX_BODY_BYTES}\nslow_client_timeout_ms = {SLOW_CLIENT_TIMEOUT_MS}\n"
@@ -51,12 +51,12 @@
     (cluster, address)
 }
 
-fn get(address: SocketAddr, path: &str, token: &str) -> Answer {
+fn get(address: SocketAddr, path: &str, token: &str) -> RawAnswer {
     let head = format!("GET {path} HTTP/1.1\r\nauthorization: Bearer {token}\r\n");
     exchange(address, &head, "")
 }
 
-fn post(address: SocketAddr, path: &str, token: &str, body: &str) -> Answer {
+fn post(address: SocketAddr, path: &str, token: &str, body: &str) -> RawAnswer {
     let head = format!(
         "POST {path} HTTP/1.1\r\nauthorization: Bearer {token}\r\n\
          content-type: application/json\r\ncontent-length: {}\r\n",
@@ -72,7 +72,7 @@
 /// A section that does not exist and that the team may write.
 const SECTION: &str = "/v1/config/sections/model%20new";
 
-fn edit(body: &str) -> String {
+fn edit_body(body: &str) -> String {
     format!(r#"{{"edit_id":"e {body}","base_revision":0,"body":"{body}"}}"#)
 }
 
@@ -87,10 +87,10 @@
 
 #[actix_rt::test]
 async fn input_rejected() {
-    let (_cluster, address) = entry().await;
-    let good = generate_body("seaside", "chat");
+    let (_cluster, address) = start_entry().await;
+    let valid = generate_body("seaside", "chat");
     let large = format!("\"{}\"", "x".repeat(MAX_BODY_BYTES));
-    let many = format!(r#"{{"branch":"{}"}}"#, "x".repeat(MAX_BODY_BYTES - 20));
+    let incomplete = format!(r#"{{"branch":"{}"}}"#, "x".repeat(MAX_BODY_BYTES - 20));
     let cases = [
         ("GET", "/v1/nothing", TOKEN, "", 404, "unknown_path"),
         ("GET", "/", TOKEN, "", 404, "unknown_path"),
@@ -124,8 +124,8 @@
         ),
         ("GET", "/v1/status", "", "", 401, "missing_token"),
         ("GET", "/v1/status", "no", "", 401, "wrong_token"),
-        ("POST", "/v1/generate", "", &good, 401, "missing_token"),
-        ("POST", "/v1/generate", "no", &good, 401, "wrong_token"),
+        ("POST", "/v1/generate", "", &valid, 401, "missing_token"),
+        ("POST", "/v1/generate", "no", &valid, 401, "wrong_token"),
         ("POST", "/v1/generate", TOKEN, "", 400, "bad_json"),
         ("POST", "/v1/generate", TOKEN, "{", 400, "bad_json"),
         ("POST", "/v1/generate", TOKEN, "[1]", 400, "bad_json"),
@@ -139,7 +139,7 @@
         ),
         ("POST", "/v1/generate", TOKEN, "\u{1}", 400, "bad_json"),
         ("POST", "/v1/generate", TOKEN, &large, 413, "body_too_large"),
-        ("POST", "/v1/generate", TOKEN, &many, 400, "bad_json"),
+        ("POST", "/v1/generate", TOKEN, &incomplete, 400, "bad_json"),
         (
             "POST",
             "/v1/generate",
@@ -164,7 +164,7 @@
             403,
             "forbidden",
         ),
-        ("POST", "/v1/generate", TOKEN, &good, 503, "no_replica"),
+        ("POST", "/v1/generate", TOKEN, &valid, 503, "no_replica"),
         (
             "POST",
             "/v1/call",
@@ -209,7 +209,7 @@
             "PUT",
             SECTION,
             "",
-            &edit("version = v2"),
+            &edit_body("version = v2"),
             401,
             "missing_token",
         ),
@@ -217,7 +217,7 @@
             "PUT",
             SECTION,
             "no",
-            &edit("version = v2"),
+            &edit_body("version = v2"),
             401,
             "wrong_token",
         ),
@@ -227,7 +227,7 @@
             "PUT",
             SECTION,
             TOKEN,
-            &edit("version = v2"),
+            &edit_body("version = v2"),
             422,
             "invalid_edit",
         ),
@@ -235,7 +235,7 @@
             "PUT",
             "/v1/config/sections/secret%20x",
             TOKEN,
-            &edit(""),
+            &edit_body(""),
             403,
             "forbidden",
         ),
@@ -243,7 +243,7 @@
             "PUT",
             "/v1/config/sections/model%20chat",
             TOKEN,
-            &edit("replicas = 1"),
+            &edit_body("replicas = 1"),
             409,
             "conflict",
         ),
@@ -263,10 +263,14 @@
         assert_eq!(answer.status, status, "{case}");
         assert_eq!(answer.json()["code"], code, "{case}");
         assert!(answer.json()["message"].is_string(), "{case}");
-        let later = answer.json()["retry_after_ms"].is_u64();
-        assert_eq!(later, answer.header("retry-after").is_some(), "{case}");
-        assert_eq!(later, code == "no_replica", "{case}");
-        if path == "/v1/call" && later {
+        let is_retryable = answer.json()["retry_after_ms"].is_u64();
+        assert_eq!(
+            is_retryable,
+            answer.header("retry-after").is_some(),
+            "{case}"
+        );
+        assert_eq!(is_retryable, code == "no_replica", "{case}");
+        if path == "/v1/call" && is_retryable {
             assert_eq!(answer.json()["outcome"], "not_run", "{case}");
             assert_eq!(answer.json()["reason"], "no_endpoint", "{case}");
         }
@@ -276,7 +280,7 @@
 
 #[actix_rt::test]
 async fn input_malformed_http() {
-    let (_cluster, address) = entry().await;
+    let (_cluster, address) = start_entry().await;
     let long = "x".repeat(256 * 1024);
     let cases = [
         "\0\0\0\r\n".to_owned(),
@@ -296,7 +300,7 @@
 
 #[actix_rt::test]
 async fn input_oversized_chunked() {
-    let (_cluster, address) = entry().await;
+    let (_cluster, address) = start_entry().await;
     let head = format!(
         "POST /v1/generate HTTP/1.1\r\nauthorization: Bearer {TOKEN}\r\n\
          content-type: application/json\r\ntransfer-encoding: chunked\r\n"
@@ -313,7 +317,7 @@
 
 #[actix_rt::test]
 async fn input_slow_body() {
-    let (_cluster, address) = entry().await;
+    let (_cluster, address) = start_entry().await;
     let body = generate_body("seaside", "chat");
     let head = format!(
         "POST /v1/generate HTTP/1.1\r\nauthorization: Bearer {TOKEN}\r\n\
@@ -334,7 +338,7 @@
 
 #[actix_rt::test]
 async fn input_slow_head() {
-    let (_cluster, address) = entry().await;
+    let (_cluster, address) = start_entry().await;
     let head = "GET /health/live HTTP/1.1\r\nx-slow: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n";
     let pause = Duration::from_millis(SLOW_CLIENT_TIMEOUT_MS / 8);
     let answer = send_slowly(address, "", head, pause);
@@ -345,7 +349,7 @@
 
 #[actix_rt::test]
 async fn input_without_shared_key() {
-    let (_cluster, address) = entry().await;
+    let (_cluster, address) = start_entry().await;
     for path in ["/x/report", "/x/config"] {
         let answer = post(address, path, TOKEN, "{}");
         assert_eq!(answer.status, 401, "{path}: {answer:?}");
--- a/tests/api_input/raw.rs
+++ b/tests/api_input/raw_http.rs
@@ -13,13 +13,13 @@
 
 /// What came back on a connection; status 0 when it was closed without a word.
 #[derive(Debug)]
-pub struct Answer {
+pub struct RawAnswer {
     pub status: u16,
     head: String,
     body: String,
 }
 
-impl Answer {
+impl RawAnswer {
     fn parse(bytes: &[u8]) -> Self {
         let text = String::from_utf8_lossy(bytes);
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -54,33 +54,33 @@
     stream
 }
 
-fn read_to_close(mut stream: TcpStream) -> Answer {
+fn read_until_closed(mut stream: TcpStream) -> RawAnswer {
     let mut bytes = Vec::new();
     match stream.read_to_end(&mut bytes) {
         Ok(_) => {}
         Err(error) if error.kind() == io::ErrorKind::ConnectionReset => {}
         Err(error) => panic!("no answer: {error}"),
     }
-    Answer::parse(&bytes)
+    RawAnswer::parse(&bytes)
 }
 
 /// Sends a request on a connection of its own and reads the answer.
-pub fn exchange(address: SocketAddr, head: &str, body: &str) -> Answer {
+pub fn exchange(address: SocketAddr, head: &str, body: &str) -> RawAnswer {
     let mut stream = connect(address);
     let request = format!("{head}host: entry\r\nconnection: close\r\n\r\n{body}");
     // The entry may answer and close before it has read everything.
     let _ = stream.write_all(request.as_bytes());
-    read_to_close(stream)
+    read_until_closed(stream)
 }
 
 /// Sends `at_once` and then `bytes` one by one, until the entry closes.
-pub fn send_slowly(address: SocketAddr, at_once: &str, bytes: &str, pause: Duration) -> Answer {
+pub fn send_slowly(address: SocketAddr, at_once: &str, bytes: &str, pause: Duration) -> RawAnswer {
     let mut stream = connect(address);
     stream
         .write_all(at_once.as_bytes())
         .expect("the entry reads");
     let reader = stream.try_clone().expect("a connection can be cloned");
-    let reading = std::thread::spawn(move || read_to_close(reader));
+    let reading = std::thread::spawn(move || read_until_closed(reader));
     for byte in bytes.as_bytes() {
         if reading.is_finished() || stream.write_all(&[*byte]).is_err() {
             break;
--- a/tests/api_status/main.rs
+++ b/tests/api_status/main.rs
@@ -13,13 +13,13 @@
 use support::TOKEN;
 use support::until;
 
-async fn view(cluster: &Cluster, entry: &str) -> Option<StatusView> {
+async fn get_status(cluster: &Cluster, entry: &str) -> Option<StatusView> {
     let url = format!("{entry}/v1/status");
     let body = cluster.call(Method::GET, &url, None).await.ok()?;
     Some(serde_json::from_slice(&body).expect("the answer is a status"))
 }
 
-fn command(entry: &str, token: &str, args: &[&str]) -> Output {
+fn run_status_command(entry: &str, token: &str, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_bergamotfork"))
         .args(["status", "--entry", entry])
         .args(args)
@@ -29,7 +29,7 @@
 }
 
 /// An entry, an engine that serves a model, and an endpoint that cannot.
-async fn cluster() -> (Cluster, String) {
+async fn start_cluster() -> (Cluster, String) {
     let mut cluster = Cluster::new().await;
     let entry = cluster.entry("entry-1", "or-north", "").await;
     cluster.engine("engine-1", "or-north", &[]).await;
@@ -42,9 +42,9 @@
 
 #[actix_rt::test]
 async fn status_of_served_model() {
-    let (mut cluster, entry) = cluster().await;
+    let (mut cluster, entry) = start_cluster().await;
     let view = until("the model is served everywhere", 30, async || {
-        let view = view(&cluster, &entry).await?;
+        let view = get_status(&cluster, &entry).await?;
         let served = view.models.first().is_some_and(|model| model.serving == 1);
         (served && view.behind.is_empty()).then_some(view)
     })
@@ -68,16 +68,16 @@
     assert_eq!(host("entry-1").config_offset, Some(1));
     assert_eq!(host("desk-1").service.as_deref(), Some("bookdesk"));
 
-    let output = command(&entry, TOKEN, &[]);
+    let output = run_status_command(&entry, TOKEN, &[]);
     let text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     assert!(text.contains("chat v1: 1 of 1 serving"), "{text}");
-    let output = command(&entry, TOKEN, &["--json"]);
+    let output = run_status_command(&entry, TOKEN, &["--json"]);
     serde_json::from_slice::<StatusView>(&output.stdout).expect("the output is JSON");
 
     cluster.process("engine-1").kill();
     until("the lost replica shows", 30, async || {
-        let view = self::view(&cluster, &entry).await?;
+        let view = get_status(&cluster, &entry).await?;
         let host = view.hosts.iter().find(|host| host.name == "engine-1")?;
         (view.models[0].serving == 0 && host.standing != "usable").then_some(())
     })
@@ -89,15 +89,17 @@
     let mut cluster = Cluster::new().await;
     let entry = cluster.entry("entry-1", "or-north", "").await;
     until("the entry answers", 20, async || {
-        view(&cluster, &entry).await
+        get_status(&cluster, &entry).await
     })
     .await;
-    assert_eq!(command(&entry, "", &[]).status.code(), Some(2));
-    let output = command(&entry, "wrong", &[]);
+    assert_eq!(run_status_command(&entry, "", &[]).status.code(), Some(2));
+    let output = run_status_command(&entry, "wrong", &[]);
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("wrong_token"));
     assert_eq!(
-        command("http://127.0.0.1:1", TOKEN, &[]).status.code(),
+        run_status_command("http://127.0.0.1:1", TOKEN, &[])
+            .status
+            .code(),
         Some(1)
     );
 }
--- a/tests/api_stop/main.rs
+++ b/tests/api_stop/main.rs
@@ -17,17 +17,17 @@
 use support::TOKEN;
 use support::until;
 
-const TOKENS: u32 = 40;
+const ANSWER_TOKENS: u32 = 40;
 
 /// One entry, one slow engine and one slow service, with a branch that may use both.
-struct Stage {
+struct StopSystem {
     cluster: Cluster,
     entry: String,
     engine: String,
-    desk: String,
+    service: String,
 }
 
-async fn stage() -> Stage {
+async fn start_system() -> StopSystem {
     let mut cluster = Cluster::new().await;
     let entry = cluster.entry("entry-1", "or-north", "").await;
     let engine = cluster
@@ -35,36 +35,36 @@
         .await;
     let engine = cluster.backend_of(&engine);
     let delay = ["--delay-ms", "1500"];
-    let desk = cluster
+    let service = cluster
         .service("desk-1", "or-north", "bookdesk", &delay)
         .await;
-    let desk = cluster.backend_of(&desk);
+    let service = cluster.backend_of(&service);
     let manifest = cluster.publish("chat", "v1", 1 << 17).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 1\n");
     cluster.edit("model chat", 0, &model).await;
-    let service = "idempotent = lookup\ntimeout_ms = 5000\n";
-    cluster.edit("service bookdesk", 0, service).await;
+    let section = "idempotent = lookup\ntimeout_ms = 5000\n";
+    cluster.edit("service bookdesk", 0, section).await;
     let branch = format!(
         "token_digest = {}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n",
         Digest::of_bytes(TOKEN.as_bytes())
     );
     cluster.edit("branch seaside", 0, &branch).await;
-    let stage = Stage {
+    let system = StopSystem {
         cluster,
         entry,
         engine,
-        desk,
+        service,
     };
     until("both kinds of calls are answered", 30, async || {
-        let whole = stage.generate(1).await.is_some();
-        (whole && stage.look_up().await.is_some()).then_some(())
+        let is_complete = system.generate(1).await.is_some();
+        (is_complete && system.call_service().await.is_some()).then_some(())
     })
     .await;
-    stage
+    system
 }
 
-impl Stage {
+impl StopSystem {
     /// Asks for tokens; the number in a whole answer.
     async fn generate(&self, max_tokens: u32) -> Option<u32> {
         let url = format!("{}/v1/generate", self.entry);
@@ -85,7 +85,7 @@
         }
     }
 
-    async fn look_up(&self) -> Option<Value> {
+    async fn call_service(&self) -> Option<Value> {
         let url = format!("{}/v1/call", self.entry);
         let body = json!({
             "branch": "seaside", "service": "bookdesk", "path": "lookup", "body": {"hut": 1},
@@ -99,7 +99,7 @@
     }
 
     /// Waits until the engine runs a stream.
-    async fn stream_runs(&self) {
+    async fn wait_for_stream(&self) {
         let url = format!("http://{}/v1/state", self.engine);
         until("a stream runs", 20, async || {
             let state: Value = HttpClient::to_platform().get_json(&url, 5000).await.ok()?;
@@ -115,18 +115,18 @@
 }
 
 /// Signals `name` while a stream runs: the stream ends whole, the process with 0.
-async fn assert_stream_outlives(name: &str, signal: &str) {
-    let mut stage = stage().await;
-    let (tokens, ()) = futures_util::join!(stage.generate(TOKENS), async {
-        stage.stream_runs().await;
-        signal_to(&stage, name, signal);
+async fn assert_stream_completes(name: &str, signal: &str) {
+    let mut system = start_system().await;
+    let (tokens, ()) = futures_util::join!(system.generate(ANSWER_TOKENS), async {
+        system.wait_for_stream().await;
+        send_signal(&system, name, signal);
     });
-    assert_eq!(tokens, Some(TOKENS), "the stream was cut off");
-    assert_eq!(stage.exit_code(name).await, 0);
+    assert_eq!(tokens, Some(ANSWER_TOKENS), "the stream was cut off");
+    assert_eq!(system.exit_code(name).await, 0);
 }
 
-fn signal_to(stage: &Stage, name: &str, signal: &str) {
-    let found = stage
+fn send_signal(system: &StopSystem, name: &str, signal: &str) {
+    let found = system
         .cluster
         .processes
         .iter()
@@ -140,43 +140,43 @@
 
 #[actix_rt::test]
 async fn stop_entry_term() {
-    assert_stream_outlives("entry-1", "TERM").await;
+    assert_stream_completes("entry-1", "TERM").await;
 }
 
 #[actix_rt::test]
 async fn stop_entry_int() {
-    assert_stream_outlives("entry-1", "INT").await;
+    assert_stream_completes("entry-1", "INT").await;
 }
 
 #[actix_rt::test]
 async fn stop_engine_endpoint_term() {
-    assert_stream_outlives("engine-1", "TERM").await;
+    assert_stream_completes("engine-1", "TERM").await;
 }
 
 #[actix_rt::test]
 async fn stop_engine_endpoint_int() {
-    assert_stream_outlives("engine-1", "INT").await;
+    assert_stream_completes("engine-1", "INT").await;
 }
 
 #[actix_rt::test]
 async fn stop_service_endpoint_term() {
-    let mut stage = stage().await;
-    let ledger = format!("http://{}/ledger", stage.desk);
+    let mut system = start_system().await;
+    let ledger = format!("http://{}/ledger", system.service);
     let before = executions(&ledger).await;
-    let (answer, ()) = futures_util::join!(stage.look_up(), async {
+    let (answer, ()) = futures_util::join!(system.call_service(), async {
         until("the call runs", 20, async || {
             (executions(&ledger).await > before).then_some(())
         })
         .await;
-        signal_to(&stage, "desk-1", "TERM");
+        send_signal(&system, "desk-1", "TERM");
     });
     assert_answered(&answer);
-    assert_eq!(stage.exit_code("desk-1").await, 0);
+    assert_eq!(system.exit_code("desk-1").await, 0);
 }
 
 #[actix_rt::test]
 async fn stop_standins() {
-    let mut stage = stage().await;
+    let mut system = start_system().await;
     for name in [
         "log",
         "hosts",
@@ -184,8 +184,8 @@
         "engine-1-engine",
         "desk-1-service",
     ] {
-        signal_to(&stage, name, "TERM");
-        assert_eq!(stage.exit_code(name).await, 0, "{name}");
+        send_signal(&system, name, "TERM");
+        assert_eq!(system.exit_code(name).await, 0, "{name}");
     }
 }
 
--- a/tests/config_api/main.rs
+++ b/tests/config_api/main.rs
@@ -21,23 +21,23 @@
 const DESK_TOKEN: &str = "token of the desk";
 
 /// Two entries and an endpoint, all with a confirmed configuration.
-async fn start() -> (Cluster, String, String) {
+async fn start_cluster() -> (Cluster, String, String) {
     let mut cluster = Cluster::new().await;
     let desk = format!(
         "[team desk]\ntoken_digest = {}\nsections = service desk-*\n",
         Digest::of_bytes(DESK_TOKEN.as_bytes())
     );
-    let one = cluster.entry("entry-1", "or-north", &desk).await;
-    let two = cluster.entry("entry-2", "wa-coast", &desk).await;
+    let entry_1 = cluster.entry("entry-1", "or-north", &desk).await;
+    let entry_2 = cluster.entry("entry-2", "wa-coast", &desk).await;
     cluster.service("desk-1", "or-north", "bookdesk", &[]).await;
-    for entry in [&one, &two] {
-        ready(&cluster, entry).await;
-        knows_all(&cluster, entry).await;
+    for entry in [&entry_1, &entry_2] {
+        wait_until_ready(&cluster, entry).await;
+        wait_for_processes(&cluster, entry).await;
     }
-    (cluster, one, two)
+    (cluster, entry_1, entry_2)
 }
 
-async fn ready(cluster: &Cluster, entry: &str) {
+async fn wait_until_ready(cluster: &Cluster, entry: &str) {
     let url = format!("{entry}/health/ready");
     until("the entry is ready", 20, async || {
         cluster.call(Method::GET, &url, None).await.ok()
@@ -45,8 +45,8 @@
     .await;
 }
 
-/// Waits until the entry has heard the other two processes.
-async fn knows_all(cluster: &Cluster, entry: &str) {
+/// Waits until the entry has heard the other entry_2 processes.
+async fn wait_for_processes(cluster: &Cluster, entry: &str) {
     let url = format!("{entry}/v1/config/wait?revision=0");
     until("the entry knows all processes", 20, async || {
         let answer = cluster.call(Method::GET, &url, None).await.ok()?;
@@ -56,7 +56,7 @@
     .await;
 }
 
-async fn put(
+async fn put_section(
     cluster: &Cluster,
     entry: &str,
     section: &str,
@@ -77,12 +77,12 @@
 
 #[actix_rt::test]
 async fn put_conflict_shows_winner() {
-    let (cluster, one, two) = start().await;
+    let (cluster, entry_1, entry_2) = start_cluster().await;
     let section = "service bookdesk";
-    let first = put(&cluster, &one, section, ("a", 0, "timeout_ms = 1")).await;
+    let first = put_section(&cluster, &entry_1, section, ("a", 0, "timeout_ms = 1")).await;
     let first = first.expect("accepted");
     let revision = first["revision"].as_u64().expect("a revision");
-    let (status, answer) = put(&cluster, &two, section, ("b", 0, "timeout_ms = 2"))
+    let (status, answer) = put_section(&cluster, &entry_2, section, ("b", 0, "timeout_ms = 2"))
         .await
         .expect_err("the section has changed");
     assert_eq!((status, &answer["code"]), (409, &json!("conflict")));
@@ -90,37 +90,48 @@
     assert_eq!(winner["body"], "timeout_ms = 1");
     assert_eq!(answer["details"]["revision"], revision);
     // The same edit id through the other entry gives the first outcome.
-    let again = put(&cluster, &two, section, ("a", 0, "timeout_ms = 1")).await;
+    let again = put_section(&cluster, &entry_2, section, ("a", 0, "timeout_ms = 1")).await;
     assert_eq!(again, Ok(first));
-    let reused = put(&cluster, &one, section, ("a", revision, "timeout_ms = 9")).await;
+    let reused = put_section(
+        &cluster,
+        &entry_1,
+        section,
+        ("a", revision, "timeout_ms = 9"),
+    )
+    .await;
     assert_eq!(reused.expect_err("the id is taken").0, 400);
 }
 
 #[actix_rt::test]
-async fn put_refused_before_the_log() {
-    let (cluster, one, _) = start().await;
-    let (status, answer) = put(&cluster, &one, "service bookdesk", ("a", 0, "speed = 3"))
-        .await
-        .expect_err("the key is unknown");
+async fn put_refused_before_append() {
+    let (cluster, entry_1, _) = start_cluster().await;
+    let (status, answer) = put_section(
+        &cluster,
+        &entry_1,
+        "service bookdesk",
+        ("a", 0, "speed = 3"),
+    )
+    .await
+    .expect_err("the key is unknown");
     assert_eq!((status, &answer["code"]), (422, &json!("invalid_edit")));
     let fault = &answer["details"]["faults"][0];
     assert_eq!(fault["section"], "service bookdesk");
     assert_eq!(fault["key"], "speed");
     let large = format!("idempotent = {}", "x".repeat(70_000));
-    let (status, answer) = put(&cluster, &one, "service bookdesk", ("b", 0, &large))
+    let (status, answer) = put_section(&cluster, &entry_1, "service bookdesk", ("b", 0, &large))
         .await
         .expect_err("the section is too large");
     assert_eq!(status, 422);
     assert!(answer["message"].to_string().contains("more than 65536"));
-    let rights = put(&cluster, &one, "planet x", ("c", 0, "a = b")).await;
-    assert_eq!(rights.expect_err("no team has it").0, 403);
-    let url = format!("{one}/v1/config");
+    let forbidden = put_section(&cluster, &entry_1, "planet x", ("c", 0, "a = b")).await;
+    assert_eq!(forbidden.expect_err("no team has it").0, 403);
+    let url = format!("{entry_1}/v1/config");
     let shown = cluster.call(Method::GET, &url, None).await.expect("shown");
     let shown: Value = serde_json::from_slice(&shown).expect("JSON");
     assert_eq!(shown["offset"], 0, "nothing was appended: {shown}");
 }
 
-fn config(entry: &str, token: &str, args: &[&str]) -> Output {
+fn run_config(entry: &str, token: &str, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_bergamotfork"))
         .arg("config")
         .args(args)
@@ -142,36 +153,44 @@
 }
 
 #[actix_rt::test]
-async fn config_command_whole_edit() {
-    let (_cluster, one, two) = start().await;
+async fn config_command_edit() {
+    let (_cluster, entry_1, entry_2) = start_cluster().await;
     let file = body_file("whole", "timeout_ms = 700\nidempotent = lookup\n");
     let file = file.to_str().expect("the path is text");
-    let edited = config(&one, TOKEN, &["edit", "service desk-a", "--file", file]);
+    let edited = run_config(&entry_1, TOKEN, &["edit", "service desk-a", "--file", file]);
     assert!(edited.status.success(), "{}", text(&edited.stderr));
-    let told = text(&edited.stdout);
-    let revision = told.trim().strip_prefix("accepted, revision ");
+    let output = text(&edited.stdout);
+    let revision = output.trim().strip_prefix("accepted, revision ");
     let revision = revision.expect("the revision is told");
-    let waited = config(&two, TOKEN, &["wait", revision]);
+    let waited = run_config(&entry_2, TOKEN, &["wait", revision]);
     assert_eq!(text(&waited.stdout), "in force on 3 of 3 processes\n");
-    let shown = config(&two, DESK_TOKEN, &["show"]);
+    let shown = run_config(&entry_2, DESK_TOKEN, &["show"]);
     assert!(text(&shown.stdout).contains("[service desk-a]\ntimeout_ms = 700"));
-    let got = config(&two, DESK_TOKEN, &["get", "service desk-a"]);
+    let got = run_config(&entry_2, DESK_TOKEN, &["get", "service desk-a"]);
     assert!(text(&got.stdout).contains("idempotent = lookup"));
     let other = body_file("other", "timeout_ms = 800\n");
     let other = other.to_str().expect("the path is text");
-    let diff = config(&one, TOKEN, &["diff", "service desk-a", "--file", other]);
+    let diff = run_config(
+        &entry_1,
+        TOKEN,
+        &["diff", "service desk-a", "--file", other],
+    );
     let expected = "- timeout_ms = 700\n+ timeout_ms = 800\n- idempotent = lookup\n";
     assert_eq!(text(&diff.stdout), expected);
-    let late = ["edit", "service desk-a", "--file", other, "--base", "0"];
-    let late = config(&one, DESK_TOKEN, &late);
-    assert_eq!(late.status.code(), Some(1));
+    let stale = ["edit", "service desk-a", "--file", other, "--base", "0"];
+    let stale = run_config(&entry_1, DESK_TOKEN, &stale);
+    assert_eq!(stale.status.code(), Some(1));
     assert!(
-        text(&late.stderr).contains("timeout_ms = 700"),
+        text(&stale.stderr).contains("timeout_ms = 700"),
         "the winner"
     );
-    let gone = config(&one, DESK_TOKEN, &["edit", "service desk-a", "--delete"]);
-    assert!(gone.status.success(), "{}", text(&gone.stderr));
-    let history = config(&one, TOKEN, &["history", "--section", "service desk-a"]);
+    let deleted = run_config(
+        &entry_1,
+        DESK_TOKEN,
+        &["edit", "service desk-a", "--delete"],
+    );
+    assert!(deleted.status.success(), "{}", text(&deleted.stderr));
+    let history = run_config(&entry_1, TOKEN, &["history", "--section", "service desk-a"]);
     let history = text(&history.stdout);
     let teams: Vec<&str> = history
         .lines()
@@ -182,19 +201,23 @@
 
 #[actix_rt::test]
 async fn config_command_refusals() {
-    let (_cluster, one, _) = start().await;
+    let (_cluster, entry_1, _) = start_cluster().await;
     let file = body_file("refused", "timeout_ms = 700\n");
     let file = file.to_str().expect("the path is text");
-    let foreign = config(&one, DESK_TOKEN, &["edit", "service other", "--file", file]);
-    assert_eq!(foreign.status.code(), Some(1));
-    assert!(text(&foreign.stderr).contains("forbidden: team \"desk\" may write"));
-    let unknown = config(&one, "no token", &["show"]);
+    let other_team = run_config(
+        &entry_1,
+        DESK_TOKEN,
+        &["edit", "service other", "--file", file],
+    );
+    assert_eq!(other_team.status.code(), Some(1));
+    assert!(text(&other_team.stderr).contains("forbidden: team \"desk\" may write"));
+    let unknown = run_config(&entry_1, "no token", &["show"]);
     assert!(text(&unknown.stderr).contains("wrong_token"));
-    let absent = config(&one, TOKEN, &["get", "model none"]);
+    let absent = run_config(&entry_1, TOKEN, &["get", "model none"]);
     assert!(text(&absent.stderr).contains("does not exist"));
-    let late = config(&one, TOKEN, &["wait", "5", "--timeout-s", "0"]);
-    assert_eq!(late.status.code(), Some(1));
-    let lacking = text(&late.stderr);
+    let stale = run_config(&entry_1, TOKEN, &["wait", "5", "--timeout-s", "0"]);
+    assert_eq!(stale.status.code(), Some(1));
+    let lacking = text(&stale.stderr);
     assert!(lacking.contains("in force on 0 of 3 processes; not on "));
     assert!(lacking.contains("desk-1") && lacking.contains("entry-2"));
 }
--- a/tests/generate_path/world.rs
+++ b/tests/generate_path/generate_cluster.rs
@@ -19,13 +19,13 @@
 const ENGINE_ARGS: [&str; 5] = ["--first-token-ms", "20", "--token-ms", "30", "--may-crash"];
 
 /// An entry and some replicas of one model.
-pub struct World {
+pub struct GenerateCluster {
     cluster: Cluster,
     entry: String,
     engines: Vec<String>,
 }
 
-impl World {
+impl GenerateCluster {
     pub async fn start(replicas: usize) -> Self {
         let mut cluster = Cluster::new().await;
         let entry = cluster.entry("entry-1", "or-north", "").await;
@@ -42,19 +42,19 @@
         let digest = Digest::of_bytes(TOKEN.as_bytes());
         let branch = format!("token_digest = {digest}\nshare_percent = 50\nmodels = chat\n");
         cluster.edit("branch seaside", 0, &branch).await;
-        let world = Self {
+        let started = Self {
             cluster,
             entry,
             engines,
         };
-        world.ready().await;
-        world
+        started.wait_until_ready().await;
+        started
     }
 
     /// Waits until the entry knows the model and every engine serves it.
-    async fn ready(&self) {
+    async fn wait_until_ready(&self) {
         until("the entry knows the model", 30, async || {
-            match self.ask("ready?", 1).await {
+            match self.generate("ready?", 1).await {
                 Ok(_) => Some(()),
                 Err(error) => error.to_string().contains("no_replica").then_some(()),
             }
@@ -71,7 +71,7 @@
             if states.iter().all(|state| state.started > 0) {
                 return Some(());
             }
-            let _ = self.ask("ready?", 1).await;
+            let _ = self.generate("ready?", 1).await;
             None
         })
         .await;
@@ -90,12 +90,12 @@
         states
     }
 
-    pub async fn engines_alive(&self) -> usize {
+    pub async fn live_engine_count(&self) -> usize {
         self.states().await.len()
     }
 
     /// The endpoint whose engine runs a stream.
-    pub async fn serving(&self) -> usize {
+    pub async fn running_engine(&self) -> usize {
         until("an engine runs the stream", 20, async || {
             let states = self.states().await;
             states.iter().position(|state| state.running > 0)
@@ -104,7 +104,7 @@
     }
 
     /// Waits until no engine runs a stream.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         until("no engine runs a stream", 20, async || {
             let states = self.states().await;
             states.iter().all(|state| state.running == 0).then_some(())
@@ -116,21 +116,21 @@
         self.cluster.process(&format!("engine-{number}"))
     }
 
-    pub async fn ask(&self, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
-        ask(&self.entry, prompt, tokens).await
+    pub async fn generate(&self, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
+        send_generate(&self.entry, prompt, tokens).await
     }
 
     /// Sends a request whose answer is awaited later.
-    pub fn start_asking(&self, prompt: &'static str, tokens: u32) -> JoinHandle<Bytes> {
+    pub fn spawn_generate(&self, prompt: &'static str, tokens: u32) -> JoinHandle<Bytes> {
         let entry = self.entry.clone();
         actix_rt::spawn(async move {
-            let answer = ask(&entry, prompt, tokens).await;
+            let answer = send_generate(&entry, prompt, tokens).await;
             answer.expect("the entry answers")
         })
     }
 
     /// Checks that an answer is whole, in order and made with one version.
-    pub fn check(&self, answer: &Bytes, prompt: &str, tokens: u32) {
+    pub fn assert_answer(&self, answer: &Bytes, prompt: &str, tokens: u32) {
         let lines = answer.split(|&byte| byte == b'\n');
         let mut events: Vec<StreamEvent> = lines
             .filter(|line| !line.is_empty())
@@ -156,14 +156,14 @@
     }
 
     /// Checks that a planned stop made no request run again.
-    pub async fn started_once(&self) {
+    pub async fn assert_started_once(&self) {
         let started: u64 = self.states().await.iter().map(|state| state.started).sum();
-        let asked = self.asked().await;
-        assert_eq!(started, asked);
+        let answered = self.answered_count().await;
+        assert_eq!(started, answered);
     }
 
     /// Requests that the entry has answered whole.
-    async fn asked(&self) -> u64 {
+    async fn answered_count(&self) -> u64 {
         let url = format!("{}/metrics", self.entry);
         let request = HttpClient::to_platform().request(Method::GET, &url);
         let text = HttpClient::exchange(request, Bytes::new(), 2000).await;
@@ -176,7 +176,7 @@
     }
 }
 
-async fn ask(entry: &str, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
+async fn send_generate(entry: &str, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
     let body: Value = json!({
         "branch": "seaside", "model": "chat", "prompt": prompt, "max_tokens": tokens, "seed": SEED,
     });
--- a/tests/generate_path/main.rs
+++ b/tests/generate_path/main.rs
@@ -1,23 +1,23 @@
 //! Token streams under faults, as separate processes.
 
+mod generate_cluster;
 #[path = "../support/mod.rs"]
 mod support;
-mod world;
 
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::world::World;
+use crate::generate_cluster::GenerateCluster;
 use bergamotfork::links::LinkError;
 
 /// Tokens of an answer that takes about two seconds.
-const LONG: u32 = 60;
+const LONG_ANSWER_TOKENS: u32 = 60;
 
 #[actix_rt::test]
-async fn generate_without_replica_tells_when_to_come_back() {
-    let world = World::start(0).await;
-    let refused = world
-        .ask("anyone?", 1)
+async fn generate_no_replica() {
+    let cluster = GenerateCluster::start(0).await;
+    let refused = cluster
+        .generate("anyone?", 1)
         .await
         .expect_err("no replica is there");
     let LinkError::Status {
@@ -34,66 +34,87 @@
 
 #[actix_rt::test]
 async fn generate_resumes_after_kill() {
-    let mut world = World::start(2).await;
-    let answer = world.start_asking("tides?", LONG);
-    let serving = world.serving().await;
-    world.process(serving).kill();
-    world.check(&answer.await.expect("the caller waits"), "tides?", LONG);
+    let mut cluster = GenerateCluster::start(2).await;
+    let answer = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
+    let running = cluster.running_engine().await;
+    cluster.process(running).kill();
+    cluster.assert_answer(
+        &answer.await.expect("the caller waits"),
+        "tides?",
+        LONG_ANSWER_TOKENS,
+    );
 }
 
 #[actix_rt::test]
 async fn generate_resumes_after_silence() {
-    let mut world = World::start(2).await;
+    let mut cluster = GenerateCluster::start(2).await;
     let start = Instant::now();
-    let answer = world.start_asking("tides?", LONG);
-    let serving = world.serving().await;
-    world.process(serving).signal("STOP");
+    let answer = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
+    let running = cluster.running_engine().await;
+    cluster.process(running).signal("STOP");
     let answer = answer.await.expect("the caller waits");
     let took = start.elapsed();
-    world.process(serving).signal("CONT");
-    world.check(&answer, "tides?", LONG);
+    cluster.process(running).signal("CONT");
+    cluster.assert_answer(&answer, "tides?", LONG_ANSWER_TOKENS);
     assert!(took < Duration::from_secs(15), "{took:?}");
 }
 
 #[actix_rt::test]
-async fn generate_outlives_planned_stop() {
-    let mut world = World::start(2).await;
-    let answer = world.start_asking("tides?", LONG);
-    let serving = world.serving().await;
-    world.process(serving).signal("TERM");
+async fn generate_planned_stop() {
+    let mut cluster = GenerateCluster::start(2).await;
+    let answer = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
+    let running = cluster.running_engine().await;
+    cluster.process(running).signal("TERM");
     for number in 0..10 {
         let prompt = format!("rule {number}?");
-        let answer = world.ask(&prompt, 2).await.expect("a replica is left");
-        world.check(&answer, &prompt, 2);
+        let answer = cluster
+            .generate(&prompt, 2)
+            .await
+            .expect("a replica is left");
+        cluster.assert_answer(&answer, &prompt, 2);
     }
-    world.check(&answer.await.expect("the caller waits"), "tides?", LONG);
-    world.started_once().await;
+    cluster.assert_answer(
+        &answer.await.expect("the caller waits"),
+        "tides?",
+        LONG_ANSWER_TOKENS,
+    );
+    cluster.assert_started_once().await;
 }
 
 #[actix_rt::test]
-async fn generate_is_cancelled_when_the_caller_goes() {
-    let world = World::start(2).await;
-    let answer = world.start_asking("tides?", 1000);
-    world.serving().await;
+async fn generate_caller_disconnects() {
+    let cluster = GenerateCluster::start(2).await;
+    let answer = cluster.spawn_generate("tides?", 1000);
+    cluster.running_engine().await;
     answer.abort();
-    world.idle().await;
+    cluster.wait_until_idle().await;
 }
 
 /// A prompt that kills every engine is refused after three deaths of the fleet.
 #[actix_rt::test]
-async fn generate_poison_is_refused_after_three_deaths() {
-    let world = World::start(5).await;
-    let innocent = world.start_asking("tides?", LONG);
-    world.serving().await;
-    let poison = "what [[crash]] is this?";
+async fn generate_refused_after_three_crashes() {
+    let cluster = GenerateCluster::start(5).await;
+    let unaffected = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
+    cluster.running_engine().await;
+    let crashing = "what [[crash]] is this?";
     for _ in 0..6 {
-        let refused = world.ask(poison, 4).await;
+        let refused = cluster.generate(crashing, 4).await;
         assert!(refused.is_err(), "no engine survives it");
     }
-    let refused = world.ask(poison, 4).await.expect_err("it is refused");
+    let refused = cluster
+        .generate(crashing, 4)
+        .await
+        .expect_err("it is refused");
     assert!(refused.to_string().contains("request_blocked"), "{refused}");
-    assert!(world.engines_alive().await >= 2);
-    world.check(&innocent.await.expect("the caller waits"), "tides?", LONG);
-    let answer = world.ask("rules?", 4).await.expect("engines are left");
-    world.check(&answer, "rules?", 4);
+    assert!(cluster.live_engine_count().await >= 2);
+    cluster.assert_answer(
+        &unaffected.await.expect("the caller waits"),
+        "tides?",
+        LONG_ANSWER_TOKENS,
+    );
+    let answer = cluster
+        .generate("rules?", 4)
+        .await
+        .expect("engines are left");
+    cluster.assert_answer(&answer, "rules?", 4);
 }
