--- a/tests/api_errors/main.rs
+++ b/tests/api_errors/main.rs
@@ -1,4 +1,4 @@
-//! The typed JSON errors of the entry, apart from any running process.
+//! Tests the JSON errors of the entry without a running process.
 
 use actix_web::ResponseError;
 use actix_web::body::to_bytes;
--- a/tests/api_input/main.rs
+++ b/tests/api_input/main.rs
@@ -1,5 +1,5 @@
-//! Bad input at a running entry: each case gets its typed error, and the
-//! process answers the next caller.
+//! Tests invalid input to a running entry: each case is answered with its error code, and
+//! the entry answers the next request.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -17,10 +17,13 @@
 use support::TOKEN;
 use support::until;
 
+/// Limit of request bodies that the entry is configured with.
 const MAX_BODY_BYTES: usize = 2048;
+/// Time within which a client has to send its request.
 const SLOW_CLIENT_TIMEOUT_MS: u64 = 1000;
 
-/// An entry that knows one branch, a model it may use and one it may not.
+/// Starts an entry with one branch, a model that the branch may use and one that it may
+/// not.
 async fn start_entry() -> (Cluster, SocketAddr) {
     let mut cluster = Cluster::new().await;
     let settings = format!(
@@ -69,7 +72,7 @@
     format!(r#"{{"branch":"{branch}","model":"{model}","prompt":"hut?","max_tokens":2}}"#)
 }
 
-/// A section that does not exist and that the team may write.
+/// Path of a section that does not exist and that the team may write.
 const SECTION: &str = "/v1/config/sections/model%20new";
 
 fn edit_body(body: &str) -> String {
@@ -80,6 +83,7 @@
     format!(r#"{{"branch":"{branch}","service":"{service}","path":"lookup","body":{{}}}}"#)
 }
 
+/// Checks that the entry still answers.
 fn assert_healthy(address: SocketAddr, after: &str) {
     let answer = exchange(address, "GET /health/live HTTP/1.1\r\n", "");
     assert_eq!(answer.status, 200, "not healthy after {after}");
@@ -291,7 +295,7 @@
     ];
     for head in cases {
         let answer = exchange(address, &head, "");
-        // A head that cannot be parsed has no path whose error could be typed.
+        // A head that cannot be parsed is refused by the HTTP server, without an error code.
         let refused = (400..500).contains(&answer.status) || answer.status == 0;
         assert!(refused, "{head:.60}: {answer:?}");
         assert_healthy(address, &head[..head.len().min(60)]);
@@ -342,7 +346,7 @@
     let head = "GET /health/live HTTP/1.1\r\nx-slow: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n";
     let pause = Duration::from_millis(SLOW_CLIENT_TIMEOUT_MS / 8);
     let answer = send_slowly(address, "", head, pause);
-    // The head is incomplete, so there is no path whose error could be typed.
+    // An incomplete head is refused by the HTTP server, without an error code.
     assert_eq!(answer.status, 408, "{answer:?}");
     assert_healthy(address, "a slow head");
 }
--- a/tests/api_input/raw_http.rs
+++ b/tests/api_input/raw_http.rs
@@ -8,10 +8,10 @@
 
 use serde_json::Value;
 
-/// Longest wait for an answer.
+/// Longest wait for the next bytes of an answer.
 const ANSWER_WAIT: Duration = Duration::from_secs(20);
 
-/// What came back on a connection; status 0 when it was closed without a word.
+/// Answer as received; the status is 0 if the connection was closed without one.
 #[derive(Debug)]
 pub struct RawAnswer {
     pub status: u16,
@@ -40,7 +40,7 @@
         self.head.lines().find_map(|line| line.strip_prefix(&start))
     }
 
-    /// The body, or null when it is not JSON.
+    /// The body; null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
@@ -54,6 +54,7 @@
     stream
 }
 
+/// Reads the answer until the entry closes the connection.
 fn read_until_closed(mut stream: TcpStream) -> RawAnswer {
     let mut bytes = Vec::new();
     match stream.read_to_end(&mut bytes) {
@@ -64,7 +65,9 @@
     RawAnswer::parse(&bytes)
 }
 
-/// Sends a request on a connection of its own and reads the answer.
+/// Sends a request over a new connection and reads the answer.
+///
+/// The headers `host` and `connection` are added to the head.
 pub fn exchange(address: SocketAddr, head: &str, body: &str) -> RawAnswer {
     let mut stream = connect(address);
     let request = format!("{head}host: entry\r\nconnection: close\r\n\r\n{body}");
@@ -73,7 +76,8 @@
     read_until_closed(stream)
 }
 
-/// Sends `at_once` and then `bytes` one by one, until the entry closes.
+/// Sends `at_once`, then `bytes` one by one with pauses, until the entry closes the
+/// connection.
 pub fn send_slowly(address: SocketAddr, at_once: &str, bytes: &str, pause: Duration) -> RawAnswer {
     let mut stream = connect(address);
     stream
--- a/tests/api_status/main.rs
+++ b/tests/api_status/main.rs
@@ -1,4 +1,4 @@
-//! The status of the whole system, as an entry and the command line show it.
+//! Tests the status of all hosts and models, as shown by an entry and by the command `status`.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -13,12 +13,14 @@
 use support::TOKEN;
 use support::until;
 
+/// Status as answered by an entry; `None` if it does not answer.
 async fn get_status(cluster: &Cluster, entry: &str) -> Option<StatusView> {
     let url = format!("{entry}/v1/status");
     let body = cluster.call(Method::GET, &url, None).await.ok()?;
     Some(serde_json::from_slice(&body).expect("the answer is a status"))
 }
 
+/// Runs the command `status` and returns its output.
 fn run_status_command(entry: &str, token: &str, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_bergamotfork"))
         .args(["status", "--entry", entry])
@@ -28,7 +30,8 @@
         .expect("the program starts")
 }
 
-/// An entry, an engine that serves a model, and an endpoint that cannot.
+/// Starts an entry, an endpoint with an engine that serves a model, and an endpoint of a
+/// service.
 async fn start_cluster() -> (Cluster, String) {
     let mut cluster = Cluster::new().await;
     let entry = cluster.entry("entry-1", "or-north", "").await;
@@ -76,11 +79,15 @@
     serde_json::from_slice::<StatusView>(&output.stdout).expect("the output is JSON");
 
     cluster.process("engine-1").kill();
-    until("the lost replica shows", 30, async || {
-        let view = get_status(&cluster, &entry).await?;
-        let host = view.hosts.iter().find(|host| host.name == "engine-1")?;
-        (view.models[0].serving == 0 && host.standing != "usable").then_some(())
-    })
+    until(
+        "the killed replica is no longer shown as serving",
+        30,
+        async || {
+            let view = self::get_status(&cluster, &entry).await?;
+            let host = view.hosts.iter().find(|host| host.name == "engine-1")?;
+            (view.models[0].serving == 0 && host.standing != "usable").then_some(())
+        },
+    )
     .await;
 }
 
--- a/tests/api_stop/main.rs
+++ b/tests/api_stop/main.rs
@@ -1,5 +1,5 @@
-//! A planned stop of each role, by SIGTERM and SIGINT: requests in progress are
-//! finished, and the process ends with 0.
+//! Tests planned stops of each role by SIGTERM and SIGINT: requests in progress are
+//! completed, and the process exits with code 0.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -17,17 +17,22 @@
 use support::TOKEN;
 use support::until;
 
+/// Tokens of an answer that takes about two seconds.
 const ANSWER_TOKENS: u32 = 40;
 
-/// One entry, one slow engine and one slow service, with a branch that may use both.
-struct StopSystem {
+/// An entry, a slow engine and a slow service, with a branch that may use both.
+struct TestSystem {
     cluster: Cluster,
+    /// URL of the entry.
     entry: String,
+    /// Address of the engine behind its endpoint.
     engine: String,
+    /// Address of the service behind its endpoint.
     service: String,
 }
 
-async fn start_system() -> StopSystem {
+/// Starts the processes and waits until the entry answers both kinds of requests.
+async fn start_system() -> TestSystem {
     let mut cluster = Cluster::new().await;
     let entry = cluster.entry("entry-1", "or-north", "").await;
     let engine = cluster
@@ -50,7 +55,7 @@
         Digest::of_bytes(TOKEN.as_bytes())
     );
     cluster.edit("branch seaside", 0, &branch).await;
-    let system = StopSystem {
+    let system = TestSystem {
         cluster,
         entry,
         engine,
@@ -64,8 +69,8 @@
     system
 }
 
-impl StopSystem {
-    /// Asks for tokens; the number in a whole answer.
+impl TestSystem {
+    /// Requests tokens; returns their number if the answer is complete.
     async fn generate(&self, max_tokens: u32) -> Option<u32> {
         let url = format!("{}/v1/generate", self.entry);
         let body = json!({
@@ -85,6 +90,7 @@
         }
     }
 
+    /// Calls the service; returns its answer.
     async fn call_service(&self) -> Option<Value> {
         let url = format!("{}/v1/call", self.entry);
         let body = json!({
@@ -108,13 +114,15 @@
         .await;
     }
 
+    /// Waits until a process ends; returns its exit code.
     async fn exit_code(&mut self, name: &str) -> i32 {
         let process = self.cluster.process(name);
         until(&format!("{name} ends"), 30, async || process.exit_code()).await
     }
 }
 
-/// Signals `name` while a stream runs: the stream ends whole, the process with 0.
+/// Signals a process during a token stream; the stream has to complete and the process to
+/// exit with code 0.
 async fn assert_stream_completes(name: &str, signal: &str) {
     let mut system = start_system().await;
     let (tokens, ()) = futures_util::join!(system.generate(ANSWER_TOKENS), async {
@@ -125,7 +133,7 @@
     assert_eq!(system.exit_code(name).await, 0);
 }
 
-fn send_signal(system: &StopSystem, name: &str, signal: &str) {
+fn send_signal(system: &TestSystem, name: &str, signal: &str) {
     let found = system
         .cluster
         .processes
@@ -189,6 +197,7 @@
     }
 }
 
+/// Number of executions that the service has recorded in its ledger.
 async fn executions(ledger: &str) -> usize {
     let ledger: Result<Vec<Value>, _> = HttpClient::to_platform().get_json(ledger, 5000).await;
     ledger.map_or(0, |executions| executions.len())
--- a/tests/config_api/main.rs
+++ b/tests/config_api/main.rs
@@ -1,4 +1,4 @@
-//! The administration API and the `config` command against real processes.
+//! Tests the administration API and the command `config` against real processes.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -20,7 +20,7 @@
 
 const DESK_TOKEN: &str = "token of the desk";
 
-/// Two entries and an endpoint, all with a confirmed configuration.
+/// Starts two entries and an endpoint, and waits until their configuration is confirmed.
 async fn start_cluster() -> (Cluster, String, String) {
     let mut cluster = Cluster::new().await;
     let desk = format!(
@@ -45,7 +45,7 @@
     .await;
 }
 
-/// Waits until the entry has heard the other entry_2 processes.
+/// Waits until the entry knows the other two processes.
 async fn wait_for_processes(cluster: &Cluster, entry: &str) {
     let url = format!("{entry}/v1/config/wait?revision=0");
     until("the entry knows all processes", 20, async || {
@@ -56,6 +56,8 @@
     .await;
 }
 
+/// Sends an edit, given as edit id, base revision and body, and returns the answer or the
+/// status and body of the error.
 async fn put_section(
     cluster: &Cluster,
     entry: &str,
@@ -124,13 +126,14 @@
     assert_eq!(status, 422);
     assert!(answer["message"].to_string().contains("more than 65536"));
     let forbidden = put_section(&cluster, &entry_1, "planet x", ("c", 0, "a = b")).await;
-    assert_eq!(forbidden.expect_err("no team has it").0, 403);
+    assert_eq!(forbidden.expect_err("no team may write the section").0, 403);
     let url = format!("{entry_1}/v1/config");
     let shown = cluster.call(Method::GET, &url, None).await.expect("shown");
     let shown: Value = serde_json::from_slice(&shown).expect("JSON");
     assert_eq!(shown["offset"], 0, "nothing was appended: {shown}");
 }
 
+/// Runs the command `config` and returns its output.
 fn run_config(entry: &str, token: &str, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_bergamotfork"))
         .arg("config")
@@ -145,6 +148,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
+/// Writes the body of a section to a temporary file.
 fn body_file(name: &str, body: &str) -> PathBuf {
     let name = format!("bergamotfork-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -161,7 +165,7 @@
     assert!(edited.status.success(), "{}", text(&edited.stderr));
     let output = text(&edited.stdout);
     let revision = output.trim().strip_prefix("accepted, revision ");
-    let revision = revision.expect("the revision is told");
+    let revision = revision.expect("the output names the revision");
     let waited = run_config(&entry_2, TOKEN, &["wait", revision]);
     assert_eq!(text(&waited.stdout), "in force on 3 of 3 processes\n");
     let shown = run_config(&entry_2, DESK_TOKEN, &["show"]);
@@ -215,9 +219,9 @@
     assert!(text(&unknown.stderr).contains("wrong_token"));
     let absent = run_config(&entry_1, TOKEN, &["get", "model none"]);
     assert!(text(&absent.stderr).contains("does not exist"));
-    let stale = run_config(&entry_1, TOKEN, &["wait", "5", "--timeout-s", "0"]);
-    assert_eq!(stale.status.code(), Some(1));
-    let lacking = text(&stale.stderr);
+    let timed_out = run_config(&entry_1, TOKEN, &["wait", "5", "--timeout-s", "0"]);
+    assert_eq!(timed_out.status.code(), Some(1));
+    let lacking = text(&timed_out.stderr);
     assert!(lacking.contains("in force on 0 of 3 processes; not on "));
     assert!(lacking.contains("desk-1") && lacking.contains("entry-2"));
 }
--- a/tests/generate_path/main.rs
+++ b/tests/generate_path/main.rs
@@ -1,4 +1,6 @@
-//! Token streams under faults, as separate processes.
+//! Tests token streams through an entry while endpoints, engines and callers fail.
+//!
+//! Entry, endpoints and engines run as separate processes.
 
 mod generate_cluster;
 #[path = "../support/mod.rs"]
@@ -10,7 +12,7 @@
 use crate::generate_cluster::GenerateCluster;
 use bergamotfork::links::LinkError;
 
-/// Tokens of an answer that takes about two seconds.
+/// Number of tokens of an answer that takes about two seconds.
 const LONG_ANSWER_TOKENS: u32 = 60;
 
 #[actix_rt::test]
@@ -19,7 +21,7 @@
     let refused = cluster
         .generate("anyone?", 1)
         .await
-        .expect_err("no replica is there");
+        .expect_err("there is no replica");
     let LinkError::Status {
         status,
         retry_after_ms,
@@ -90,7 +92,8 @@
     cluster.wait_until_idle().await;
 }
 
-/// A prompt that kills every engine is refused after three deaths of the fleet.
+/// A prompt that crashes every engine is refused after three crashes, so that the other
+/// engines keep running.
 #[actix_rt::test]
 async fn generate_refused_after_three_crashes() {
     let cluster = GenerateCluster::start(5).await;
