--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -68,9 +68,9 @@
 ) -> Result<HttpResponse, ApiError> {
     let document = state.node.document();
     let branch = auth::authenticate_branch(&document, &query.branch, &request)?;
-    let wanted = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
+    let count = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
     let permits = match &query.service {
-        Some(service) => call_permits::issue_permits(&state, &branch.name, service, wanted),
+        Some(service) => call_permits::issue_permits(&state, &branch.name, service, count),
         None => Vec::new(),
     };
     Ok(HttpResponse::Ok().json(AddressesAnswer {
--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -197,6 +197,7 @@
     }
 }
 
+/// Error for an edit whose base revision is not the current one, with the current section.
 fn conflict_error(state: &EntryState, edit: &Edit, offset: Option<u64>) -> ApiError {
     let document = state.node.document();
     let winner = document.section(&edit.section).cloned();
@@ -214,6 +215,7 @@
     ApiError::detailed(ErrorCode::Conflict, message, json!(details))
 }
 
+/// Error that lists the faults of an edit.
 fn invalid_edit_error(faults: &[SectionFault]) -> ApiError {
     let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
     let message = texts.join("; ");
--- a/src/entry/auth.rs
+++ b/src/entry/auth.rs
@@ -7,7 +7,7 @@
 use crate::entry::ErrorCode;
 use crate::weights::Digest;
 
-/// Digest of the bearer token of `request`.
+/// Digest of the bearer token that the request carries.
 ///
 /// # Errors
 ///
--- a/src/entry/call_answer.rs
+++ b/src/entry/call_answer.rs
@@ -72,6 +72,7 @@
     }
 }
 
+/// Builder of an answer with the status and, if there is a wait, the header `Retry-After`.
 fn response_builder(status: StatusCode, retry_after_ms: Option<u64>) -> HttpResponseBuilder {
     let mut builder = HttpResponse::build(status);
     if let Some(wait_ms) = retry_after_ms {
--- a/src/entry/call_permits.rs
+++ b/src/entry/call_permits.rs
@@ -29,25 +29,25 @@
     let document = state.node.document();
     let branch = auth::authenticate_branch(&document, &query.branch, &request)?;
     authorize_service(&document, &branch, &query.service)?;
-    let wanted = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
-    let permits = issue_permits(&state, &branch.name, &query.service, wanted);
+    let count = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
+    let permits = issue_permits(&state, &branch.name, &query.service, count);
     Ok(HttpResponse::Ok().json(json!({ "permits": permits })))
 }
 
-/// Issues `wanted` permits, spread evenly over the usable endpoints of a service; none if
+/// Issues `count` permits, spread evenly over the usable endpoints of a service; none if
 /// there is no such endpoint.
 pub(super) fn issue_permits(
     state: &EntryState,
     branch: &str,
     service: &str,
-    wanted: usize,
+    count: usize,
 ) -> Vec<Permit> {
     let mut targets = permit_targets(state, service);
     targets.shuffle(&mut rand::rng());
     let permits: Vec<Permit> = targets
         .into_iter()
         .cycle()
-        .take(wanted)
+        .take(count)
         .map(|target| Permit::issue(&state.permit_key, target, branch, service))
         .collect();
     let mut ledger = state.calls.ledger();
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -396,6 +396,7 @@
     }
 }
 
+/// Error for a request whose deadline passed before the end of the answer.
 fn deadline_error() -> ApiError {
     let message = "the deadline passed before the answer was complete";
     ApiError::new(ErrorCode::DeadlinePassed, message)
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -91,6 +91,7 @@
     }
 }
 
+/// Records of one read, as the follower takes them.
 fn to_log_page(slice: &LogSlice) -> LogPage {
     let records = slice.records.iter().map(|entry| LoggedRecord {
         offset: entry.offset,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -114,10 +114,10 @@
         self.server.kill().await;
     }
 
-    /// Stops without failing a request.
+    /// Stops as planned.
     ///
     /// The entry removes itself from the addresses, serves until those that callers
-    /// hold have expired, and then finishes the requests in progress.
+    /// hold have expired, and then completes the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit(Event::ProcessStopping, &[("host", &node.name())]);
