--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -15,9 +15,10 @@
 use crate::regions::Place;
 use crate::regions::spread;
 
-/// Entries named in one answer.
+/// Largest number of entries in one answer.
 const MAX_ENTRIES: usize = 8;
 
+/// Query parameters of `GET /v1/addresses`.
 #[derive(Debug, Deserialize)]
 pub struct AddressesQuery {
     branch: String,
@@ -25,7 +26,7 @@
     region: Option<String>,
 }
 
-/// One entry a caller may use.
+/// Address and location of an entry.
 #[derive(Debug, Serialize)]
 struct EntryAddress {
     url: String,
@@ -50,6 +51,7 @@
     }
 }
 
+/// Answer of `GET /v1/addresses`.
 #[derive(Debug, Serialize)]
 struct AddressesAnswer {
     entries: Vec<EntryAddress>,
@@ -57,28 +59,30 @@
     permits: Vec<Permit>,
 }
 
-/// Answers which entries to use, for how long, and permits for a service.
-pub async fn addresses(
+/// Handles `GET /v1/addresses`: the entries to use, how long they are valid, and
+/// permits for a service if one is named.
+pub async fn get_addresses(
     state: web::Data<EntryState>,
     request: HttpRequest,
     query: web::Query<AddressesQuery>,
 ) -> Result<HttpResponse, ApiError> {
     let document = state.node.document();
-    let branch = auth::branch(&document, &query.branch, &request)?;
-    let wanted = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
+    let branch = auth::authenticate_branch(&document, &query.branch, &request)?;
+    let count = usize::try_from(state.settings.permits_per_answer).unwrap_or(1);
     let permits = match &query.service {
-        Some(service) => call_permits::issue(&state, &branch.name, service, wanted),
+        Some(service) => call_permits::issue_permits(&state, &branch.name, service, count),
         None => Vec::new(),
     };
     Ok(HttpResponse::Ok().json(AddressesAnswer {
-        entries: entries(&state, query.region.as_deref()),
+        entries: live_entries(&state, query.region.as_deref()),
         lifetime_ms: state.settings.address_lifetime_ms,
         permits,
     }))
 }
 
-/// Live entries, spread over the failure domains, those of region `near` first.
-fn entries(state: &EntryState, near: Option<&str>) -> Vec<EntryAddress> {
+/// Live entries in an order that alternates between failure domains, those of region
+/// `near` first.
+fn live_entries(state: &EntryState, near: Option<&str>) -> Vec<EntryAddress> {
     let node = &state.node;
     let now_ms = node.now_ms();
     let mut entries: Vec<EntryAddress> = node
--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -10,7 +10,7 @@
 use super::answers::ConflictDetails;
 use super::answers::DeleteBody;
 use super::answers::PutBody;
-use super::team::writing_team;
+use super::team::authorize_team;
 use crate::document::Edit;
 use crate::document::EditOutcome;
 use crate::document::LogRecord;
@@ -25,29 +25,31 @@
 use crate::observe::Tally;
 use crate::observe::emit;
 
-/// Longest time an edit waits for its outcome.
-const DECIDE_WAIT_MS: u64 = 12_000;
+/// Longest time for which a request waits for the outcome of its edit, in milliseconds.
+const MAX_OUTCOME_WAIT_MS: u64 = 12_000;
 
-/// Time the fold has to show an append whose reply was lost, before it is repeated.
+/// Wait for a record whose append was not answered to be read from the log, in
+/// milliseconds; then the append is repeated.
 const LOST_REPLY_WAIT_MS: u64 = 1_500;
 
-/// Pause between two looks at the fold.
-const POLL: Duration = Duration::from_millis(25);
+/// Pause between two reads of the log while an edit waits for its outcome.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// When to come back after the log did not answer.
+/// Suggested wait before a request that the log or this entry could not serve is
+/// repeated, in milliseconds.
 const RETRY_AFTER_MS: u64 = 2_000;
 
-/// HTTP status of a log that is down.
-const UNAVAILABLE: u16 = 503;
+/// HTTP status of an unavailable log, which has appended nothing.
+const SERVICE_UNAVAILABLE_STATUS: u16 = 503;
 
-/// Replaces or creates a section.
-pub async fn put(
+/// Handles `PUT /v1/config/sections/NAME`: creates or replaces a section.
+pub async fn put_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
     name: web::Path<String>,
     body: web::Json<PutBody>,
 ) -> Result<HttpResponse, ApiError> {
-    let team = writing_team(&state, &request, &name)?;
+    let team = authorize_team(&state, &request, &name)?;
     let body = body.into_inner();
     let edit = Edit {
         edit_id: body.edit_id,
@@ -56,19 +58,19 @@
         base_revision: body.base_revision,
         body: Some(body.body),
     };
-    answer(&state, edit)
+    submit_edit(&state, edit)
         .await
         .inspect_err(|error| state.node.metrics().refused(error.code().name()))
 }
 
-/// Deletes a section.
-pub async fn delete(
+/// Handles `DELETE /v1/config/sections/NAME`: deletes a section.
+pub async fn delete_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
     name: web::Path<String>,
     body: web::Json<DeleteBody>,
 ) -> Result<HttpResponse, ApiError> {
-    let team = writing_team(&state, &request, &name)?;
+    let team = authorize_team(&state, &request, &name)?;
     let body = body.into_inner();
     let edit = Edit {
         edit_id: body.edit_id,
@@ -77,18 +79,19 @@
         base_revision: body.base_revision,
         body: None,
     };
-    answer(&state, edit)
+    submit_edit(&state, edit)
         .await
         .inspect_err(|error| state.node.metrics().refused(error.code().name()))
 }
 
-async fn answer(state: &EntryState, edit: Edit) -> Result<HttpResponse, ApiError> {
+/// Answers with the known outcome of the edit, or checks and appends it first.
+async fn submit_edit(state: &EntryState, edit: Edit) -> Result<HttpResponse, ApiError> {
     let outcome = match known_outcome(state, &edit)? {
         Some(outcome) => outcome,
         None => {
-            check(state, &edit)?;
-            let outcome = append_and_learn(state, &edit).await?;
-            audit(&edit, outcome);
+            check_before_append(state, &edit)?;
+            let outcome = append_until_decided(state, &edit).await?;
+            log_decision(&edit, outcome);
             outcome
         }
     };
@@ -98,11 +101,15 @@
             offset,
             revision,
         })),
-        EditOutcome::Conflict { offset, .. } => Err(conflict(state, &edit, Some(offset))),
+        EditOutcome::Conflict { offset, .. } => Err(conflict_error(state, &edit, Some(offset))),
     }
 }
 
-/// The outcome of an edit that was sent before.
+/// Outcome of an edit that was sent before; `None` if its id is new.
+///
+/// # Errors
+///
+/// [`ErrorCode::BadRequest`] when the id belongs to another edit.
 fn known_outcome(state: &EntryState, edit: &Edit) -> Result<Option<EditOutcome>, ApiError> {
     let follower = state.node.follower();
     let Some(entry) = follower.fold().edit_entry(&edit.edit_id) else {
@@ -115,82 +122,87 @@
     Err(ApiError::new(ErrorCode::BadRequest, message))
 }
 
-/// What can be refused without an append.
-fn check(state: &EntryState, edit: &Edit) -> Result<(), ApiError> {
+/// Refuses an edit that cannot be accepted, before it is appended.
+fn check_before_append(state: &EntryState, edit: &Edit) -> Result<(), ApiError> {
     if !state.node.is_ready() {
         let message = "the configuration of this entry is not confirmed; nothing was changed";
-        return Err(ApiError::later(
+        return Err(ApiError::retryable(
             ErrorCode::NotReady,
             message,
             RETRY_AFTER_MS,
         ));
     }
     let document = state.node.document();
-    // Revisions only grow, so no append could still be accepted.
+    // Revisions only increase, so an append could not be accepted any more.
     if document.revision(&edit.section) > edit.base_revision {
-        return Err(conflict(state, edit, None));
+        return Err(conflict_error(state, edit, None));
     }
-    check_edit(&document, edit).map_err(|faults| invalid(&faults))
+    check_edit(&document, edit).map_err(|faults| invalid_edit_error(&faults))
 }
 
-/// Appends the edit, again after a lost reply, until the fold shows its outcome.
-async fn append_and_learn(state: &EntryState, edit: &Edit) -> Result<EditOutcome, ApiError> {
+/// Appends the edit until its outcome is known; an append that was not answered is repeated.
+///
+/// A repeated record is harmless, because the first one with an edit id decides.
+async fn append_until_decided(state: &EntryState, edit: &Edit) -> Result<EditOutcome, ApiError> {
     let node = &state.node;
-    let deadline_ms = node.now_ms() + DECIDE_WAIT_MS;
+    let deadline_ms = node.now_ms() + MAX_OUTCOME_WAIT_MS;
     let record = LogRecord::Edit(edit.clone()).encode();
-    let mut may_stand = false;
+    let mut may_be_appended = false;
     loop {
         node.metrics()
             .add(Tally::PlatformCalls, 1, "call", "log_append");
-        let learn_until_ms = match state.log.append(record.clone()).await {
+        let wait_until_ms = match state.log.append(record.clone()).await {
             Ok(_) => deadline_ms,
-            Err(error) if certainly_not_appended(&error) && !may_stand => {
+            Err(error) if is_known_not_appended(&error) && !may_be_appended => {
                 let message = format!("{error}; nothing was changed");
                 let code = ErrorCode::LogUnavailable;
-                return Err(ApiError::later(code, message, RETRY_AFTER_MS));
+                return Err(ApiError::retryable(code, message, RETRY_AFTER_MS));
             }
             Err(_) => deadline_ms.min(node.now_ms() + LOST_REPLY_WAIT_MS),
         };
-        may_stand = true;
-        if let Some(outcome) = learn(state, &edit.edit_id, learn_until_ms).await {
+        may_be_appended = true;
+        if let Some(outcome) = wait_for_outcome(state, &edit.edit_id, wait_until_ms).await {
             return Ok(outcome);
         }
         if node.now_ms() >= deadline_ms {
-            let message = "the log has not shown the edit yet; send the same edit id again";
+            let message =
+                "the outcome of the edit is not known yet; send it again with the same edit id";
             let code = ErrorCode::OutcomeUnknown;
-            return Err(ApiError::later(code, message, RETRY_AFTER_MS));
+            return Err(ApiError::retryable(code, message, RETRY_AFTER_MS));
         }
         node.metrics().retried("edit_reply_lost");
     }
 }
 
-/// Reads the log until the fold shows the edit.
-async fn learn(state: &EntryState, edit_id: &str, until_ms: u64) -> Option<EditOutcome> {
+/// Reads the log until the outcome of the edit is known or `until_ms` has passed.
+async fn wait_for_outcome(state: &EntryState, edit_id: &str, until_ms: u64) -> Option<EditOutcome> {
     loop {
         let known = state.node.follower().fold().edit_outcome(edit_id).copied();
         if known.is_some() || state.node.now_ms() >= until_ms {
             return known;
         }
         if !read_log(state, 0).await {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn certainly_not_appended(error: &LinkError) -> bool {
+/// Whether the error proves that the record is not in the log.
+fn is_known_not_appended(error: &LinkError) -> bool {
     match error {
         LinkError::NotSent(_) => true,
-        LinkError::Status { status, .. } => *status == UNAVAILABLE,
+        LinkError::Status { status, .. } => *status == SERVICE_UNAVAILABLE_STATUS,
         _ => false,
     }
 }
 
-fn conflict(state: &EntryState, edit: &Edit, offset: Option<u64>) -> ApiError {
+/// Error for an edit whose base revision is not the current one, with the current section.
+fn conflict_error(state: &EntryState, edit: &Edit, offset: Option<u64>) -> ApiError {
     let document = state.node.document();
     let winner = document.section(&edit.section).cloned();
     let by = match &winner {
-        Some(section) => format!("team {:?} was first", section.team),
+        Some(section) => format!("the edit of team {:?} was accepted first", section.team),
         None => "the section was deleted".to_owned(),
     };
     let message = format!("section {:?} has changed: {by}", edit.section);
@@ -203,13 +215,15 @@
     ApiError::detailed(ErrorCode::Conflict, message, json!(details))
 }
 
-fn invalid(faults: &[SectionFault]) -> ApiError {
+/// Error that lists the faults of an edit.
+fn invalid_edit_error(faults: &[SectionFault]) -> ApiError {
     let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
     let message = texts.join("; ");
     ApiError::detailed(ErrorCode::InvalidEdit, message, json!({ "faults": faults }))
 }
 
-fn audit(edit: &Edit, outcome: EditOutcome) {
+/// Logs who edited which section, and the outcome.
+fn log_decision(edit: &Edit, outcome: EditOutcome) {
     let decision = if outcome.is_accepted() {
         "accepted"
     } else {
--- a/src/entry/admin/mod.rs
+++ b/src/entry/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The administration API: one document, edited section by section.
+//! The administration API: one configuration document, edited section by section.
 //!
-//! An edit is answered only after this entry's own fold shows how the log's
-//! order decided it. The same edit id may be sent again, through any entry, and
-//! gets the first outcome.
+//! The order of the records in the log decides which edit is accepted. An edit is
+//! answered only after this entry has read its record back from the log. The same
+//! edit id may be sent again, through any entry, and gets the first outcome.
 
 mod answers;
 mod diff;
@@ -24,7 +24,7 @@
 pub use answers::PutBody;
 pub use answers::SectionAnswer;
 pub use answers::SectionHead;
-pub(super) use team::team;
+pub(super) use team::authenticate_team;
 
 /// Paths of the administration API.
 pub const PATHS: [&str; 5] = [
@@ -35,16 +35,25 @@
     "/v1/config/sections/{name}/diff",
 ];
 
-/// Routes of the administration API.
-pub fn routes(app: &mut ServiceConfig) {
-    app.route("/v1/config", web::get().to(show::document))
-        .route("/v1/config/history", web::get().to(show::history))
-        .route("/v1/config/wait", web::get().to(in_force::wait))
-        .route("/v1/config/sections/{name}", web::get().to(show::section))
-        .route("/v1/config/sections/{name}", web::put().to(edit::put))
-        .route("/v1/config/sections/{name}", web::delete().to(edit::delete))
+/// Adds the routes of the administration API.
+pub fn add_routes(app: &mut ServiceConfig) {
+    app.route("/v1/config", web::get().to(show::get_document))
+        .route("/v1/config/history", web::get().to(show::get_history))
+        .route("/v1/config/wait", web::get().to(in_force::wait_in_force))
+        .route(
+            "/v1/config/sections/{name}",
+            web::get().to(show::get_section),
+        )
+        .route(
+            "/v1/config/sections/{name}",
+            web::put().to(edit::put_section),
+        )
+        .route(
+            "/v1/config/sections/{name}",
+            web::delete().to(edit::delete_section),
+        )
         .route(
             "/v1/config/sections/{name}/diff",
-            web::post().to(diff::diff),
+            web::post().to(diff::diff_section),
         );
 }
--- a/src/entry/admin/show.rs
+++ b/src/entry/admin/show.rs
@@ -7,21 +7,21 @@
 use super::answers::HistoryAnswer;
 use super::answers::SectionAnswer;
 use super::answers::SectionHead;
-use super::team::team;
+use super::team::authenticate_team;
 use crate::document::EditEntry;
 use crate::document::inert_parts;
 use crate::entry::ApiError;
 use crate::entry::EntryState;
 
-/// Edits in one answer when the caller names no limit.
-const DEFAULT_HISTORY: usize = 50;
+/// Number of edits in an answer when the request names no limit.
+const DEFAULT_HISTORY_LIMIT: usize = 50;
 
-/// Shows the whole document.
-pub async fn document(
+/// Handles `GET /v1/config`: the complete document.
+pub async fn get_document(
     state: web::Data<EntryState>,
     request: HttpRequest,
 ) -> Result<HttpResponse, ApiError> {
-    team(&state, &request)?;
+    authenticate_team(&state, &request)?;
     let node = &state.node;
     let admission = node.admission().name().to_owned();
     let follower = node.follower();
@@ -44,13 +44,13 @@
     }))
 }
 
-/// Shows one section and the revision to edit it from.
-pub async fn section(
+/// Handles `GET /v1/config/sections/NAME`: one section and its revision.
+pub async fn get_section(
     state: web::Data<EntryState>,
     request: HttpRequest,
     name: web::Path<String>,
 ) -> Result<HttpResponse, ApiError> {
-    team(&state, &request)?;
+    authenticate_team(&state, &request)?;
     let follower = state.node.follower();
     let document = follower.fold().document();
     Ok(HttpResponse::Ok().json(SectionAnswer {
@@ -60,27 +60,27 @@
     }))
 }
 
-/// Which edits to show.
+/// Query parameters of `GET /v1/config/history`.
 #[derive(Debug, Deserialize)]
 pub struct HistoryQuery {
     section: Option<String>,
     limit: Option<usize>,
 }
 
-/// Shows decided edits, the latest first.
-pub async fn history(
+/// Handles `GET /v1/config/history`: accepted and conflicting edits, the latest first.
+pub async fn get_history(
     state: web::Data<EntryState>,
     request: HttpRequest,
     query: web::Query<HistoryQuery>,
 ) -> Result<HttpResponse, ApiError> {
-    team(&state, &request)?;
+    authenticate_team(&state, &request)?;
     let follower = state.node.follower();
-    let wanted = |entry: &&EditEntry| {
+    let is_wanted = |entry: &&EditEntry| {
         let section = query.section.as_ref();
         section.is_none_or(|section| *section == entry.section)
     };
-    let edits = follower.fold().history().rev().filter(wanted);
-    let limit = query.limit.unwrap_or(DEFAULT_HISTORY);
+    let edits = follower.fold().history().rev().filter(is_wanted);
+    let limit = query.limit.unwrap_or(DEFAULT_HISTORY_LIMIT);
     Ok(HttpResponse::Ok().json(HistoryAnswer {
         edits: edits.take(limit).cloned().collect(),
     }))
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -20,28 +20,29 @@
 use crate::entry::EntryState;
 use crate::entry::ErrorCode;
 use crate::entry::auth;
-use crate::entry::call_answer::respond;
-use crate::entry::call_once::CallOnce;
+use crate::entry::call_answer::call_response;
 use crate::entry::call_permits;
-use crate::entry::call_repeatable::call_repeatable;
+use crate::entry::idempotent_call::send_idempotent_call;
+use crate::entry::non_idempotent_call::NonIdempotentCall;
 use crate::observe::Event;
 use crate::observe::emit;
 
-/// Time allowed when the caller names none.
+/// Deadline when the caller names none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
-/// Longest deadline a caller may name.
+/// Longest deadline that a caller may name, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// Longest request id of a caller that is echoed.
+/// Longest request id of a caller that is used; a longer one is replaced.
 const MAX_REQUEST_ID_CHARS: usize = 128;
 
-/// Number taken for a send that the caller did not number.
+/// Send number of a call that carries none.
 ///
-/// Only send 1 can be vouched for, so an unnumbered one never counts as that.
+/// Only send 1 can be the sole send of a permit, for which "not run" may be reported, so
+/// a send without a number must not count as send 1.
 const UNNUMBERED_SEND: u32 = u32::MAX;
 
-/// A caller's call of a plain service.
+/// Body of `POST /v1/call`.
 #[derive(Debug, Deserialize)]
 pub struct CallBody {
     branch: String,
@@ -53,17 +54,17 @@
     deadline_ms: Option<u64>,
 }
 
-/// Sends a call to an endpoint of a plain service.
-pub async fn call(
+/// Handles `POST /v1/call`: sends a call to an endpoint of a service.
+pub async fn post_call(
     state: web::Data<EntryState>,
     request: HttpRequest,
     body: web::Json<CallBody>,
 ) -> Result<HttpResponse, ApiError> {
     let document = state.node.document();
     let body = body.into_inner();
-    let branch = auth::branch(&document, &body.branch, &request)?;
-    let service = usable_service(&document, &branch, &body.service)?;
-    check_path(&body.path)?;
+    let branch = auth::authenticate_branch(&document, &body.branch, &request)?;
+    let service = authorize_service(&document, &branch, &body.service)?;
+    check_call_path(&body.path)?;
     let deadline_ms = body.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
     let deadline_ms = deadline_ms.min(MAX_DEADLINE_MS);
     let request_id = request_id(&request);
@@ -78,10 +79,10 @@
     };
     let deadline = Instant::now() + Duration::from_millis(deadline_ms);
     let outcome = if service.idempotent.contains(&call.path) {
-        call_repeatable(&state, call, deadline).await
+        send_idempotent_call(&state, call, deadline).await
     } else {
         let send_no = body.send.unwrap_or(UNNUMBERED_SEND);
-        call_with(&state, call, body.permit, send_no, deadline).await
+        call_with_permit(&state, call, body.permit, send_no, deadline).await
     };
     if let CallOutcome::NotRun { reason, .. } = &outcome {
         state.node.metrics().refused(reason.code());
@@ -90,12 +91,12 @@
             &[("request_id", &request_id), ("reason", &reason.code())],
         );
     }
-    let fresh = || call_permits::issue(&state, &branch.name, &service.name, 1).pop();
-    Ok(respond(outcome, &request_id, fresh))
+    let issue_permit = || call_permits::issue_permits(&state, &branch.name, &service.name, 1).pop();
+    Ok(call_response(outcome, &request_id, issue_permit))
 }
 
-/// Sends a call under its permit, if that is good for it.
-async fn call_with(
+/// Sends a non-idempotent call if its permit is valid for it.
+async fn call_with_permit(
     state: &EntryState,
     call: ServiceCall,
     permit: Option<Permit>,
@@ -105,28 +106,32 @@
     let Some(permit) = permit else {
         return CallOutcome::not_run(RefusalReason::PermitRequired);
     };
-    let good = permit.has_valid_seal(&state.permit_key)
+    let is_valid = permit.has_valid_seal(&state.permit_key)
         && permit.branch == call.branch
         && permit.service == call.service;
-    if !good {
+    if !is_valid {
         return CallOutcome::not_run(RefusalReason::PermitInvalid);
     }
     let call = ServiceCall {
         permit: Some(permit.clone()),
         ..call
     };
-    let once = CallOnce {
+    let call = NonIdempotentCall {
         state,
         call,
         permit,
         send_no,
         deadline,
     };
-    once.outcome().await
+    call.run().await
 }
 
-/// The service called `name`, if `branch` may use it.
-pub(super) fn usable_service(
+/// The service with the given name, if the branch may use it.
+///
+/// # Errors
+///
+/// [`ErrorCode::UnknownService`] or [`ErrorCode::Forbidden`].
+pub(super) fn authorize_service(
     document: &Document,
     branch: &BranchSection,
     name: &str,
@@ -145,8 +150,9 @@
     Err(ApiError::new(ErrorCode::Forbidden, message))
 }
 
-/// A path is made of plain segments, so that it cannot leave the service's call root.
-fn check_path(path: &str) -> Result<(), ApiError> {
+/// Checks that a path consists of plain segments, so that it cannot escape the base path
+/// of the service's calls.
+fn check_call_path(path: &str) -> Result<(), ApiError> {
     let is_plain = |segment: &str| {
         !segment.is_empty()
             && segment
@@ -156,11 +162,13 @@
     if path.split('/').all(is_plain) {
         return Ok(());
     }
-    let message = format!("path {path:?} is not made of letters, digits, '-', '_' and '/'");
+    let message = format!(
+        "path {path:?} must consist of segments of letters, digits, '-' and '_', separated by '/'"
+    );
     Err(ApiError::new(ErrorCode::BadRequest, message))
 }
 
-/// The caller's own id of the request, or a fresh one.
+/// Request id that the caller sent, or a new one.
 fn request_id(request: &HttpRequest) -> String {
     request
         .headers()
--- a/src/entry/call_answer.rs
+++ b/src/entry/call_answer.rs
@@ -10,24 +10,25 @@
 use crate::clients::REQUEST_ID_HEADER;
 use crate::entry::ErrorCode;
 
-/// Milliseconds in a second, the unit of `Retry-After`.
+/// Milliseconds per second, the unit of the header `Retry-After`.
 const MS_PER_S: u64 = 1000;
 
-/// What a caller is told of a call without an answer of its service.
+/// Body of the answer to a call that has no answer of the service.
 #[derive(Debug, Serialize)]
-struct Ending<'a> {
+struct CallErrorBody<'a> {
     code: &'static str,
     outcome: &'static str,
     reason: &'static str,
     message: &'static str,
     request_id: &'a str,
     retry_after_ms: Option<u64>,
-    /// Permit for the next try, after "not run".
+    /// Permit for the next send, if the call was not run and may be sent again.
     permit: Option<Permit>,
 }
 
-/// Tells the caller the outcome of its request, with a fresh permit where it helps.
-pub(super) fn respond(
+/// Answer to the caller; `permit` issues a new one if the call was not run and may be
+/// sent again.
+pub(super) fn call_response(
     outcome: CallOutcome,
     request_id: &str,
     permit: impl FnOnce() -> Option<Permit>,
@@ -42,32 +43,37 @@
                 .content_type("application/json")
                 .body(answer.body)
         }
-        CallOutcome::NotRun { reason: why, .. } => builder(code_of(why).status(), retry_after_ms)
+        CallOutcome::NotRun {
+            reason: refusal, ..
+        } => response_builder(error_code(refusal).status(), retry_after_ms)
             .insert_header((REQUEST_ID_HEADER, request_id))
-            .json(Ending {
-                code: code_of(why).name(),
+            .json(CallErrorBody {
+                code: error_code(refusal).name(),
                 outcome: "not_run",
                 reason,
-                message: why.meaning(),
+                message: refusal.meaning(),
                 request_id,
                 retry_after_ms,
                 permit: retry_after_ms.and_then(|_| permit()),
             }),
-        CallOutcome::Unknown { .. } => builder(ErrorCode::OutcomeUnknown.status(), retry_after_ms)
-            .insert_header((REQUEST_ID_HEADER, request_id))
-            .json(Ending {
-                code: ErrorCode::OutcomeUnknown.name(),
-                outcome: "unknown",
-                reason,
-                message: ErrorCode::OutcomeUnknown.meaning(),
-                request_id,
-                retry_after_ms,
-                permit: None,
-            }),
+        CallOutcome::Unknown { .. } => {
+            response_builder(ErrorCode::OutcomeUnknown.status(), retry_after_ms)
+                .insert_header((REQUEST_ID_HEADER, request_id))
+                .json(CallErrorBody {
+                    code: ErrorCode::OutcomeUnknown.name(),
+                    outcome: "unknown",
+                    reason,
+                    message: ErrorCode::OutcomeUnknown.meaning(),
+                    request_id,
+                    retry_after_ms,
+                    permit: None,
+                })
+        }
     }
 }
 
-fn builder(status: StatusCode, retry_after_ms: Option<u64>) -> HttpResponseBuilder {
+/// Builder of an answer with the status and, if there is a wait, the header `Retry-After`.
+fn response_builder(status: StatusCode, retry_after_ms: Option<u64>) -> HttpResponseBuilder {
     let mut builder = HttpResponse::build(status);
     if let Some(wait_ms) = retry_after_ms {
         let seconds = wait_ms.div_ceil(MS_PER_S);
@@ -76,8 +82,8 @@
     builder
 }
 
-/// Code of the API for a refusal; `reason` tells more.
-fn code_of(reason: RefusalReason) -> ErrorCode {
+/// API error code for a refusal; several reasons share a code.
+fn error_code(reason: RefusalReason) -> ErrorCode {
     match reason {
         RefusalReason::NotAllowed => ErrorCode::Forbidden,
         RefusalReason::BodyTooLarge => ErrorCode::BodyTooLarge,
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -10,7 +10,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::LocalBoxStream;
 
-use super::generate_routing::Choice;
+use super::generate_routing::RouteChoice;
 use crate::calls::AttemptOutcome;
 use crate::calls::FrameBuffer;
 use crate::calls::GenerateCall;
@@ -19,35 +19,36 @@
 use crate::hosts::HostKey;
 use crate::hosts::Load;
 
-/// Tokens after which the pace of an endpoint is judged.
-const PACE_TOKENS: u32 = 4;
+/// Number of tokens between two samples of an endpoint's token interval.
+const TOKENS_PER_INTERVAL_SAMPLE: u32 = 4;
 
-/// Why a request is sent again.
+/// Why an attempt ended without a complete answer and another may follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RetryReason {
     /// The endpoint accepted no connection.
     NotSent,
     /// The connection broke before the end record.
     Broken,
-    /// The connection fell silent.
+    /// Nothing was received on the connection for the longest allowed silence.
     Silent,
-    /// The first token is late, though the request runs.
+    /// The first token is late, although the request is running.
     LateFirstToken,
-    /// The answer was not that of the request.
+    /// The answer was invalid or belonged to another request.
     WrongAnswer,
-    /// The endpoint's queue was full.
+    /// The endpoint's queue was full, or the branch exceeded its share.
     Refused,
-    /// The endpoint takes no new work.
+    /// The endpoint is leaving or not ready.
     Leaving,
     /// The endpoint's engine failed.
     EngineFailed,
-    /// The endpoint's engine died.
+    /// The endpoint's engine crashed while it ran the request.
     EngineCrashed,
-    /// The engine did not serve the weights after all.
+    /// The engine does not serve the requested weights.
     NotLoaded,
 }
 
 impl RetryReason {
+    /// Name in metrics and log lines; part of the interface.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -63,8 +64,8 @@
         }
     }
 
-    /// How the attempt counts for its endpoint.
-    pub(super) fn ending(self) -> AttemptOutcome {
+    /// How the attempt is counted for its endpoint.
+    pub(super) fn attempt_outcome(self) -> AttemptOutcome {
         match self {
             Self::NotSent
             | Self::Broken
@@ -78,50 +79,54 @@
     }
 }
 
-/// One try of a request at one endpoint; dropping it closes its connection.
-pub(super) struct Attempt {
+/// One attempt to run a request at one endpoint.
+///
+/// Dropping it closes its connection and records its end with the router.
+pub(super) struct GenerateAttempt {
     state: Arc<EntryState>,
-    pub(super) key: HostKey,
+    pub(super) host_key: HostKey,
     started_ms: u64,
-    pub(super) ending: AttemptOutcome,
+    pub(super) outcome: AttemptOutcome,
+    /// Body of the response; `None` for a chunk after which the connection broke.
     chunks: LocalBoxStream<'static, Option<Bytes>>,
     frames: FrameBuffer,
+    /// Number of tokens received.
     tokens: u32,
     first_token_at: Option<Instant>,
-    /// When the request left the endpoint's queue.
+    /// When the entry learned that the request had left the endpoint's queue.
     running_since: Option<Instant>,
-    /// Time the engine has for the first token.
-    late_ms: Option<u64>,
+    /// Time from `running_since` after which the first token is late, in milliseconds.
+    first_token_limit_ms: Option<u64>,
 }
 
-impl Attempt {
-    /// An attempt that the router has counted as started.
-    pub(super) fn new(state: Arc<EntryState>, choice: &Choice) -> Self {
+impl GenerateAttempt {
+    /// An attempt whose start the router has already recorded.
+    pub(super) fn new(state: Arc<EntryState>, choice: &RouteChoice) -> Self {
         Self {
             state,
-            key: choice.key,
+            host_key: choice.host_key,
             started_ms: choice.started_ms,
-            ending: AttemptOutcome::Neutral,
+            outcome: AttemptOutcome::Neutral,
             chunks: futures_util::stream::empty().boxed_local(),
             frames: FrameBuffer::default(),
             tokens: 0,
             first_token_at: None,
             running_since: None,
-            late_ms: None,
+            first_token_limit_ms: None,
         }
     }
 
-    /// Sends the call; `is_fresh` asks for a connection of its own.
+    /// Sends the call over a new or a pooled connection, and waits for the response head.
     pub(super) async fn send(
         &mut self,
         address: SocketAddr,
         call: &GenerateCall,
-        is_fresh: bool,
+        use_fresh_connection: bool,
         wait: Duration,
     ) -> Result<(), RetryReason> {
         let url = format!("http://{address}/x/generate");
         let http = self.state.node.http();
-        let request = match is_fresh {
+        let request = match use_fresh_connection {
             true => http.fresh_request(Method::POST, &url),
             false => http.request(Method::POST, &url),
         };
@@ -139,36 +144,41 @@
         Ok(())
     }
 
-    /// The next frame within `wait`, or earlier if the first token is late.
-    pub(super) async fn next(&mut self, wait: Duration) -> Result<GenerateFrame, RetryReason> {
-        let late = self.time_to_late();
-        let is_shorter = late.is_some_and(|late| late < wait);
-        let reason = match is_shorter {
+    /// Waits for the next frame, for at most `wait` or until the first token is late.
+    pub(super) async fn wait_for_frame(
+        &mut self,
+        wait: Duration,
+    ) -> Result<GenerateFrame, RetryReason> {
+        let until_late = self.time_until_late();
+        let is_late_first = until_late.is_some_and(|until_late| until_late < wait);
+        let reason = match is_late_first {
             true => RetryReason::LateFirstToken,
             false => RetryReason::Silent,
         };
-        timeout(late.unwrap_or(wait).min(wait), self.next_frame())
+        timeout(until_late.unwrap_or(wait).min(wait), self.next_frame())
             .await
             .unwrap_or(Err(reason))
     }
 
-    /// Time until the first token is late; `None` when it is not awaited.
-    fn time_to_late(&self) -> Option<Duration> {
+    /// Time until the first token is late; `None` if it is not awaited or has no limit.
+    fn time_until_late(&self) -> Option<Duration> {
         if self.tokens > 0 {
             return None;
         }
-        let late = Duration::from_millis(self.late_ms?);
-        Some(late.saturating_sub(self.running_since?.elapsed()))
+        let limit = Duration::from_millis(self.first_token_limit_ms?);
+        Some(limit.saturating_sub(self.running_since?.elapsed()))
     }
 
-    /// Notes that the request runs; `may_be_late` where no other replica could do better.
-    pub(super) fn saw_start(&mut self, may_be_late: bool) {
+    /// Records that the request is running; `without_limit` if the first token may take
+    /// any time.
+    pub(super) fn record_start(&mut self, without_limit: bool) {
         self.running_since = Some(Instant::now());
-        if !may_be_late {
-            self.late_ms = self.state.routing.first_tokens().late_threshold_ms();
+        if !without_limit {
+            self.first_token_limit_ms = self.state.routing.first_token_times().late_threshold_ms();
         }
     }
 
+    /// Waits for the next complete frame.
     async fn next_frame(&mut self) -> Result<GenerateFrame, RetryReason> {
         loop {
             match self.frames.next_frame() {
@@ -183,39 +193,39 @@
         }
     }
 
-    /// Counts a token for the endpoint's pace.
-    pub(super) fn saw_token(&mut self) {
+    /// Records a token for the endpoint's time to the first token and token interval.
+    pub(super) fn record_token(&mut self) {
         if self.tokens == 0
             && let Some(since) = self.running_since
         {
-            let taken_ms = since.elapsed().as_millis() as u64;
-            self.state.routing.first_tokens().record(taken_ms);
+            let elapsed_ms = since.elapsed().as_millis() as u64;
+            self.state.routing.first_token_times().record(elapsed_ms);
         }
         let first_at = *self.first_token_at.get_or_insert_with(Instant::now);
-        if self.tokens > 0 && self.tokens.is_multiple_of(PACE_TOKENS) {
+        if self.tokens > 0 && self.tokens.is_multiple_of(TOKENS_PER_INTERVAL_SAMPLE) {
             let interval_us = first_at.elapsed().as_micros() as u64 / u64::from(self.tokens);
             self.state
                 .routing
                 .router()
-                .record_token_interval(self.key, interval_us);
+                .record_token_interval(self.host_key, interval_us);
         }
         self.tokens += 1;
     }
 
-    /// Takes in the load that came with a frame.
-    pub(super) fn saw_load(&self, load: Load) {
+    /// Records the load that the endpoint reported with a frame.
+    pub(super) fn record_load(&self, load: Load) {
         let now_ms = self.state.node.now_ms();
         self.state
             .routing
             .router()
-            .record_load(self.key, load, now_ms);
+            .record_load(self.host_key, load, now_ms);
     }
 }
 
-impl Drop for Attempt {
+impl Drop for GenerateAttempt {
     fn drop(&mut self) {
         let now_ms = self.state.node.now_ms();
         let mut router = self.state.routing.router();
-        router.record_end(self.key, self.started_ms, self.ending, now_ms);
+        router.record_end(self.host_key, self.started_ms, self.outcome, now_ms);
     }
 }
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -12,10 +12,10 @@
 use crate::observe::Tally;
 use crate::observe::emit;
 
-/// Records asked for in one read.
-const READ_MAX: usize = 256;
+/// Largest number of records requested in one read.
+const MAX_RECORDS_PER_READ: usize = 256;
 
-/// What this entry does at the log now, going by its rank among the live entries.
+/// What this entry has to do at the log, according to its rank among the live entries.
 pub fn log_duty(state: &EntryState) -> LogSchedule {
     let node = &state.node;
     let own = LogReader {
@@ -40,29 +40,35 @@
     }
 }
 
-/// Reads and folds one run of records; returns whether the log answered.
+/// Reads the next records and applies them; returns whether the log answered.
+///
+/// The log holds the answer for up to `wait_ms` if there is no new record.
 pub async fn read_log(state: &EntryState, wait_ms: u64) -> bool {
     let node = &state.node;
     node.metrics()
         .add(Tally::PlatformCalls, 1, "call", "log_read");
-    let from = node.follower().next_read_offset();
-    let asked_ms = node.now_ms();
-    let slice = match state.log.read(from, READ_MAX, wait_ms).await {
+    let from_offset = node.follower().next_read_offset();
+    let requested_ms = node.now_ms();
+    let slice = match state
+        .log
+        .read(from_offset, MAX_RECORDS_PER_READ, wait_ms)
+        .await
+    {
         Ok(slice) => slice,
         Err(error) => {
             emit(Event::LogUnavailable, &[("error", &error)]);
             return false;
         }
     };
-    let page = page_of(&slice);
+    let page = to_log_page(&slice);
     let notices = node
         .follower()
-        .apply_log_page(node.now_ms(), asked_ms, &page);
+        .apply_log_page(node.now_ms(), requested_ms, &page);
     emit_notices(node, &notices);
     true
 }
 
-/// Publishes a checkpoint if it is this entry's turn.
+/// Appends a checkpoint to the log if this entry's rank makes it due.
 pub async fn publish_checkpoint(state: &EntryState, duty: LogSchedule) {
     let node = &state.node;
     let now_ms = node.now_ms();
@@ -87,7 +93,8 @@
     }
 }
 
-fn page_of(slice: &LogSlice) -> LogPage {
+/// Records of one read, as the follower takes them.
+fn to_log_page(slice: &LogSlice) -> LogPage {
     let records = slice.records.iter().map(|entry| RawLogRecord {
         offset: entry.offset,
         bytes: entry.body(),
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -27,19 +27,19 @@
 use crate::observe::emit;
 use crate::standin::Handle;
 
-/// A running entry.
+/// Handle of a running entry.
 #[derive(Debug, Clone)]
 pub struct EntryHandle {
     server: Handle,
     state: Arc<EntryState>,
 }
 
-/// Starts an entry.
+/// Starts an entry: its HTTP server, host list watcher, heartbeats and log tailer.
 ///
 /// # Errors
 ///
-/// The I/O error when the address cannot be bound.
-pub async fn start(settings: EntrySettings) -> io::Result<EntryHandle> {
+/// The I/O error when an address cannot be bound.
+pub async fn start_entry(settings: EntrySettings) -> io::Result<EntryHandle> {
     let options = ServeOptions {
         client_timeout_ms: settings.slow_client_timeout_ms,
         drain_ms: settings.drain_ms,
@@ -53,13 +53,28 @@
             .app_data(api_error::json_config(max_body_bytes))
             .app_data(api_error::payload_config(max_body_bytes))
             .app_data(api_error::query_config())
-            .service(at("/v1/addresses", web::get().to(addresses::addresses)))
-            .service(at("/v1/generate", web::post().to(generate::generate)))
-            .service(at("/v1/call", web::post().to(call::call)))
-            .service(at("/v1/permits", web::get().to(call_permits::permits)))
-            .service(at("/v1/status", web::get().to(status::status)))
+            .service(single_method_resource(
+                "/v1/addresses",
+                web::get().to(addresses::get_addresses),
+            ))
+            .service(single_method_resource(
+                "/v1/generate",
+                web::post().to(generate::post_generate),
+            ))
+            .service(single_method_resource(
+                "/v1/call",
+                web::post().to(call::post_call),
+            ))
+            .service(single_method_resource(
+                "/v1/permits",
+                web::get().to(call_permits::get_permits),
+            ))
+            .service(single_method_resource(
+                "/v1/status",
+                web::get().to(status::get_status),
+            ))
             .default_service(web::to(api_error::unknown_path));
-        admin::routes(app);
+        admin::add_routes(app);
         for path in admin::PATHS {
             let refuse = web::to(api_error::wrong_method);
             app.service(web::resource(path).default_service(refuse));
@@ -76,15 +91,15 @@
     Ok(EntryHandle { server, state })
 }
 
-/// A path that takes one method; the others get a typed error.
-fn at(path: &str, route: Route) -> Resource {
+/// A path that accepts one method; any other is answered with `wrong_method`.
+fn single_method_resource(path: &str, route: Route) -> Resource {
     web::resource(path)
         .route(route)
         .default_service(web::to(api_error::wrong_method))
 }
 
 impl EntryHandle {
-    /// Identity, hosts and configuration of the entry.
+    /// Identity of the process, known hosts and configuration.
     pub fn node(&self) -> &Arc<Node> {
         &self.state.node
     }
@@ -94,13 +109,15 @@
         self.server.url()
     }
 
-    /// Stops at once; requests in progress are cut.
+    /// Stops at once; requests in progress are cut off.
     pub async fn kill(&self) {
         self.server.kill().await;
     }
 
-    /// Leaves: drops out of the addresses, serves until the addresses given
-    /// have lapsed, then finishes the requests in progress.
+    /// Stops as planned.
+    ///
+    /// The entry removes itself from the addresses, serves until those that callers
+    /// hold have expired, and then completes the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit(Event::ProcessStopping, &[("host", &node.name())]);
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -3,29 +3,29 @@
 use crate::calls::PermitKey;
 use crate::clients::LogClient;
 use crate::conf::EntrySettings;
-use crate::entry::Routing;
-use crate::entry::call_book::CallBook;
+use crate::entry::GenerateRouting;
+use crate::entry::service_call_state::ServiceCallState;
 use crate::node::Node;
 
 /// State shared by the handlers of an entry.
 #[derive(Debug)]
 pub struct EntryState {
-    /// Settings of the process.
+    /// Settings of the entry process.
     pub settings: EntrySettings,
-    /// Identity, hosts and configuration.
+    /// Identity of the process, known hosts and configuration.
     pub node: Arc<Node>,
-    /// The stream of the log that carries the configuration.
+    /// Client of the log stream that holds the configuration.
     pub log: LogClient,
-    /// What it remembers of the calls of plain services.
-    pub calls: CallBook,
-    /// Seals permits.
+    /// Dispatches and retry budget of service calls.
+    pub calls: ServiceCallState,
+    /// Key that seals permits.
     pub permit_key: PermitKey,
-    /// Load and pace of the endpoints, and retries left.
-    pub routing: Routing,
+    /// Statistics of the endpoints and retry budget of token streams.
+    pub routing: GenerateRouting,
 }
 
 impl EntryState {
-    /// State of a fresh process.
+    /// State of a process that just started.
     pub fn new(settings: EntrySettings) -> Self {
         let node = Arc::new(Node::new(
             settings.process.clone(),
@@ -36,12 +36,12 @@
         let log = LogClient::new(&settings.platform.log_url, &settings.platform.config_stream)
             .with_cuts(Arc::clone(node.cuts()));
         let permit_key = PermitKey::derive(&settings.cluster.shared_key);
-        let routing = Routing::new(&settings.process.name, settings.retry_budget_percent);
+        let routing = GenerateRouting::new(&settings.process.name, settings.retry_budget_percent);
         Self {
             settings,
             node,
             log,
-            calls: CallBook::new(),
+            calls: ServiceCallState::new(),
             permit_key,
             routing,
         }
--- a/src/entry/tailer.rs
+++ b/src/entry/tailer.rs
@@ -13,29 +13,30 @@
 use crate::entry::log_reader::publish_checkpoint;
 use crate::entry::log_reader::read_log;
 
-/// Time a read waits at the log for a new record.
+/// Time for which a read waits at the log for a new record, in milliseconds.
 const READ_WAIT_MS: u64 = 2000;
 
-/// A read waits at most this fraction of the retention, as checkpoints are due in between.
+/// A read waits at most this fraction of the log's retention, so that checkpoints are
+/// published in time.
 const READ_WAIT_FRACTION: u64 = 16;
 
-/// Time between two looks at whether this entry should read.
-const IDLE_MS: u64 = 500;
+/// Pause before the next check whether this entry should read the log, in milliseconds.
+const IDLE_PAUSE_MS: u64 = 500;
 
-/// Pause after the first failed read; it doubles with each further one.
+/// Pause after a failed read, in milliseconds; it doubles with each further failure.
 const RETRY_PAUSE_MS: u64 = 250;
 
-/// Longest pause between failed reads.
+/// Longest pause between failed reads, in milliseconds.
 const MAX_RETRY_PAUSE_MS: u64 = 4_000;
 
-/// Follows the log when it is this entry's turn, and folds the configuration.
+/// Reads the log while this entry's rank requires it, and applies the configuration.
 #[derive(Debug)]
 pub struct Tailer {
     state: Arc<EntryState>,
 }
 
 impl Tailer {
-    /// Tailer of `state`'s stream.
+    /// Tailer of the configuration stream of `state`.
     pub fn new(state: Arc<EntryState>) -> Self {
         Self { state }
     }
@@ -49,13 +50,13 @@
         let tailing = async move {
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
-                pause_ms = match step(&state).await {
-                    Step::Read => RETRY_PAUSE_MS,
-                    Step::Idle => {
-                        sleep(Duration::from_millis(IDLE_MS)).await;
+                pause_ms = match read_step(&state).await {
+                    ReadStep::Read => RETRY_PAUSE_MS,
+                    ReadStep::Idle => {
+                        sleep(Duration::from_millis(IDLE_PAUSE_MS)).await;
                         RETRY_PAUSE_MS
                     }
-                    Step::Failed => {
+                    ReadStep::Failed => {
                         let jitter_ms = rand::rng().random_range(0..=pause_ms);
                         sleep(Duration::from_millis(pause_ms + jitter_ms)).await;
                         (pause_ms * 2).min(MAX_RETRY_PAUSE_MS)
@@ -67,14 +68,19 @@
     }
 }
 
+/// Result of one step, which determines the pause before the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum ReadStep {
+    /// The log was read.
     Read,
+    /// There was nothing to read, or another entry reads the log.
     Idle,
+    /// The log did not answer.
     Failed,
 }
 
-async fn step(state: &EntryState) -> Step {
+/// Reads the log if this entry has to, and publishes a checkpoint if one is due.
+async fn read_step(state: &EntryState) -> ReadStep {
     let duty = log_duty(state);
     let node = &state.node;
     let now_ms = node.now_ms();
@@ -84,22 +90,22 @@
         (follower.admits(now_ms), age_ms)
     };
     if admits && !duty.reads_log(unconfirmed_ms) {
-        return Step::Idle;
+        return ReadStep::Idle;
     }
-    let before = node.follower().next_read_offset();
+    let offset_before = node.follower().next_read_offset();
     let wait_ms = if admits {
         READ_WAIT_MS.min(duty.retention_ms / READ_WAIT_FRACTION)
     } else {
         0
     };
     if !read_log(state, wait_ms).await {
-        return Step::Failed;
+        return ReadStep::Failed;
     }
     publish_checkpoint(state, duty).await;
-    // A read that brought nothing without a wait must not be repeated at once.
-    let at_once = node.now_ms() - now_ms < IDLE_MS;
-    if at_once && node.follower().next_read_offset() == before {
-        return Step::Idle;
+    // Without this pause, a log that answers empty reads at once would be polled in a busy loop.
+    let was_immediate = node.now_ms() - now_ms < IDLE_PAUSE_MS;
+    if was_immediate && node.follower().next_read_offset() == offset_before {
+        return ReadStep::Idle;
     }
-    Step::Read
+    ReadStep::Read
 }
--- a/tests/generate_path/world.rs
+++ b/tests/generate_path/generate_cluster.rs
@@ -15,17 +15,22 @@
 use bergamotfork::standin::engine::token_text;
 use bergamotfork::weights::Digest;
 
+/// Seed of all requests.
 const SEED: u64 = 3;
+/// Arguments of the engines: slow enough to be interrupted, and crashing on demand.
 const ENGINE_ARGS: [&str; 5] = ["--first-token-ms", "20", "--token-ms", "30", "--may-crash"];
 
-/// An entry and some replicas of one model.
-pub struct World {
+/// An entry and the replicas of one model, as separate processes.
+pub struct GenerateCluster {
     cluster: Cluster,
+    /// URL of the entry.
     entry: String,
+    /// Addresses of the engines behind their endpoints.
     engines: Vec<String>,
 }
 
-impl World {
+impl GenerateCluster {
+    /// Starts the cluster and waits until every replica serves the model.
     pub async fn start(replicas: usize) -> Self {
         let mut cluster = Cluster::new().await;
         let entry = cluster.entry("entry-1", "or-north", "").await;
@@ -42,19 +47,19 @@
         let digest = Digest::of_bytes(TOKEN.as_bytes());
         let branch = format!("token_digest = {digest}\nshare_percent = 50\nmodels = chat\n");
         cluster.edit("branch seaside", 0, &branch).await;
-        let world = Self {
+        let started = Self {
             cluster,
             entry,
             engines,
         };
-        world.ready().await;
-        world
+        started.wait_until_ready().await;
+        started
     }
 
     /// Waits until the entry knows the model and every engine serves it.
-    async fn ready(&self) {
+    async fn wait_until_ready(&self) {
         until("the entry knows the model", 30, async || {
-            match self.ask("ready?", 1).await {
+            match self.generate("ready?", 1).await {
                 Ok(_) => Some(()),
                 Err(error) => error.to_string().contains("no_replica").then_some(()),
             }
@@ -71,17 +76,19 @@
             if states.iter().all(|state| state.started > 0) {
                 return Some(());
             }
-            let _ = self.ask("ready?", 1).await;
+            let _ = self.generate("ready?", 1).await;
             None
         })
         .await;
     }
 
+    /// State of an engine; `None` if it does not answer.
     async fn state(&self, number: usize) -> Option<EngineState> {
         let url = format!("http://{}/v1/state", self.engines[number]);
         HttpClient::to_platform().get_json(&url, 2000).await.ok()
     }
 
+    /// States of the engines that answer.
     async fn states(&self) -> Vec<EngineState> {
         let mut states = Vec::new();
         for number in 0..self.engines.len() {
@@ -90,12 +97,13 @@
         states
     }
 
-    pub async fn engines_alive(&self) -> usize {
+    /// Number of engines that answer.
+    pub async fn live_engine_count(&self) -> usize {
         self.states().await.len()
     }
 
-    /// The endpoint whose engine runs a stream.
-    pub async fn serving(&self) -> usize {
+    /// Waits until an engine runs a stream, and returns its number.
+    pub async fn running_engine(&self) -> usize {
         until("an engine runs the stream", 20, async || {
             let states = self.states().await;
             states.iter().position(|state| state.running > 0)
@@ -104,7 +112,7 @@
     }
 
     /// Waits until no engine runs a stream.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         until("no engine runs a stream", 20, async || {
             let states = self.states().await;
             states.iter().all(|state| state.running == 0).then_some(())
@@ -112,25 +120,27 @@
         .await;
     }
 
+    /// Endpoint process with the given number.
     pub fn process(&mut self, number: usize) -> &mut Process {
         self.cluster.process(&format!("engine-{number}"))
     }
 
-    pub async fn ask(&self, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
-        ask(&self.entry, prompt, tokens).await
+    /// Sends a request and waits for its answer.
+    pub async fn generate(&self, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
+        send_generate(&self.entry, prompt, tokens).await
     }
 
-    /// Sends a request whose answer is awaited later.
-    pub fn start_asking(&self, prompt: &'static str, tokens: u32) -> JoinHandle<Bytes> {
+    /// Sends a request in the background; its answer can be awaited later.
+    pub fn spawn_generate(&self, prompt: &'static str, tokens: u32) -> JoinHandle<Bytes> {
         let entry = self.entry.clone();
         actix_rt::spawn(async move {
-            let answer = ask(&entry, prompt, tokens).await;
+            let answer = send_generate(&entry, prompt, tokens).await;
             answer.expect("the entry answers")
         })
     }
 
-    /// Checks that an answer is whole, in order and made with one version.
-    pub fn check(&self, answer: &Bytes, prompt: &str, tokens: u32) {
+    /// Checks that an answer is complete, in order and generated by one version.
+    pub fn assert_answer(&self, answer: &Bytes, prompt: &str, tokens: u32) {
         let lines = answer.split(|&byte| byte == b'\n');
         let mut events: Vec<StreamEvent> = lines
             .filter(|line| !line.is_empty())
@@ -155,15 +165,15 @@
         assert_eq!(events, expected);
     }
 
-    /// Checks that a planned stop made no request run again.
-    pub async fn started_once(&self) {
+    /// Checks that the engines started each answered request once.
+    pub async fn assert_started_once(&self) {
         let started: u64 = self.states().await.iter().map(|state| state.started).sum();
-        let asked = self.asked().await;
-        assert_eq!(started, asked);
+        let answered = self.answered_count().await;
+        assert_eq!(started, answered);
     }
 
-    /// Requests that the entry has answered whole.
-    async fn asked(&self) -> u64 {
+    /// Number of requests that the entry has answered completely.
+    async fn answered_count(&self) -> u64 {
         let url = format!("{}/metrics", self.entry);
         let request = HttpClient::to_platform().request(Method::GET, &url);
         let text = HttpClient::exchange(request, Bytes::new(), 2000).await;
@@ -176,7 +186,7 @@
     }
 }
 
-async fn ask(entry: &str, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
+async fn send_generate(entry: &str, prompt: &str, tokens: u32) -> Result<Bytes, LinkError> {
     let body: Value = json!({
         "branch": "seaside", "model": "chat", "prompt": prompt, "max_tokens": tokens, "seed": SEED,
     });
