--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -349,7 +349,7 @@
 ) {
     let status = match error {
         Http1Error::Closed | Http1Error::Io(_) | Http1Error::NotConnected(_) => return,
-        Http1Error::BrokenOff => return,
+        Http1Error::IncompleteMessage => return,
         Http1Error::Malformed(_) => 400,
         Http1Error::HeadTooLarge => 431,
         Http1Error::BodyTooLarge => 413,
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -176,7 +176,7 @@
             None => {}
         }
         if connection.fill_until(deadline).await? == 0 {
-            return Err(Http1Error::BrokenOff);
+            return Err(Http1Error::IncompleteMessage);
         }
     }
 }
--- a/src/gateway/fetch.rs
+++ b/src/gateway/fetch.rs
@@ -7,8 +7,8 @@
 use crate::gateway::TopicSink;
 use crate::gateway::handlers::RECORDS_PATH;
 use crate::gateway::records_reply::RecordsReply;
-use crate::http1::Ask;
-use crate::http1::Client;
+use crate::http1::ClientRequest;
+use crate::http1::Http1Client;
 use crate::observe::Event;
 use crate::observe::LogLine;
 
@@ -31,8 +31,11 @@
     };
     let from = if is_known { from } else { 0 };
     let target = format!("{RECORDS_PATH}/{}/{from}", topic.label());
-    let mut client = Client::new(peer, Duration::ZERO);
-    let reply = match client.ask(&Ask::get(&target, FETCH_TIMEOUT)).await {
+    let mut client = Http1Client::new(peer, Duration::ZERO);
+    let reply = match client
+        .send(&ClientRequest::get(&target, FETCH_TIMEOUT))
+        .await
+    {
         Ok(reply) if reply.status == 200 => reply,
         Ok(reply) => {
             log::debug!("{peer} refused to send records: status {}", reply.status);
--- a/src/gateway/handlers.rs
+++ b/src/gateway/handlers.rs
@@ -8,8 +8,8 @@
 use crate::gateway::piece_cache::PieceCache;
 use crate::gateway::records_reply::RecordsReply;
 use crate::http1::InternalHandler;
-use crate::http1::InternalReply;
 use crate::http1::InternalRequest;
+use crate::http1::InternalResponse;
 use crate::observe::Metrics;
 use crate::weights::OriginPort;
 
@@ -27,9 +27,9 @@
 }
 
 impl<D: Dialect + 'static> InternalHandler for DirectoryHandler<D> {
-    async fn handle(&self, request: InternalRequest) -> InternalReply {
+    async fn handle(&self, request: InternalRequest) -> InternalResponse {
         if self.dialect.directory_query(&request.head).is_none() {
-            return InternalReply::status(404);
+            return InternalResponse::status(404);
         }
         let state = self.state.borrow();
         let mut addresses: Vec<String> = state
@@ -42,12 +42,12 @@
             addresses.push(state.settings.front.to_string());
         }
         if addresses.is_empty() {
-            return InternalReply::status(503);
+            return InternalResponse::status(503);
         }
         addresses.sort_unstable();
         addresses.truncate(MAX_ADDRESSES);
         let ttl_s = state.settings.directory_ttl_s;
-        InternalReply {
+        InternalResponse {
             status: 200,
             content_type: "application/json",
             body: self.dialect.directory_body(&addresses, ttl_s),
@@ -65,12 +65,12 @@
 }
 
 impl<D: Dialect + 'static> InternalHandler for ReadinessHandler<D> {
-    async fn handle(&self, request: InternalRequest) -> InternalReply {
+    async fn handle(&self, request: InternalRequest) -> InternalResponse {
         if !self.dialect.is_readiness_check(&request.head) {
-            return InternalReply::status(404);
+            return InternalResponse::status(404);
         }
         let is_ready = self.state.borrow().is_ready();
-        InternalReply::status(if is_ready { 200 } else { 503 })
+        InternalResponse::status(if is_ready { 200 } else { 503 })
     }
 }
 
@@ -107,7 +107,7 @@
     /// Reply with the records at or after an offset; `path_rest` is `TOPIC/OFFSET`.
     ///
     /// None when that is not a topic and an offset.
-    fn records_reply(&self, path_rest: &str) -> Option<InternalReply> {
+    fn records_reply(&self, path_rest: &str) -> Option<InternalResponse> {
         let (label, offset) = path_rest.split_once('/')?;
         let topic = Topic::from_label(label)?;
         let offset = offset.parse().ok()?;
@@ -128,7 +128,7 @@
             });
         }
         let body = last.as_ref()?.bytes.clone();
-        Some(InternalReply {
+        Some(InternalResponse {
             status: 200,
             content_type: "application/msgpack",
             body,
@@ -137,16 +137,16 @@
 }
 
 impl<O: OriginPort> InternalHandler for InternalCallHandler<O> {
-    async fn handle(&self, request: InternalRequest) -> InternalReply {
+    async fn handle(&self, request: InternalRequest) -> InternalResponse {
         let path = request.head.path();
         if path == METRICS_PATH {
-            return InternalReply::metrics(self.metrics.render());
+            return InternalResponse::metrics(self.metrics.render());
         }
         if let Some(reply) = self.pieces.reply_to(path).await {
             return reply;
         }
         path.strip_prefix(RECORDS_PATH)
             .and_then(|rest| self.records_reply(rest.strip_prefix('/')?))
-            .unwrap_or_else(|| InternalReply::status(404))
+            .unwrap_or_else(|| InternalResponse::status(404))
     }
 }
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -8,9 +8,9 @@
 
 use crate::fleet::rendezvous_order;
 use crate::gateway::GatewayState;
-use crate::http1::Ask;
-use crate::http1::Client;
-use crate::http1::InternalReply;
+use crate::http1::ClientRequest;
+use crate::http1::Http1Client;
+use crate::http1::InternalResponse;
 use crate::links::TokenBucket;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -104,12 +104,12 @@
     }
 
     /// Reply to a call for a piece or a manifest; None if `path` is neither.
-    pub async fn reply_to(&self, path: &str) -> Option<InternalReply> {
+    pub async fn reply_to(&self, path: &str) -> Option<InternalResponse> {
         if let Some(path_rest) = path.strip_prefix(MANIFEST_PATH) {
             let (model, version) = path_rest.split_once('/')?;
             let cached = self.find_or_add_version(model, version.parse().ok()?);
             return Some(match self.manifest(&cached).await {
-                Ok(manifest) => InternalReply {
+                Ok(manifest) => InternalResponse {
                     status: 200,
                     content_type: "application/msgpack",
                     body: rmp_serde::to_vec(&*manifest).ok()?,
@@ -135,7 +135,7 @@
             self.wait_for_link(bytes.len()).await;
         }
         Some(match piece {
-            Ok(bytes) => InternalReply {
+            Ok(bytes) => InternalResponse {
                 status: 200,
                 content_type: "application/octet-stream",
                 body: bytes.to_vec(),
@@ -311,8 +311,8 @@
         } else {
             PRIMARY_PIECE_TIMEOUT
         };
-        let mut client = Client::new(entry, Duration::ZERO);
-        match client.ask(&Ask::get(&target, timeout)).await {
+        let mut client = Http1Client::new(entry, Duration::ZERO);
+        match client.send(&ClientRequest::get(&target, timeout)).await {
             Ok(reply) if reply.status == 200 && manifest.matches(index, &reply.body) => {
                 Some(reply.body)
             }
@@ -379,7 +379,7 @@
 
 /// Reply to a call for weights that could not be read.
 
-fn unavailable_reply(error: &ExternalCallError) -> InternalReply {
+fn unavailable_reply(error: &ExternalCallError) -> InternalResponse {
     log::debug!("cannot provide weights: {error}");
-    InternalReply::status(503)
+    InternalResponse::status(503)
 }
--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -94,7 +94,7 @@
                 *self = Self::Done;
                 Ok(())
             }
-            _ => Err(Http1Error::BrokenOff),
+            _ => Err(Http1Error::IncompleteMessage),
         }
     }
 }
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -20,7 +20,7 @@
 
 /// One call with a small answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct ClientRequest<'a> {
     /// Method.
     pub method: &'a str,
     /// Path and query.
@@ -33,7 +33,7 @@
     pub timeout: Duration,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> ClientRequest<'a> {
     /// A call without a body.
     pub fn get(target: &'a str, timeout: Duration) -> Self {
         Self {
@@ -48,7 +48,7 @@
 
 /// A complete answer.
 #[derive(Debug)]
-pub struct Reply {
+pub struct ClientResponse {
     /// Status code.
     pub status: u16,
     /// Header lines.
@@ -57,23 +57,23 @@
     pub body: Vec<u8>,
 }
 
-/// Calls one address, over a kept connection where the peer allows it.
+/// Calls one address, over a idle_connection connection where the peer allows it.
 ///
 /// A call that fails drops the connection and is never sent again here: the
 /// caller knows whether it may be repeated.
 #[derive(Debug)]
-pub struct Client {
+pub struct Http1Client {
     address: SocketAddr,
-    kept: Option<(Connection, Instant)>,
+    idle_connection: Option<(Connection, Instant)>,
     max_idle: Duration,
 }
 
-impl Client {
+impl Http1Client {
     /// Client of `address` that keeps connections idle for at most `max_idle`.
     pub fn new(address: SocketAddr, max_idle: Duration) -> Self {
         Self {
             address,
-            kept: None,
+            idle_connection: None,
             max_idle,
         }
     }
@@ -84,54 +84,59 @@
     }
 
     /// Makes one call.
-    pub async fn ask(&mut self, ask: &Ask<'_>) -> Result<Reply, Http1Error> {
-        let until = Instant::now() + ask.timeout;
-        let mut connection = match self.kept.take() {
+    pub async fn send(
+        &mut self,
+        request: &ClientRequest<'_>,
+    ) -> Result<ClientResponse, Http1Error> {
+        let until = Instant::now() + request.timeout;
+        let mut connection = match self.idle_connection.take() {
             Some((connection, since)) if since.elapsed() < self.max_idle => connection,
             _ => {
-                let limit = ask.timeout.min(Duration::from_millis(CONNECT_TIMEOUT_MS));
+                let limit = request
+                    .timeout
+                    .min(Duration::from_millis(CONNECT_TIMEOUT_MS));
                 Connection::open(self.address, limit).await?
             }
         };
         connection
-            .write_until(&request_bytes(self.address, ask), until)
+            .write_until(&encode_request(self.address, request), until)
             .await?;
-        let (reply, reusable) = read_reply(&mut connection, ask.method, until).await?;
+        let (response, reusable) = read_response(&mut connection, request.method, until).await?;
         if reusable {
-            self.kept = Some((connection, Instant::now()));
+            self.idle_connection = Some((connection, Instant::now()));
         }
-        Ok(reply)
+        Ok(response)
     }
 }
 
-fn request_bytes(address: SocketAddr, ask: &Ask<'_>) -> Vec<u8> {
+fn encode_request(address: SocketAddr, request: &ClientRequest<'_>) -> Vec<u8> {
     let mut bytes = format!(
         "{} {} HTTP/1.1\r\nHost: {address}\r\n",
-        ask.method, ask.target
+        request.method, request.target
     );
-    if !ask.content_type.is_empty() {
-        bytes.push_str(&format!("Content-Type: {}\r\n", ask.content_type));
+    if !request.content_type.is_empty() {
+        bytes.push_str(&format!("Content-Type: {}\r\n", request.content_type));
     }
-    if !ask.body.is_empty() || ask.method != "GET" {
-        bytes.push_str(&format!("Content-Length: {}\r\n", ask.body.len()));
+    if !request.body.is_empty() || request.method != "GET" {
+        bytes.push_str(&format!("Content-Length: {}\r\n", request.body.len()));
     }
     bytes.push_str("\r\n");
     let mut bytes = bytes.into_bytes();
-    bytes.extend_from_slice(ask.body);
+    bytes.extend_from_slice(request.body);
     bytes
 }
 
-async fn read_reply(
+async fn read_response(
     connection: &mut Connection,
     method: &str,
     until: Instant,
-) -> Result<(Reply, bool), Http1Error> {
+) -> Result<(ClientResponse, bool), Http1Error> {
     let head = loop {
         if let Some(head) = ResponseHead::take(&mut connection.inbox, MAX_HEAD_BYTES)? {
             break head;
         }
         if connection.fill_until(until).await? == 0 {
-            return Err(Http1Error::BrokenOff);
+            return Err(Http1Error::IncompleteMessage);
         }
     };
     let decoder = BodyDecoder::new(head.framing(method)?);
@@ -142,10 +147,10 @@
     let reusable = !ends_with_close
         && connection.inbox.is_empty()
         && !head.headers.has_token("connection", "close");
-    let reply = Reply {
+    let response = ClientResponse {
         status: head.status,
         headers: head.headers,
         body,
     };
-    Ok((reply, reusable))
+    Ok((response, reusable))
 }
--- a/src/http1/connection.rs
+++ b/src/http1/connection.rs
@@ -147,7 +147,7 @@
     fn read_now(&mut self) -> Result<usize, Http1Error> {
         self.inbox.reserve(READ_BYTES);
         match self.stream.try_read_buf(&mut self.inbox) {
-            Ok(0) => Err(Http1Error::BrokenOff),
+            Ok(0) => Err(Http1Error::IncompleteMessage),
             Ok(count) => Ok(count),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(0),
             Err(error) => Err(Http1Error::Io(error)),
--- a/src/http1/errors.rs
+++ b/src/http1/errors.rs
@@ -7,7 +7,7 @@
     /// The peer closed before a message began.
     Closed,
     /// The peer closed or reset in the middle of a message.
-    BrokenOff,
+    IncompleteMessage,
     /// The bytes are no message of the protocol.
     Malformed(&'static str),
     /// The head is larger than allowed.
@@ -27,7 +27,7 @@
     pub fn label(&self) -> &'static str {
         match self {
             Self::Closed => "closed",
-            Self::BrokenOff => "broken_off",
+            Self::IncompleteMessage => "broken_off",
             Self::Malformed(_) => "malformed",
             Self::HeadTooLarge => "head_too_large",
             Self::BodyTooLarge => "body_too_large",
@@ -42,7 +42,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Closed => f.write_str("the peer closed the connection"),
-            Self::BrokenOff => f.write_str("the peer broke off in the middle of a message"),
+            Self::IncompleteMessage => f.write_str("the peer broke off in the middle of a message"),
             Self::Malformed(what) => write!(f, "not a valid HTTP/1.1 message: {what}"),
             Self::HeadTooLarge => f.write_str("the head exceeds the limit"),
             Self::BodyTooLarge => f.write_str("the body exceeds the limit"),
--- a/src/http1/server.rs
+++ b/src/http1/server.rs
@@ -33,7 +33,7 @@
 
 /// Answer to an internal call.
 #[derive(Debug)]
-pub struct InternalReply {
+pub struct InternalResponse {
     /// Status code.
     pub status: u16,
     /// Media type of the body.
@@ -42,7 +42,7 @@
     pub body: Vec<u8>,
 }
 
-impl InternalReply {
+impl InternalResponse {
     /// Answer with metrics in the Prometheus text format.
     pub fn metrics(text: String) -> Self {
         Self {
@@ -65,7 +65,7 @@
 /// Answers internal calls.
 pub trait InternalHandler: 'static {
     /// Answers one call.
-    fn handle(&self, request: InternalRequest) -> impl Future<Output = InternalReply>;
+    fn handle(&self, request: InternalRequest) -> impl Future<Output = InternalResponse>;
 }
 
 /// Reads one request with its whole body.
@@ -87,7 +87,7 @@
             return Ok(head);
         }
         match connection.fill_until(until).await {
-            Ok(0) if begun => return Err(Http1Error::BrokenOff),
+            Ok(0) if begun => return Err(Http1Error::IncompleteMessage),
             Ok(0) => return Err(Http1Error::Closed),
             Ok(_) => {}
             Err(Http1Error::TimedOut) if !begun => return Err(Http1Error::Closed),
--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -3,8 +3,8 @@
 
 use crate::fleet::rendezvous_rank;
 use crate::gateway::MANIFEST_PATH;
-use crate::http1::Ask;
-use crate::http1::Client;
+use crate::http1::ClientRequest;
+use crate::http1::Http1Client;
 use crate::staging::EnginePort;
 use crate::staging::assign_pieces;
 use crate::staging::weights_download::WeightsDownload;
@@ -102,8 +102,11 @@
     /// Fetches the manifest from another host or an entry.
     async fn fetch_manifest_from_host(&self, address: SocketAddr) -> Option<PieceManifest> {
         let target = format!("{MANIFEST_PATH}{}/{}", self.model, self.version);
-        let mut client = Client::new(address, Duration::ZERO);
-        match client.ask(&Ask::get(&target, MANIFEST_TIMEOUT)).await {
+        let mut client = Http1Client::new(address, Duration::ZERO);
+        match client
+            .send(&ClientRequest::get(&target, MANIFEST_TIMEOUT))
+            .await
+        {
             Ok(reply) if reply.status == 200 => rmp_serde::from_slice(&reply.body).ok(),
             Ok(_) => None,
             Err(error) => {
--- a/src/staging/piece_handler.rs
+++ b/src/staging/piece_handler.rs
@@ -4,8 +4,8 @@
 use crate::gateway::MANIFEST_PATH;
 use crate::gateway::PIECE_PATH;
 use crate::http1::InternalHandler;
-use crate::http1::InternalReply;
 use crate::http1::InternalRequest;
+use crate::http1::InternalResponse;
 use crate::observe::Metrics;
 use crate::staging::EnginePort;
 use crate::staging::StagingState;
@@ -27,7 +27,7 @@
 impl<E: EnginePort> PieceHandler<E> {
     /// Returns the piece at `rest`, the path `MODEL/VERSION/INDEX`; `None` when it is
     /// not held.
-    async fn piece(&self, rest: &str) -> Option<InternalReply> {
+    async fn piece(&self, rest: &str) -> Option<InternalResponse> {
         let mut parts = rest.split('/');
         let model = parts.next()?;
         let version: u64 = parts.next()?.parse().ok()?;
@@ -41,7 +41,7 @@
             )
         };
         if let Some(bytes) = buffered {
-            return Some(InternalReply {
+            return Some(InternalResponse {
                 status: 200,
                 content_type: "application/octet-stream",
                 body: bytes.to_vec(),
@@ -52,7 +52,7 @@
         }
         let mut engine = self.engine.clone();
         match engine.read_piece(model, index).await {
-            Ok(Some(body)) => Some(InternalReply {
+            Ok(Some(body)) => Some(InternalResponse {
                 status: 200,
                 content_type: "application/octet-stream",
                 body,
@@ -69,7 +69,7 @@
 
     /// Returns the manifest at `rest`, the path `MODEL/VERSION`; `None` when it is not
     /// known.
-    fn manifest(&self, rest: &str) -> Option<InternalReply> {
+    fn manifest(&self, rest: &str) -> Option<InternalResponse> {
         let (model, version) = rest.split_once('/')?;
         let version: u64 = version.parse().ok()?;
         let mut state = self.state.borrow_mut();
@@ -77,7 +77,7 @@
             .staged_model(model)
             .version_download(version)?
             .manifest;
-        Some(InternalReply {
+        Some(InternalResponse {
             status: 200,
             content_type: "application/msgpack",
             body: rmp_serde::to_vec(manifest).ok()?,
@@ -86,10 +86,10 @@
 }
 
 impl<E: EnginePort> InternalHandler for PieceHandler<E> {
-    async fn handle(&self, request: InternalRequest) -> InternalReply {
+    async fn handle(&self, request: InternalRequest) -> InternalResponse {
         let path = request.head.path();
         if path == METRICS_PATH {
-            return InternalReply::metrics(self.metrics.render());
+            return InternalResponse::metrics(self.metrics.render());
         }
         let reply = if let Some(rest) = path.strip_prefix(PIECE_PATH) {
             self.piece(rest).await
@@ -98,6 +98,6 @@
         } else {
             None
         };
-        reply.unwrap_or_else(|| InternalReply::status(404))
+        reply.unwrap_or_else(|| InternalResponse::status(404))
     }
 }
--- a/src/staging/weights_download.rs
+++ b/src/staging/weights_download.rs
@@ -7,8 +7,8 @@
 use futures_util::stream::FuturesUnordered;
 
 use crate::gateway::PIECE_PATH;
-use crate::http1::Ask;
-use crate::http1::Client;
+use crate::http1::ClientRequest;
+use crate::http1::Http1Client;
 use crate::observe::Event;
 use crate::observe::LogLine;
 use crate::observe::Metrics;
@@ -330,8 +330,11 @@
             return piece.await;
         };
         let target = format!("{PIECE_PATH}{}/{}/{index}", self.model, self.version);
-        let mut client = Client::new(address, Duration::ZERO);
-        match client.ask(&Ask::get(&target, PIECE_TIMEOUT)).await {
+        let mut client = Http1Client::new(address, Duration::ZERO);
+        match client
+            .send(&ClientRequest::get(&target, PIECE_TIMEOUT))
+            .await
+        {
             Ok(reply) if reply.status == 200 => Ok(reply.body),
             Ok(reply) => Err(ExternalCallError::Refused(reply.status)),
             Err(error) => Err(ExternalCallError::Unreachable(error.to_string())),
