--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -19,7 +19,7 @@
 use crate::http1::Framing;
 use crate::http1::Http1Error;
 use crate::http1::RequestHead;
-use crate::http1::read_request;
+use crate::http1::read_request_head;
 use crate::observe::Event;
 use crate::observe::LogLine;
 
@@ -150,11 +150,11 @@
         let stopped = stop_notice.notified();
         tokio::select! {
             biased;
-            head = read_request(client, limits.max_head_bytes, idle, head_time) => return head,
+            head = read_request_head(client, limits.max_head_bytes, idle, head_time) => return head,
             () = stopped => {}
         }
     }
-    read_request(
+    read_request_head(
         client,
         limits.max_head_bytes,
         STOPPING_IDLE_TIMEOUT,
@@ -178,7 +178,7 @@
     let decoder = BodyDecoder::new(framing);
     if !decoder.is_done() && head.headers.has_token("expect", "100-continue") {
         client
-            .write_until(
+            .write_with_deadline(
                 b"HTTP/1.1 100 Continue\r\n\r\n",
                 Instant::now() + LOCAL_RESPONSE_TIMEOUT,
             )
@@ -335,7 +335,7 @@
     gateway.metrics.refused(refusal.cause);
     let bytes = local_response(refusal.status, refusal.retry_after_ms, close);
     let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
-    match client.write_until(&bytes, deadline).await {
+    match client.write_with_deadline(&bytes, deadline).await {
         Ok(()) if !close => ConnectionReuse::Keep,
         _ => ConnectionReuse::Close,
     }
@@ -362,7 +362,7 @@
     gateway.metrics.refused(error.label());
     let bytes = local_response(status, None, true);
     let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
-    if let Err(error) = client.write_until(&bytes, deadline).await {
+    if let Err(error) = client.write_with_deadline(&bytes, deadline).await {
         log::debug!("cannot send a refusal to a client: {error}");
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -92,13 +92,16 @@
     facts: &SendFacts<'_>,
     head_deadline: Instant,
 ) -> SendOutcome {
-    let mut connection = match Connection::open(address, CONNECT_TIMEOUT).await {
+    let mut connection = match Connection::connect(address, CONNECT_TIMEOUT).await {
         Ok(connection) => connection,
         Err(error) => return SendOutcome::Unreachable(error),
     };
     connection.reset_on_drop();
     let bytes = request_bytes(dialect, request, facts);
-    match connection.write_or_readable(&bytes, request.deadline).await {
+    match connection
+        .write_until_readable(&bytes, request.deadline)
+        .await
+    {
         Ok(_) => {}
         Err(error) => return SendOutcome::Broken(error.label()),
     }
@@ -170,12 +173,12 @@
     deadline: Instant,
 ) -> Result<ResponseHead, Http1Error> {
     loop {
-        match ResponseHead::take(&mut connection.inbox, MAX_HEAD_BYTES)? {
+        match ResponseHead::parse_from(&mut connection.read_buffer, MAX_HEAD_BYTES)? {
             Some(head) if head.status < 200 => continue,
             Some(head) => return Ok(head),
             None => {}
         }
-        if connection.fill_until(deadline).await? == 0 {
+        if connection.fill_buffer_with_deadline(deadline).await? == 0 {
             return Err(Http1Error::IncompleteMessage);
         }
     }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -204,7 +204,7 @@
             &facts,
             head_deadline,
         );
-        client.unless_closed(work).await
+        client.run_unless_closed(work).await
     }
 
     /// Whether the retry budget of the request's service allows one more send.
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -97,7 +97,7 @@
         loop {
             let decoded = stream
                 .decoder
-                .decode(&mut stream.connection.inbox, splitter.buffer());
+                .decode(&mut stream.connection.read_buffer, splitter.buffer());
             let events = self.events;
             if let Some(end) = self.forward_events(client, &mut splitter).await {
                 return end;
@@ -117,15 +117,15 @@
             let wait_until = (Instant::now() + SILENCE_CHECK_INTERVAL).min(self.deadline);
             tokio::select! {
                 biased;
-                read = stream.connection.fill() => match read {
-                    Ok(0) => match stream.decoder.finish() {
+                read = stream.connection.fill_buffer() => match read {
+                    Ok(0) => match stream.decoder.finish_at_close() {
                         Ok(()) => return self.finish(client, &mut splitter).await,
                         Err(error) => return StreamEnd::Broken(error.label()),
                     },
                     Ok(_) => last_received = Instant::now(),
                     Err(_) => return StreamEnd::Broken("reset"),
                 },
-                () = client.closed() => return StreamEnd::ClientDisconnected,
+                () = client.wait_closed() => return StreamEnd::ClientDisconnected,
                 () = tokio::time::sleep_until(wait_until) => {
                     if Instant::now() >= self.deadline {
                         return StreamEnd::TimedOut;
@@ -200,7 +200,7 @@
         if is_last {
             bytes.extend_from_slice(b"0\r\n\r\n");
         }
-        match client.write_until(&bytes, self.deadline).await {
+        match client.write_with_deadline(&bytes, self.deadline).await {
             Ok(()) => None,
             Err(crate::http1::Http1Error::TimedOut) => Some(StreamEnd::TimedOut),
             Err(_) => Some(StreamEnd::ClientDisconnected),
--- a/src/gateway/request_outcome.rs
+++ b/src/gateway/request_outcome.rs
@@ -114,7 +114,7 @@
             format!("Content-Length: {}\r\n\r\n", response.body.len()).as_bytes(),
         );
         bytes.extend_from_slice(&response.body);
-        let written = client.write_until(&bytes, request.deadline).await;
+        let written = client.write_with_deadline(&bytes, request.deadline).await;
         let outcome = RequestOutcome {
             status: response.head.status,
             cause: "answered",
@@ -138,7 +138,7 @@
         let close = self.closes_connection(request);
         let bytes = local_response(outcome.status, outcome.retry_after_ms, close);
         let deadline = Instant::now() + Duration::from_secs(1);
-        let written = client.write_until(&bytes, deadline).await;
+        let written = client.write_with_deadline(&bytes, deadline).await;
         if outcome.status == 503 {
             self.metrics.refused("request");
         }
--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -5,7 +5,7 @@
 use crate::http1::Http1Error;
 
 /// Longest line that gives the size of a chunk, in bytes.
-const MAX_CHUNK_LINE_BYTES: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 
 /// Takes a body out of the bytes of a connection, piece by piece.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,19 +42,23 @@
         self == Self::Done
     }
 
-    /// Moves what `inbox` holds of the body to the end of `out`.
-    pub fn decode(&mut self, inbox: &mut BytesMut, out: &mut Vec<u8>) -> Result<(), Http1Error> {
+    /// Moves what `read_buffer` holds of the body to the end of `out`.
+    pub fn decode(
+        &mut self,
+        read_buffer: &mut BytesMut,
+        out: &mut Vec<u8>,
+    ) -> Result<(), Http1Error> {
         loop {
             *self = match *self {
                 Self::Done => return Ok(()),
-                Self::Length(left) => match move_bytes(inbox, out, left) {
+                Self::Length(left) => match move_bytes(read_buffer, out, left) {
                     0 => Self::Done,
                     left => {
                         *self = Self::Length(left);
                         return Ok(());
                     }
                 },
-                Self::ChunkData(left) => match move_bytes(inbox, out, left) {
+                Self::ChunkData(left) => match move_bytes(read_buffer, out, left) {
                     0 => Self::ChunkEnd,
                     left => {
                         *self = Self::ChunkData(left);
@@ -62,23 +66,23 @@
                     }
                 },
                 Self::UntilClose => {
-                    out.extend_from_slice(inbox);
-                    inbox.clear();
+                    out.extend_from_slice(read_buffer);
+                    read_buffer.clear();
                     return Ok(());
                 }
-                Self::ChunkSize => match take_line(inbox)? {
-                    Some(line) => match chunk_size(&line)? {
+                Self::ChunkSize => match split_line(read_buffer)? {
+                    Some(line) => match parse_chunk_size(&line)? {
                         0 => Self::Trailer,
                         size => Self::ChunkData(size),
                     },
                     None => return Ok(()),
                 },
-                Self::ChunkEnd => match take_line(inbox)? {
+                Self::ChunkEnd => match split_line(read_buffer)? {
                     Some(line) if line.is_empty() => Self::ChunkSize,
                     Some(_) => return Err(Http1Error::Malformed("chunk end")),
                     None => return Ok(()),
                 },
-                Self::Trailer => match take_line(inbox)? {
+                Self::Trailer => match split_line(read_buffer)? {
                     Some(line) if line.is_empty() => Self::Done,
                     Some(_) => Self::Trailer,
                     None => return Ok(()),
@@ -88,7 +92,7 @@
     }
 
     /// What the end of the connection means for the body.
-    pub fn finish(&mut self) -> Result<(), Http1Error> {
+    pub fn finish_at_close(&mut self) -> Result<(), Http1Error> {
         match *self {
             Self::Done | Self::UntilClose => {
                 *self = Self::Done;
@@ -100,30 +104,30 @@
 }
 
 /// Moves at most `left` bytes and returns how many are left then.
-fn move_bytes(inbox: &mut BytesMut, out: &mut Vec<u8>, left: u64) -> u64 {
-    let count = usize::try_from(left).map_or(inbox.len(), |left| left.min(inbox.len()));
-    out.extend_from_slice(&inbox[..count]);
-    inbox.advance(count);
+fn move_bytes(read_buffer: &mut BytesMut, out: &mut Vec<u8>, left: u64) -> u64 {
+    let count = usize::try_from(left).map_or(read_buffer.len(), |left| left.min(read_buffer.len()));
+    out.extend_from_slice(&read_buffer[..count]);
+    read_buffer.advance(count);
     left - count as u64
 }
 
 /// Takes one line that ends with CR LF, without its end.
-fn take_line(inbox: &mut BytesMut) -> Result<Option<Vec<u8>>, Http1Error> {
-    let Some(at) = inbox.iter().position(|byte| *byte == b'\n') else {
-        if inbox.len() > MAX_CHUNK_LINE_BYTES {
+fn split_line(read_buffer: &mut BytesMut) -> Result<Option<Vec<u8>>, Http1Error> {
+    let Some(newline) = read_buffer.iter().position(|byte| *byte == b'\n') else {
+        if read_buffer.len() > MAX_LINE_BYTES {
             return Err(Http1Error::Malformed("chunk line"));
         }
         return Ok(None);
     };
-    if at == 0 || inbox[at - 1] != b'\r' || at > MAX_CHUNK_LINE_BYTES {
+    if newline == 0 || read_buffer[newline - 1] != b'\r' || newline > MAX_LINE_BYTES {
         return Err(Http1Error::Malformed("chunk line"));
     }
-    let line = inbox[..at - 1].to_vec();
-    inbox.advance(at + 1);
+    let line = read_buffer[..newline - 1].to_vec();
+    read_buffer.advance(newline + 1);
     Ok(Some(line))
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, Http1Error> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, Http1Error> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits).unwrap_or("").trim_end();
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -88,20 +88,20 @@
         &mut self,
         request: &ClientRequest<'_>,
     ) -> Result<ClientResponse, Http1Error> {
-        let until = Instant::now() + request.timeout;
+        let deadline = Instant::now() + request.timeout;
         let mut connection = match self.idle_connection.take() {
             Some((connection, since)) if since.elapsed() < self.max_idle => connection,
             _ => {
-                let limit = request
+                let connect_timeout = request
                     .timeout
                     .min(Duration::from_millis(CONNECT_TIMEOUT_MS));
-                Connection::open(self.address, limit).await?
+                Connection::connect(self.address, connect_timeout).await?
             }
         };
         connection
-            .write_until(&encode_request(self.address, request), until)
+            .write_with_deadline(&encode_request(self.address, request), deadline)
             .await?;
-        let (response, reusable) = read_response(&mut connection, request.method, until).await?;
+        let (response, reusable) = read_response(&mut connection, request.method, deadline).await?;
         if reusable {
             self.idle_connection = Some((connection, Instant::now()));
         }
@@ -129,23 +129,23 @@
 async fn read_response(
     connection: &mut Connection,
     method: &str,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<(ClientResponse, bool), Http1Error> {
     let head = loop {
-        if let Some(head) = ResponseHead::take(&mut connection.inbox, MAX_HEAD_BYTES)? {
+        if let Some(head) = ResponseHead::parse_from(&mut connection.read_buffer, MAX_HEAD_BYTES)? {
             break head;
         }
-        if connection.fill_until(until).await? == 0 {
+        if connection.fill_buffer_with_deadline(deadline).await? == 0 {
             return Err(Http1Error::IncompleteMessage);
         }
     };
     let decoder = BodyDecoder::new(head.framing(method)?);
     let ends_with_close = decoder == BodyDecoder::UntilClose;
     let body = connection
-        .read_body(decoder, MAX_BODY_BYTES, || until)
+        .read_body(decoder, MAX_BODY_BYTES, || deadline)
         .await?;
     let reusable = !ends_with_close
-        && connection.inbox.is_empty()
+        && connection.read_buffer.is_empty()
         && !head.headers.has_token("connection", "close");
     let response = ClientResponse {
         status: head.status,
--- a/src/http1/connection.rs
+++ b/src/http1/connection.rs
@@ -12,17 +12,17 @@
 use crate::http1::Http1Error;
 
 /// Bytes read from a connection at once.
-const READ_BYTES: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Unread bytes kept while something else is awaited; more wait in the socket.
-const MAX_AHEAD_BYTES: usize = 64 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// One TCP connection with the bytes read ahead.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     /// Bytes that were read and not yet used.
-    pub inbox: BytesMut,
+    pub read_buffer: BytesMut,
 }
 
 impl Connection {
@@ -33,13 +33,13 @@
         }
         Self {
             stream,
-            inbox: BytesMut::new(),
+            read_buffer: BytesMut::new(),
         }
     }
 
     /// Opens a connection within `limit`.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, Http1Error> {
-        match tokio::time::timeout(limit, TcpStream::connect(address)).await {
+    pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Self, Http1Error> {
+        match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => Ok(Self::new(stream)),
             Ok(Err(error)) => Err(Http1Error::NotConnected(error)),
             Err(_) => Err(Http1Error::NotConnected(io::ErrorKind::TimedOut.into())),
@@ -47,10 +47,10 @@
     }
 
     /// Reads what has arrived, at least one byte; 0 when the peer closed.
-    pub async fn fill(&mut self) -> io::Result<usize> {
+    pub async fn fill_buffer(&mut self) -> io::Result<usize> {
         loop {
-            self.inbox.reserve(READ_BYTES);
-            match self.stream.try_read_buf(&mut self.inbox) {
+            self.read_buffer.reserve(READ_CHUNK_BYTES);
+            match self.stream.try_read_buf(&mut self.read_buffer) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.stream.readable().await?;
                 }
@@ -59,9 +59,12 @@
         }
     }
 
-    /// Reads as `fill` does, no later than `until`.
-    pub async fn fill_until(&mut self, until: Instant) -> Result<usize, Http1Error> {
-        match timeout_at(until, self.fill()).await {
+    /// Reads as `fill_buffer` does, no later than `until`.
+    pub async fn fill_buffer_with_deadline(
+        &mut self,
+        deadline: Instant,
+    ) -> Result<usize, Http1Error> {
+        match timeout_at(deadline, self.fill_buffer()).await {
             Ok(result) => result.map_err(Http1Error::Io),
             Err(_) => Err(Http1Error::TimedOut),
         }
@@ -76,27 +79,31 @@
         &mut self,
         mut decoder: BodyDecoder,
         max_bytes: usize,
-        until: impl Fn() -> Instant,
+        deadline: impl Fn() -> Instant,
     ) -> Result<Vec<u8>, Http1Error> {
         let mut body = Vec::new();
         loop {
-            decoder.decode(&mut self.inbox, &mut body)?;
+            decoder.decode(&mut self.read_buffer, &mut body)?;
             if body.len() > max_bytes {
                 return Err(Http1Error::BodyTooLarge);
             }
             if decoder.is_done() {
                 return Ok(body);
             }
-            if self.fill_until(until()).await? == 0 {
-                decoder.finish()?;
+            if self.fill_buffer_with_deadline(deadline()).await? == 0 {
+                decoder.finish_at_close()?;
                 return Ok(body);
             }
         }
     }
 
     /// Writes all of `bytes`, no later than `until`.
-    pub async fn write_until(&self, bytes: &[u8], until: Instant) -> Result<(), Http1Error> {
-        match timeout_at(until, self.write(bytes)).await {
+    pub async fn write_with_deadline(
+        &self,
+        bytes: &[u8],
+        deadline: Instant,
+    ) -> Result<(), Http1Error> {
+        match timeout_at(deadline, self.write(bytes)).await {
             Ok(result) => result.map_err(Http1Error::Io),
             Err(_) => Err(Http1Error::TimedOut),
         }
@@ -106,7 +113,7 @@
         while !bytes.is_empty() {
             match self.stream.try_write(bytes) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(count) => bytes = &bytes[count..],
+                Ok(length) => bytes = &bytes[length..],
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.stream.writable().await?;
                 }
@@ -118,22 +125,22 @@
 
     /// Writes `bytes` while reading answers; returns how many bytes went out
     /// when something arrived first.
-    pub async fn write_or_readable(
+    pub async fn write_until_readable(
         &mut self,
         bytes: &[u8],
-        until: Instant,
+        deadline: Instant,
     ) -> Result<usize, Http1Error> {
         let mut sent = 0;
         while sent < bytes.len() {
             match self.stream.try_write(&bytes[sent..]) {
-                Ok(count) => sent += count,
+                Ok(length) => sent += length,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     let interest = tokio::io::Interest::READABLE | tokio::io::Interest::WRITABLE;
-                    let ready = match timeout_at(until, self.stream.ready(interest)).await {
+                    let ready = match timeout_at(deadline, self.stream.ready(interest)).await {
                         Ok(ready) => ready?,
                         Err(_) => return Err(Http1Error::TimedOut),
                     };
-                    if ready.is_readable() && self.read_now()? > 0 {
+                    if ready.is_readable() && self.try_fill_buffer()? > 0 {
                         return Ok(sent);
                     }
                 }
@@ -144,23 +151,23 @@
     }
 
     /// Reads without waiting; 0 when nothing has arrived.
-    fn read_now(&mut self) -> Result<usize, Http1Error> {
-        self.inbox.reserve(READ_BYTES);
-        match self.stream.try_read_buf(&mut self.inbox) {
+    fn try_fill_buffer(&mut self) -> Result<usize, Http1Error> {
+        self.read_buffer.reserve(READ_CHUNK_BYTES);
+        match self.stream.try_read_buf(&mut self.read_buffer) {
             Ok(0) => Err(Http1Error::IncompleteMessage),
-            Ok(count) => Ok(count),
+            Ok(length) => Ok(length),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(0),
             Err(error) => Err(Http1Error::Io(error)),
         }
     }
 
     /// Resolves when the peer has closed; requests sent ahead are kept.
-    pub async fn closed(&mut self) {
+    pub async fn wait_closed(&mut self) {
         loop {
-            if self.inbox.len() >= MAX_AHEAD_BYTES {
+            if self.read_buffer.len() >= MAX_READ_AHEAD_BYTES {
                 std::future::pending::<()>().await;
             }
-            match self.fill().await {
+            match self.fill_buffer().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
@@ -168,11 +175,11 @@
     }
 
     /// Runs `work` until it is done or the peer has closed.
-    pub async fn unless_closed<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn run_unless_closed<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
             done = work => Some(done),
-            () = self.closed() => None,
+            () = self.wait_closed() => None,
         }
     }
 
--- a/src/http1/head.rs
+++ b/src/http1/head.rs
@@ -19,7 +19,7 @@
     }
 
     /// First value of `name` as text.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn first_text(&self, name: &str) -> Option<&str> {
         let line = self
             .lines
             .iter()
@@ -50,7 +50,7 @@
             .any(|part| part.trim().eq_ignore_ascii_case(token))
     }
 
-    fn from_parsed(parsed: &[httparse::Header<'_>]) -> Self {
+    fn from_httparse(parsed: &[httparse::Header<'_>]) -> Self {
         Self {
             lines: parsed
                 .iter()
@@ -87,13 +87,16 @@
 }
 
 impl RequestHead {
-    /// Takes a complete head off the front of `inbox`; None when more is needed.
-    pub fn take(inbox: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>, Http1Error> {
+    /// Takes a complete head off the front of `read_buffer`; None when more is needed.
+    pub fn parse_from(
+        read_buffer: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<Self>, Http1Error> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut lines);
-        let len = match parsed.parse(inbox) {
+        let len = match parsed.parse(read_buffer) {
             Ok(httparse::Status::Complete(len)) => len,
-            Ok(httparse::Status::Partial) if inbox.len() > max_bytes => {
+            Ok(httparse::Status::Partial) if read_buffer.len() > max_bytes => {
                 return Err(Http1Error::HeadTooLarge);
             }
             Ok(httparse::Status::Partial) => return Ok(None),
@@ -107,9 +110,9 @@
             method: parsed.method.unwrap_or_default().to_owned(),
             target: parsed.path.unwrap_or_default().to_owned(),
             is_http10: parsed.version == Some(0),
-            headers: Headers::from_parsed(parsed.headers),
+            headers: Headers::from_httparse(parsed.headers),
         };
-        inbox.advance(len);
+        read_buffer.advance(len);
         Ok(Some(head))
     }
 
@@ -156,13 +159,16 @@
 }
 
 impl ResponseHead {
-    /// Takes a complete head off the front of `inbox`; None when more is needed.
-    pub fn take(inbox: &mut BytesMut, max_bytes: usize) -> Result<Option<Self>, Http1Error> {
+    /// Takes a complete head off the front of `read_buffer`; None when more is needed.
+    pub fn parse_from(
+        read_buffer: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<Self>, Http1Error> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut lines);
-        let len = match parsed.parse(inbox) {
+        let len = match parsed.parse(read_buffer) {
             Ok(httparse::Status::Complete(len)) => len,
-            Ok(httparse::Status::Partial) if inbox.len() > max_bytes => {
+            Ok(httparse::Status::Partial) if read_buffer.len() > max_bytes => {
                 return Err(Http1Error::HeadTooLarge);
             }
             Ok(httparse::Status::Partial) => return Ok(None),
@@ -171,9 +177,9 @@
         let head = Self {
             status: parsed.code.unwrap_or_default(),
             reason: parsed.reason.unwrap_or_default().to_owned(),
-            headers: Headers::from_parsed(parsed.headers),
+            headers: Headers::from_httparse(parsed.headers),
         };
-        inbox.advance(len);
+        read_buffer.advance(len);
         Ok(Some(head))
     }
 
--- a/src/http1/mod.rs
+++ b/src/http1/mod.rs
@@ -25,5 +25,5 @@
 pub use server::InternalHandler;
 pub use server::InternalRequest;
 pub use server::InternalResponse;
-pub use server::read_request;
+pub use server::read_request_head;
 pub use server::serve_internal;
--- a/src/http1/server.rs
+++ b/src/http1/server.rs
@@ -70,32 +70,32 @@
 
 /// Reads one request with its whole body.
 ///
-/// Waits `idle` for its first byte and `head_time` for the rest of the head.
-pub async fn read_request(
+/// Waits `idle_timeout` for its first byte and `head_timeout` for the rest of the head.
+pub async fn read_request_head(
     connection: &mut Connection,
     max_head_bytes: usize,
-    idle: Duration,
-    head_time: Duration,
+    idle_timeout: Duration,
+    head_timeout: Duration,
 ) -> Result<RequestHead, Http1Error> {
-    let mut until = Instant::now() + idle;
-    let mut begun = !connection.inbox.is_empty();
-    if begun {
-        until = Instant::now() + head_time;
+    let mut deadline = Instant::now() + idle_timeout;
+    let mut has_started = !connection.read_buffer.is_empty();
+    if has_started {
+        deadline = Instant::now() + head_timeout;
     }
     loop {
-        if let Some(head) = RequestHead::take(&mut connection.inbox, max_head_bytes)? {
+        if let Some(head) = RequestHead::parse_from(&mut connection.read_buffer, max_head_bytes)? {
             return Ok(head);
         }
-        match connection.fill_until(until).await {
-            Ok(0) if begun => return Err(Http1Error::IncompleteMessage),
+        match connection.fill_buffer_with_deadline(deadline).await {
+            Ok(0) if has_started => return Err(Http1Error::IncompleteMessage),
             Ok(0) => return Err(Http1Error::Closed),
             Ok(_) => {}
-            Err(Http1Error::TimedOut) if !begun => return Err(Http1Error::Closed),
+            Err(Http1Error::TimedOut) if !has_started => return Err(Http1Error::Closed),
             Err(error) => return Err(error),
         }
-        if !begun {
-            begun = true;
-            until = Instant::now() + head_time;
+        if !has_started {
+            has_started = true;
+            deadline = Instant::now() + head_timeout;
         }
     }
 }
@@ -108,7 +108,7 @@
             Ok((stream, _)) => {
                 let handler = handler.clone();
                 actix_rt::spawn(async move {
-                    if let Err(error) = serve_calls(Connection::new(stream), &*handler).await {
+                    if let Err(error) = serve_connection(Connection::new(stream), &*handler).await {
                         log::debug!("an internal connection ended: {error}");
                     }
                 });
@@ -121,12 +121,12 @@
     }
 }
 
-async fn serve_calls(
+async fn serve_connection(
     mut connection: Connection,
     handler: &impl InternalHandler,
 ) -> Result<(), Http1Error> {
     loop {
-        let read = read_request(
+        let read = read_request_head(
             &mut connection,
             MAX_HEAD_BYTES,
             IDLE_TIMEOUT,
@@ -137,25 +137,25 @@
             Err(Http1Error::Closed) => return Ok(()),
             Err(error) => return Err(error),
         };
-        let until = Instant::now() + MESSAGE_TIMEOUT;
+        let deadline = Instant::now() + MESSAGE_TIMEOUT;
         let decoder = BodyDecoder::new(head.framing()?);
         let body = connection
-            .read_body(decoder, MAX_BODY_BYTES, || until)
+            .read_body(decoder, MAX_BODY_BYTES, || deadline)
             .await?;
-        let close = head.wants_close();
-        let reply = handler.handle(InternalRequest { head, body }).await;
+        let closes = head.wants_close();
+        let response = handler.handle(InternalRequest { head, body }).await;
         let mut bytes = format!(
             "HTTP/1.1 {} .\r\nContent-Type: {}\r\nContent-Length: {}\r\n\r\n",
-            reply.status,
-            reply.content_type,
-            reply.body.len()
+            response.status,
+            response.content_type,
+            response.body.len()
         )
         .into_bytes();
-        bytes.extend_from_slice(&reply.body);
+        bytes.extend_from_slice(&response.body);
         connection
-            .write_until(&bytes, Instant::now() + MESSAGE_TIMEOUT)
+            .write_with_deadline(&bytes, Instant::now() + MESSAGE_TIMEOUT)
             .await?;
-        if close {
+        if closes {
             return Ok(());
         }
     }
--- a/tests/http1/main.rs
+++ b/tests/http1/main.rs
@@ -11,7 +11,7 @@
 const MAX_HEAD_BYTES: usize = 1_024;
 
 fn request(text: &str) -> Result<Option<RequestHead>, Http1Error> {
-    RequestHead::take(&mut BytesMut::from(text), MAX_HEAD_BYTES)
+    RequestHead::parse_from(&mut BytesMut::from(text), MAX_HEAD_BYTES)
 }
 
 fn framing(lines: &str) -> Result<Framing, Http1Error> {
@@ -38,12 +38,12 @@
 
 #[test]
 fn request_head_leaves_the_rest() {
-    let mut inbox = BytesMut::from("GET /x?y=1 HTTP/1.1\r\nHost: h\r\n\r\nGET /z");
-    let head = RequestHead::take(&mut inbox, MAX_HEAD_BYTES)
+    let mut read_buffer = BytesMut::from("GET /x?y=1 HTTP/1.1\r\nHost: h\r\n\r\nGET /z");
+    let head = RequestHead::parse_from(&mut read_buffer, MAX_HEAD_BYTES)
         .unwrap()
         .unwrap();
     assert_eq!((head.path(), head.query()), ("/x", "y=1"));
-    assert_eq!(&inbox[..], b"GET /z");
+    assert_eq!(&read_buffer[..], b"GET /z");
 }
 
 #[test]
@@ -127,25 +127,37 @@
 
 #[test]
 fn decode_leaves_surplus_bytes() {
-    let mut inbox = BytesMut::from("abcHTTP/1.1 200 OK");
+    let mut read_buffer = BytesMut::from("abcHTTP/1.1 200 OK");
     let mut body = Vec::new();
     let mut decoder = BodyDecoder::new(Framing::Length(3));
-    decoder.decode(&mut inbox, &mut body).unwrap();
+    decoder.decode(&mut read_buffer, &mut body).unwrap();
     assert!(decoder.is_done());
-    assert_eq!(&inbox[..], b"HTTP/1.1 200 OK");
+    assert_eq!(&read_buffer[..], b"HTTP/1.1 200 OK");
 }
 
 #[test]
 fn finish_tells_whole_from_broken() {
-    assert!(BodyDecoder::new(Framing::UntilClose).finish().is_ok());
-    assert!(BodyDecoder::new(Framing::Length(1)).finish().is_err());
-    assert!(BodyDecoder::new(Framing::Chunked).finish().is_err());
+    assert!(
+        BodyDecoder::new(Framing::UntilClose)
+            .finish_at_close()
+            .is_ok()
+    );
+    assert!(
+        BodyDecoder::new(Framing::Length(1))
+            .finish_at_close()
+            .is_err()
+    );
+    assert!(
+        BodyDecoder::new(Framing::Chunked)
+            .finish_at_close()
+            .is_err()
+    );
 }
 
 #[test]
 fn response_framing_without_length_ends_with_connection() {
     let text = "HTTP/1.1 200 OK\r\nX: y\r\n\r\n";
-    let head = ResponseHead::take(&mut BytesMut::from(text), MAX_HEAD_BYTES)
+    let head = ResponseHead::parse_from(&mut BytesMut::from(text), MAX_HEAD_BYTES)
         .unwrap()
         .unwrap();
     assert_eq!(head.framing("GET").unwrap(), Framing::UntilClose);
