--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Cuts the regions from each other, and the second from the platform, for `time`.
+    /// SimulatedPartition the regions from each other, and the second from the platform, for `time`.
     pub(super) fn cut_regions(&self, time: Duration) {
         let region_of = |host: &ControlHost| host.node.process().region.clone();
         for host in &self.hosts {
@@ -157,7 +157,7 @@
                 cut.push(self.log.address());
                 cut.push(self.list.address());
             }
-            host.node.cuts().cut(cut, time);
+            host.node.cuts().start(cut, time);
         }
     }
 
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -42,7 +42,7 @@
 use crate::hosts::Report;
 use crate::hosts::Served;
 use crate::links::ServeOptions;
-use crate::links::read_rmp;
+use crate::links::decode_rmp;
 use crate::links::serve;
 use crate::standin::Handle;
 use crate::standin::engine;
@@ -356,7 +356,7 @@
 
 async fn product_endpoint(state: Data<ProductEndpoint>, body: Bytes) -> HttpResponse {
     state.received.fetch_add(1, Ordering::Relaxed);
-    match read_rmp::<GenerateCall>(&body) {
+    match decode_rmp::<GenerateCall>(&body) {
         Ok(call) => state.server.run(call, whole()),
         Err(error) => HttpResponse::BadRequest().body(error.to_string()),
     }
--- a/src/cli/admin_client.rs
+++ b/src/cli/admin_client.rs
@@ -51,7 +51,7 @@
             Some(body) => serde_json::to_vec(body).map_err(malformed)?,
             None => Vec::new(),
         };
-        let answer = HttpClient::exchange(request, bytes, wait_ms + ANSWER_WAIT_MS).await?;
+        let answer = HttpClient::send_and_read(request, bytes, wait_ms + ANSWER_WAIT_MS).await?;
         serde_json::from_slice(&answer).map_err(malformed)
     }
 
--- a/src/cli/demo/callers.rs
+++ b/src/cli/demo/callers.rs
@@ -190,7 +190,7 @@
             .http
             .request(Method::GET, &url)
             .bearer_auth(BRANCH_TOKEN);
-        let answer = HttpClient::exchange(request, Bytes::new(), DEADLINE_MS).await;
+        let answer = HttpClient::send_and_read(request, Bytes::new(), DEADLINE_MS).await;
         let addresses: Addresses = serde_json::from_slice(&answer.ok()?).ok()?;
         addresses.permits.into_iter().next()
     }
@@ -201,7 +201,7 @@
             .request(Method::POST, url)
             .bearer_auth(BRANCH_TOKEN)
             .insert_header(("content-type", "application/json"));
-        HttpClient::exchange(request, body.to_string(), 2 * DEADLINE_MS).await
+        HttpClient::send_and_read(request, body.to_string(), 2 * DEADLINE_MS).await
     }
 }
 
--- a/src/cli/demo/operator.rs
+++ b/src/cli/demo/operator.rs
@@ -145,7 +145,7 @@
                 .request(Method::PUT, &url)
                 .bearer_auth(TEAM_TOKEN)
                 .insert_header(("content-type", "application/json"));
-            let sent = HttpClient::exchange(request, edit.to_string(), ANSWER_WAIT_MS).await;
+            let sent = HttpClient::send_and_read(request, edit.to_string(), ANSWER_WAIT_MS).await;
             match sent {
                 Ok(_) => return Ok(()),
                 Err(LinkError::Status { status, .. })
@@ -180,7 +180,7 @@
     async fn status(&self) -> Option<StatusView> {
         let url = format!("{}/v1/status", self.entry_url);
         let request = self.http.request(Method::GET, &url).bearer_auth(TEAM_TOKEN);
-        let answer = HttpClient::exchange(request, Bytes::new(), ANSWER_WAIT_MS).await;
+        let answer = HttpClient::send_and_read(request, Bytes::new(), ANSWER_WAIT_MS).await;
         serde_json::from_slice(&answer.ok()?).ok()
     }
 
--- a/src/clients/hosts_client.rs
+++ b/src/clients/hosts_client.rs
@@ -4,9 +4,9 @@
 use serde::Serialize;
 
 use crate::hosts::HostRecord;
-use crate::links::Cuts;
 use crate::links::HttpClient;
 use crate::links::LinkError;
+use crate::links::SimulatedPartition;
 
 /// Longest time a read of the list may take.
 const READ_WAIT_MS: u64 = 3000;
@@ -36,9 +36,9 @@
         }
     }
 
-    /// The same client, which does not reach the addresses in `cuts`.
-    pub fn with_cuts(mut self, cuts: Arc<Cuts>) -> Self {
-        self.http = self.http.with_cuts(cuts);
+    /// The same client, which does not reach the addresses in `partition`.
+    pub fn with_simulated_partition(mut self, partition: Arc<SimulatedPartition>) -> Self {
+        self.http = self.http.with_simulated_partition(partition);
         self
     }
 
--- a/src/clients/log_client.rs
+++ b/src/clients/log_client.rs
@@ -3,9 +3,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::links::Cuts;
 use crate::links::HttpClient;
 use crate::links::LinkError;
+use crate::links::SimulatedPartition;
 
 /// Longest time an append may take.
 const APPEND_WAIT_MS: u64 = 5000;
@@ -76,9 +76,9 @@
         }
     }
 
-    /// The same client, which does not reach the addresses in `cuts`.
-    pub fn with_cuts(mut self, cuts: Arc<Cuts>) -> Self {
-        self.http = self.http.with_cuts(cuts);
+    /// The same client, which does not reach the addresses in `partition`.
+    pub fn with_simulated_partition(mut self, partition: Arc<SimulatedPartition>) -> Self {
+        self.http = self.http.with_simulated_partition(partition);
         self
     }
 
--- a/src/clients/origin_client.rs
+++ b/src/clients/origin_client.rs
@@ -111,6 +111,6 @@
     ) -> Result<Bytes, OriginError> {
         let url = format!("{}/v1/chunks/{manifest}/{index}", self.base_url);
         let request = self.http.request(Method::GET, &url);
-        Ok(HttpClient::exchange(request, Bytes::new(), wait_ms).await?)
+        Ok(HttpClient::send_and_read(request, Bytes::new(), wait_ms).await?)
     }
 }
--- a/src/clients/service_client.rs
+++ b/src/clients/service_client.rs
@@ -73,13 +73,13 @@
         let url = format!("{}/{}", self.url, call.path);
         let mut request = self
             .http
-            .fresh_request(Method::POST, &url)
+            .request_on_new_connection(Method::POST, &url)
             .insert_header((CONTENT_TYPE, "application/json"))
             .insert_header((REQUEST_ID_HEADER, call.request_id.as_str()));
         if let Some(key) = &call.key {
             request = request.insert_header((IDEMPOTENCY_KEY_HEADER, key.as_str()));
         }
-        let answer = match HttpClient::exchange(request, call.body, call.wait_ms).await {
+        let answer = match HttpClient::send_and_read(request, call.body, call.wait_ms).await {
             Ok(body) => StoredAnswer {
                 status: 200,
                 body: body.to_vec(),
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -22,7 +22,7 @@
 use crate::endpoint::EndpointState;
 use crate::endpoint::call_beats::beating_response;
 use crate::endpoint::call_run::CallRun;
-use crate::links::open_call;
+use crate::links::decode_call;
 use crate::weights::Digest;
 
 /// Takes in a call of the service beside this process.
@@ -31,7 +31,7 @@
     request: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let call: ServiceCall = match open_call(&request, &body, &state.node.cluster().shared_key) {
+    let call: ServiceCall = match decode_call(&request, &body, &state.node.cluster().shared_key) {
         Ok(call) => call,
         Err(fault) => return fault.response(),
     };
@@ -53,7 +53,7 @@
     body: Bytes,
 ) -> HttpResponse {
     let question: PermitStatusQuery =
-        match open_call(&request, &body, &state.node.cluster().shared_key) {
+        match decode_call(&request, &body, &state.node.cluster().shared_key) {
             Ok(question) => question,
             Err(fault) => return fault.response(),
         };
--- a/src/endpoint/generate.rs
+++ b/src/endpoint/generate.rs
@@ -8,7 +8,7 @@
 use crate::contracts::BranchShare;
 use crate::endpoint::EndpointState;
 use crate::endpoint::GenerateServer;
-use crate::links::open_call;
+use crate::links::decode_call;
 
 /// Runs a request for tokens through the fair queue and streams its frames back.
 pub async fn generate(
@@ -16,7 +16,7 @@
     request: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let call: GenerateCall = match open_call(&request, &body, &state.node.cluster().shared_key) {
+    let call: GenerateCall = match decode_call(&request, &body, &state.node.cluster().shared_key) {
         Ok(call) => call,
         Err(fault) => return fault.response(),
     };
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -14,8 +14,8 @@
 
 use super::WeightsShare;
 use super::WeightsVersion;
-use crate::links::has_key;
-use crate::links::read_rmp;
+use crate::links::decode_rmp;
+use crate::links::has_shared_key;
 use crate::links::rmp_response;
 use crate::observe::Tally;
 use crate::weights::ChunkFrame;
@@ -108,7 +108,7 @@
     request: &HttpRequest,
     manifest: &str,
 ) -> Result<(Arc<WeightsShare>, Arc<WeightsVersion>), Refusal> {
-    if !has_key(request, &hosts.shared_key) {
+    if !has_shared_key(request, &hosts.shared_key) {
         return Err(Refusal::WrongKey);
     }
     let share = hosts.share(request).ok_or(Refusal::NotTakingPart)?;
@@ -131,7 +131,7 @@
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
+    let Ok(question) = decode_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
     let known = question.known;
@@ -173,7 +173,7 @@
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
+    let Ok(question) = decode_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
     let region = question.region.clone();
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -231,7 +231,7 @@
         let wait_ms = probe.wait_ms + PROBE_SLACK_MS;
         let share = Arc::clone(&self.share);
         let asking = async move {
-            let result = http.ask::<PeerStatus>(&url, &question, wait_ms).await;
+            let result = http.call_rmp::<PeerStatus>(&url, &question, wait_ms).await;
             let body_bytes = 2 * question.have.encode().len() as u64;
             share.count_control(body_bytes, "asking");
             result
@@ -372,7 +372,7 @@
     let malformed = |cause: &str| LinkError::Malformed(cause.to_owned());
     let body = rmp_serde::to_vec_named(question).map_err(|error| malformed(&error.to_string()))?;
     let request = http.request(Method::POST, url);
-    let answer = HttpClient::exchange(request, body, wait_ms).await?;
+    let answer = HttpClient::send_and_read(request, body, wait_ms).await?;
     ChunkFrame::decode(&answer).ok_or_else(|| malformed("not a frame"))
 }
 
--- a/src/endpoint/weights_turns.rs
+++ b/src/endpoint/weights_turns.rs
@@ -56,7 +56,7 @@
             .state
             .node
             .http()
-            .ask::<PeerStatus>(&url, &question, AHEAD_WAIT_MS)
+            .call_rmp::<PeerStatus>(&url, &question, AHEAD_WAIT_MS)
             .await;
         match answer {
             Ok(note) if note.serving => PredecessorState::Serving,
--- a/src/entry/call_link.rs
+++ b/src/entry/call_link.rs
@@ -55,14 +55,16 @@
     };
     let request = match connection {
         Connection::Pooled => http.request(Method::POST, url),
-        Connection::Fresh => http.fresh_request(Method::POST, url),
+        Connection::Fresh => http.request_on_new_connection(Method::POST, url),
     };
     let wait_ms = left_ms(deadline).min(SILENCE_MS);
-    let mut answer = match HttpClient::open(request, body, wait_ms).await {
+    let mut answer = match HttpClient::send(request, body, wait_ms).await {
         Ok(answer) if answer.status().is_success() => answer,
         Ok(_) => return Heard::Lost("status"),
         Err(LinkError::NotSent(_)) => return Heard::NotSent,
-        Err(LinkError::Timeout { wait_ms }) if wait_ms < SILENCE_MS => return Heard::StillRunning,
+        Err(LinkError::Timeout { timeout_ms }) if timeout_ms < SILENCE_MS => {
+            return Heard::StillRunning;
+        }
         Err(LinkError::Timeout { .. }) => return Heard::Lost("silent"),
         Err(_) => return Heard::Lost("broken"),
     };
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -122,7 +122,7 @@
         let url = format!("http://{address}/x/generate");
         let http = self.state.node.http();
         let request = match is_fresh {
-            true => http.fresh_request(Method::POST, &url),
+            true => http.request_on_new_connection(Method::POST, &url),
             false => http.request(Method::POST, &url),
         };
         let body = rmp_serde::to_vec_named(call).expect("calls have no failing fields");
--- a/src/links/call_fault.rs
+++ b/src/links/call_rejection.rs
@@ -4,14 +4,14 @@
 
 /// Why a call between processes is refused before it is looked at.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallFault {
+pub enum CallRejection {
     /// It does not carry the shared key.
     WrongKey,
     /// Its body does not decode.
     Malformed(LinkError),
 }
 
-impl CallFault {
+impl CallRejection {
     /// The response that refuses the call.
     pub fn response(&self) -> HttpResponse {
         match self {
--- a/src/links/errors.rs
+++ b/src/links/errors.rs
@@ -10,7 +10,7 @@
     /// No answer within the time allowed.
     Timeout {
         /// Time allowed.
-        wait_ms: u64,
+        timeout_ms: u64,
     },
     /// The other process answered with an error status.
     Status {
@@ -37,7 +37,7 @@
         match self {
             Self::NotSent(cause) => write!(f, "no connection: {cause}"),
             Self::Broken(cause) => write!(f, "connection broke: {cause}"),
-            Self::Timeout { wait_ms } => write!(f, "no answer within {wait_ms} ms"),
+            Self::Timeout { timeout_ms } => write!(f, "no answer within {timeout_ms} ms"),
             Self::Status { status, body, .. } => write!(f, "status {status}: {body}"),
             Self::Malformed(cause) => write!(f, "answer cannot be decoded: {cause}"),
         }
--- a/src/links/http_client.rs
+++ b/src/links/http_client.rs
@@ -16,8 +16,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::links::Cuts;
 use crate::links::LinkError;
+use crate::links::SimulatedPartition;
 
 /// Header that carries the shared key between this system's processes.
 pub const SHARED_KEY_HEADER: &str = "x-bergamotfork-key";
@@ -32,12 +32,16 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 thread_local! {
-    static POOL: Client = client(MAX_CONNECTIONS);
+    static POOL: Client = new_client(MAX_CONNECTIONS);
 }
 
-fn client(limit: usize) -> Client {
+fn new_client(max_connections: usize) -> Client {
     Client::builder()
-        .connector(Connector::new().limit(limit).timeout(CONNECT_TIMEOUT))
+        .connector(
+            Connector::new()
+                .limit(max_connections)
+                .timeout(CONNECT_TIMEOUT),
+        )
         .disable_timeout()
         .disable_redirects()
         .finish()
@@ -47,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     shared_key: Option<String>,
-    cuts: Option<Arc<Cuts>>,
+    partition: Option<Arc<SimulatedPartition>>,
 }
 
 impl HttpClient {
@@ -55,7 +59,7 @@
     pub fn to_platform() -> Self {
         Self {
             shared_key: None,
-            cuts: None,
+            partition: None,
         }
     }
 
@@ -63,71 +67,79 @@
     pub fn to_processes(shared_key: impl Into<String>) -> Self {
         Self {
             shared_key: Some(shared_key.into()),
-            cuts: None,
+            partition: None,
         }
     }
 
-    /// The same client, which does not reach the addresses in `cuts`.
-    pub fn with_cuts(mut self, cuts: Arc<Cuts>) -> Self {
-        self.cuts = Some(cuts);
+    /// The same client, which does not reach the addresses in `partition`.
+    pub fn with_simulated_partition(mut self, partition: Arc<SimulatedPartition>) -> Self {
+        self.partition = Some(partition);
         self
     }
 
-    /// Waits in vain for `wait_ms` when `url` is cut off.
-    async fn meet_cut(&self, url: &str, wait_ms: u64) -> Result<(), LinkError> {
-        if !self.cuts.as_ref().is_some_and(|cuts| cuts.covers(url)) {
+    /// Waits in vain for `timeout_ms` when `url` is cut off.
+    async fn fail_if_partitioned(&self, url: &str, timeout_ms: u64) -> Result<(), LinkError> {
+        if !self
+            .partition
+            .as_ref()
+            .is_some_and(|partition| partition.blocks_url(url))
+        {
             return Ok(());
         }
-        sleep(Duration::from_millis(wait_ms)).await;
-        Err(LinkError::Timeout { wait_ms })
+        sleep(Duration::from_millis(timeout_ms)).await;
+        Err(LinkError::Timeout { timeout_ms })
     }
 
     /// Request on a pooled connection.
     pub fn request(&self, method: Method, url: &str) -> ClientRequest {
-        self.with_key(POOL.with(|pool| pool.request(method, url)))
+        self.add_shared_key(POOL.with(|pool| pool.request(method, url)))
     }
 
     /// Request on a connection of its own, never resent by the client.
-    pub fn fresh_request(&self, method: Method, url: &str) -> ClientRequest {
-        self.with_key(client(1).request(method, url)).force_close()
+    pub fn request_on_new_connection(&self, method: Method, url: &str) -> ClientRequest {
+        self.add_shared_key(new_client(1).request(method, url))
+            .force_close()
     }
 
-    fn with_key(&self, request: ClientRequest) -> ClientRequest {
+    fn add_shared_key(&self, request: ClientRequest) -> ClientRequest {
         match &self.shared_key {
             Some(key) => request.insert_header((SHARED_KEY_HEADER, key.as_str())),
             None => request,
         }
     }
 
-    /// Sends `body` and waits up to `wait_ms` for the head of the answer.
+    /// Sends `body` and waits up to `timeout_ms` for the head of the answer.
     ///
     /// # Errors
     ///
     /// [`LinkError`] when no answer came; its status is not looked at.
-    pub async fn open(
+    pub async fn send(
         request: ClientRequest,
         body: impl Into<Bytes>,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<ClientResponse, LinkError> {
         let sending = request.send_body(body.into());
-        match timeout(Duration::from_millis(wait_ms), sending).await {
-            Ok(answer) => answer.map_err(sort_error),
-            Err(_) => Err(LinkError::Timeout { wait_ms }),
+        match timeout(Duration::from_millis(timeout_ms), sending).await {
+            Ok(answer) => answer.map_err(classify_send_error),
+            Err(_) => Err(LinkError::Timeout { timeout_ms }),
         }
     }
 
-    /// Sends `body` and reads the whole answer within `wait_ms`.
+    /// Sends `body` and reads the whole answer within `timeout_ms`.
     ///
     /// # Errors
     ///
     /// [`LinkError`] when no answer came or its status is not a success.
-    pub async fn exchange(
+    pub async fn send_and_read(
         request: ClientRequest,
         body: impl Into<Bytes>,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Bytes, LinkError> {
         let sending = async {
-            let mut response = request.send_body(body.into()).await.map_err(sort_error)?;
+            let mut response = request
+                .send_body(body.into())
+                .await
+                .map_err(classify_send_error)?;
             let status = response.status();
             let retry_after_ms = response
                 .headers()
@@ -149,24 +161,24 @@
                 body: String::from_utf8_lossy(&bytes).into_owned(),
             })
         };
-        timeout(Duration::from_millis(wait_ms), sending)
+        timeout(Duration::from_millis(timeout_ms), sending)
             .await
-            .unwrap_or(Err(LinkError::Timeout { wait_ms }))
+            .unwrap_or(Err(LinkError::Timeout { timeout_ms }))
     }
 
-    /// Sends `question` as MessagePack and decodes the answer.
+    /// Sends `request` as MessagePack and decodes the answer.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] as for [`HttpClient::exchange`].
-    pub async fn ask<A: DeserializeOwned>(
+    /// [`LinkError`] as for [`HttpClient::send_and_read`].
+    pub async fn call_rmp<A: DeserializeOwned>(
         &self,
         url: &str,
-        question: &impl Serialize,
-        wait_ms: u64,
+        request: &impl Serialize,
+        timeout_ms: u64,
     ) -> Result<A, LinkError> {
-        let body = rmp_serde::to_vec_named(question).map_err(malformed)?;
-        let answer = self.post_rmp(url, body, wait_ms).await?;
+        let body = rmp_serde::to_vec_named(request).map_err(malformed)?;
+        let answer = self.post_rmp(url, body, timeout_ms).await?;
         rmp_serde::from_slice(&answer).map_err(malformed)
     }
 
@@ -174,68 +186,69 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`] as for [`HttpClient::exchange`].
+    /// [`LinkError`] as for [`HttpClient::send_and_read`].
     pub async fn post_bytes(
         &self,
         url: &str,
         body: impl Into<Bytes>,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Bytes, LinkError> {
-        self.meet_cut(url, wait_ms).await?;
-        Self::exchange(self.request(Method::POST, url), body, wait_ms).await
+        self.fail_if_partitioned(url, timeout_ms).await?;
+        Self::send_and_read(self.request(Method::POST, url), body, timeout_ms).await
     }
 
     /// Sends an encoded MessagePack body and reads the whole answer.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] as for [`HttpClient::exchange`].
+    /// [`LinkError`] as for [`HttpClient::send_and_read`].
     pub async fn post_rmp(
         &self,
         url: &str,
         body: impl Into<Bytes>,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Bytes, LinkError> {
-        self.meet_cut(url, wait_ms).await?;
+        self.fail_if_partitioned(url, timeout_ms).await?;
         let request = self
             .request(Method::POST, url)
             .insert_header((CONTENT_TYPE, "application/msgpack"));
-        Self::exchange(request, body, wait_ms).await
+        Self::send_and_read(request, body, timeout_ms).await
     }
 
     /// Reads a JSON document.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] as for [`HttpClient::exchange`].
+    /// [`LinkError`] as for [`HttpClient::send_and_read`].
     pub async fn get_json<A: DeserializeOwned>(
         &self,
         url: &str,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<A, LinkError> {
-        self.meet_cut(url, wait_ms).await?;
-        let answer = Self::exchange(self.request(Method::GET, url), Bytes::new(), wait_ms).await?;
+        self.fail_if_partitioned(url, timeout_ms).await?;
+        let answer =
+            Self::send_and_read(self.request(Method::GET, url), Bytes::new(), timeout_ms).await?;
         serde_json::from_slice(&answer).map_err(malformed)
     }
 
-    /// Sends `question` as JSON and decodes the JSON answer.
+    /// Sends `request` as JSON and decodes the JSON answer.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] as for [`HttpClient::exchange`].
+    /// [`LinkError`] as for [`HttpClient::send_and_read`].
     pub async fn send_json<A: DeserializeOwned>(
         &self,
         method: Method,
         url: &str,
-        question: &impl Serialize,
-        wait_ms: u64,
+        request: &impl Serialize,
+        timeout_ms: u64,
     ) -> Result<A, LinkError> {
-        self.meet_cut(url, wait_ms).await?;
-        let body = serde_json::to_vec(question).map_err(malformed)?;
+        self.fail_if_partitioned(url, timeout_ms).await?;
+        let body = serde_json::to_vec(request).map_err(malformed)?;
         let request = self
             .request(method, url)
             .insert_header((CONTENT_TYPE, "application/json"));
-        let answer = Self::exchange(request, body, wait_ms).await?;
+        let answer = Self::send_and_read(request, body, timeout_ms).await?;
         serde_json::from_slice(&answer).map_err(malformed)
     }
 }
@@ -245,7 +258,7 @@
 }
 
 /// Tells requests that never left from those that may have.
-pub(super) fn sort_error(error: SendRequestError) -> LinkError {
+pub(super) fn classify_send_error(error: SendRequestError) -> LinkError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
             LinkError::Broken("disconnected".to_owned())
--- a/src/links/http_server.rs
+++ b/src/links/http_server.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::links::CallFault;
+use crate::links::CallRejection;
 use crate::links::LinkError;
 use crate::links::SHARED_KEY_HEADER;
 use crate::links::body_timeout::limit_body_time;
@@ -67,7 +67,7 @@
 }
 
 /// Whether `request` carries the shared key.
-pub fn has_key(request: &HttpRequest, shared_key: &str) -> bool {
+pub fn has_shared_key(request: &HttpRequest, shared_key: &str) -> bool {
     let given = request
         .headers()
         .get(SHARED_KEY_HEADER)
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// [`LinkError::Malformed`] when the body does not decode.
-pub fn read_rmp<T: DeserializeOwned>(body: &[u8]) -> Result<T, LinkError> {
+pub fn decode_rmp<T: DeserializeOwned>(body: &[u8]) -> Result<T, LinkError> {
     rmp_serde::from_slice(body).map_err(|error| LinkError::Malformed(error.to_string()))
 }
 
@@ -89,16 +89,16 @@
 ///
 /// # Errors
 ///
-/// [`CallFault`], whose response refuses the call.
-pub fn open_call<T: DeserializeOwned>(
+/// [`CallRejection`], whose response refuses the call.
+pub fn decode_call<T: DeserializeOwned>(
     request: &HttpRequest,
     body: &[u8],
     shared_key: &str,
-) -> Result<T, CallFault> {
-    if !has_key(request, shared_key) {
-        return Err(CallFault::WrongKey);
+) -> Result<T, CallRejection> {
+    if !has_shared_key(request, shared_key) {
+        return Err(CallRejection::WrongKey);
     }
-    read_rmp(body).map_err(CallFault::Malformed)
+    decode_rmp(body).map_err(CallRejection::Malformed)
 }
 
 /// A response with a MessagePack body.
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -6,22 +6,22 @@
 pub mod raw_bytes;
 
 mod body_timeout;
-mod call_fault;
-mod cuts;
+mod call_rejection;
 mod errors;
 mod http_client;
 mod http_server;
+mod simulated_partition;
 mod token_bucket;
 
-pub use call_fault::CallFault;
-pub use cuts::Cuts;
+pub use call_rejection::CallRejection;
 pub use errors::LinkError;
 pub use http_client::HttpClient;
 pub use http_client::SHARED_KEY_HEADER;
 pub use http_server::ServeOptions;
-pub use http_server::has_key;
-pub use http_server::open_call;
-pub use http_server::read_rmp;
+pub use http_server::decode_call;
+pub use http_server::decode_rmp;
+pub use http_server::has_shared_key;
 pub use http_server::rmp_response;
 pub use http_server::serve;
+pub use simulated_partition::SimulatedPartition;
 pub use token_bucket::TokenBucket;
--- a/src/node/beat_receiver.rs
+++ b/src/node/beat_receiver.rs
@@ -32,7 +32,7 @@
             sleep(ERROR_PAUSE).await;
             continue;
         };
-        if node.cuts().covers_address(from) {
+        if node.cuts().blocks_address(from) {
             continue;
         }
         node.count_datagram("received", length);
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -30,9 +30,9 @@
 use crate::hosts::Roster;
 use crate::hosts::Served;
 use crate::hosts::StateTag;
-use crate::links::Cuts;
 use crate::links::HttpClient;
 use crate::links::LinkError;
+use crate::links::SimulatedPartition;
 use crate::node::Admission;
 use crate::observe::Metrics;
 use crate::observe::Tally;
@@ -71,7 +71,7 @@
     started: Instant,
     metrics: Arc<Metrics>,
     http: HttpClient,
-    cuts: Arc<Cuts>,
+    cuts: Arc<SimulatedPartition>,
     roster: Mutex<Roster>,
     follower: Mutex<Follower>,
     own: Mutex<OwnState>,
@@ -88,9 +88,9 @@
         cluster: ClusterSettings,
         service: Option<String>,
     ) -> Self {
-        let cuts = Arc::new(Cuts::default());
-        let http =
-            HttpClient::to_processes(cluster.shared_key.clone()).with_cuts(Arc::clone(&cuts));
+        let cuts = Arc::new(SimulatedPartition::default());
+        let http = HttpClient::to_processes(cluster.shared_key.clone())
+            .with_simulated_partition(Arc::clone(&cuts));
         Self {
             process,
             platform,
@@ -156,7 +156,7 @@
     }
 
     /// Addresses that it does not reach during a drill.
-    pub fn cuts(&self) -> &Arc<Cuts> {
+    pub fn cuts(&self) -> &Arc<SimulatedPartition> {
         &self.cuts
     }
 
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -117,7 +117,7 @@
 impl Wire {
     /// Sends a sealed datagram; one that cannot go out now is lost, as on the way.
     pub(super) fn send(&self, node: &Node, datagram: &[u8], to: std::net::SocketAddr) {
-        if node.cuts().covers_address(to) {
+        if node.cuts().blocks_address(to) {
             return;
         }
         if self.socket.try_send_to(datagram, to).is_ok() {
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -8,7 +8,7 @@
 
 use crate::hosts::Heard;
 use crate::hosts::Report;
-use crate::links::open_call;
+use crate::links::decode_call;
 use crate::links::rmp_response;
 use crate::node::ConfigPull;
 use crate::node::Node;
@@ -29,7 +29,7 @@
 }
 
 async fn report(node: web::Data<Node>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let report: Report = match open_call(&request, &body, &node.cluster().shared_key) {
+    let report: Report = match decode_call(&request, &body, &node.cluster().shared_key) {
         Ok(report) => report,
         Err(fault) => return fault.response(),
     };
@@ -49,7 +49,7 @@
 }
 
 async fn config(node: web::Data<Node>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let pull: ConfigPull = match open_call(&request, &body, &node.cluster().shared_key) {
+    let pull: ConfigPull = match decode_call(&request, &body, &node.cluster().shared_key) {
         Ok(pull) => pull,
         Err(fault) => return fault.response(),
     };
--- a/src/node/watcher.rs
+++ b/src/node/watcher.rs
@@ -20,8 +20,8 @@
 impl Watcher {
     /// Watcher of `node`'s platform.
     pub fn new(node: Arc<Node>) -> Self {
-        let client =
-            HostsClient::new(&node.platform().hosts_url).with_cuts(Arc::clone(node.cuts()));
+        let client = HostsClient::new(&node.platform().hosts_url)
+            .with_simulated_partition(Arc::clone(node.cuts()));
         Self { node, client }
     }
 }
--- a/tests/calls_faults/caller.rs
+++ b/tests/calls_faults/caller.rs
@@ -26,7 +26,7 @@
     let request = HttpClient::to_platform()
         .request(Method::GET, &url)
         .insert_header(("authorization", format!("Bearer {TOKEN}")));
-    let body = HttpClient::exchange(request, "", 2000).await.ok()?;
+    let body = HttpClient::send_and_read(request, "", 2000).await.ok()?;
     let answer: Value = serde_json::from_slice(&body).ok()?;
     serde_json::from_value(answer["permits"].get(0)?.clone()).ok()
 }
@@ -60,7 +60,7 @@
     let url = format!("{entry}/v1/call");
     let exchange = async {
         let mut response = HttpClient::to_platform()
-            .fresh_request(Method::POST, &url)
+            .request_on_new_connection(Method::POST, &url)
             .insert_header(("authorization", format!("Bearer {TOKEN}")))
             .insert_header(("content-type", "application/json"))
             .insert_header((REQUEST_ID_HEADER, request_id.as_str()))
--- a/tests/calls_faults/desk.rs
+++ b/tests/calls_faults/desk.rs
@@ -77,8 +77,8 @@
         let mut all = Vec::new();
         for endpoint in 0..self.endpoints.len() {
             let url = format!("{}/ledger", self.service_url(endpoint));
-            let request = HttpClient::to_platform().fresh_request(Method::GET, &url);
-            let body = HttpClient::exchange(request, "", 5000).await;
+            let request = HttpClient::to_platform().request_on_new_connection(Method::GET, &url);
+            let body = HttpClient::send_and_read(request, "", 5000).await;
             let body = body.expect("the service shows its ledger");
             let part: Vec<Execution> = serde_json::from_slice(&body).expect("a ledger");
             all.extend(part);
--- a/tests/calls_faults/storm.rs
+++ b/tests/calls_faults/storm.rs
@@ -120,9 +120,9 @@
     for _ in 0..2 {
         let url = format!("{service}/v1/call/book");
         let request = HttpClient::to_platform()
-            .fresh_request(Method::POST, &url)
+            .request_on_new_connection(Method::POST, &url)
             .insert_header((IDEMPOTENCY_KEY_HEADER, "booking-1"));
-        if HttpClient::exchange(request, "1", 2000).await.is_ok() {
+        if HttpClient::send_and_read(request, "1", 2000).await.is_ok() {
             break;
         }
     }
--- a/tests/generate_path/world.rs
+++ b/tests/generate_path/world.rs
@@ -166,7 +166,7 @@
     async fn asked(&self) -> u64 {
         let url = format!("{}/metrics", self.entry);
         let request = HttpClient::to_platform().request(Method::GET, &url);
-        let text = HttpClient::exchange(request, Bytes::new(), 2000).await;
+        let text = HttpClient::send_and_read(request, Bytes::new(), 2000).await;
         let text = String::from_utf8_lossy(&text.expect("the entry has metrics")).into_owned();
         let line = text.lines().find(|line| {
             line.starts_with("bergamotfork_requests_total{") && line.contains("\"done\"")
@@ -184,5 +184,5 @@
         .request(Method::POST, &format!("{entry}/v1/generate"))
         .insert_header(("authorization", format!("Bearer {TOKEN}")))
         .insert_header(("content-type", "application/json"));
-    HttpClient::exchange(request, body.to_string(), 40_000).await
+    HttpClient::send_and_read(request, body.to_string(), 40_000).await
 }
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -298,7 +298,7 @@
             .insert_header(("authorization", format!("Bearer {TOKEN}")))
             .insert_header(("content-type", "application/json"));
         let body = body.map_or_else(Vec::new, |body| body.to_string().into_bytes());
-        HttpClient::exchange(request, body, 30_000).await
+        HttpClient::send_and_read(request, body, 30_000).await
     }
 }
 
--- a/tests/weights_rollout/proxy.rs
+++ b/tests/weights_rollout/proxy.rs
@@ -51,7 +51,7 @@
     let forwarded = HttpClient::to_platform()
         .request(method, &url)
         .insert_header(("content-type", "application/json"));
-    let answer = HttpClient::exchange(forwarded, body, FORWARD_TIMEOUT_MS).await;
+    let answer = HttpClient::send_and_read(forwarded, body, FORWARD_TIMEOUT_MS).await;
     if request.path() == "/v1/load" {
         proxy.loads.fetch_add(1, Ordering::SeqCst);
         let take_one = |left: u32| left.checked_sub(1);
--- a/tests/weights_rollout/site.rs
+++ b/tests/weights_rollout/site.rs
@@ -99,7 +99,9 @@
         let request = HttpClient::to_platform()
             .request(Method::GET, &format!("{}/v1/status", self.entry))
             .insert_header(("authorization", format!("Bearer {TOKEN}")));
-        let body = HttpClient::exchange(request, Vec::new(), 2000).await.ok()?;
+        let body = HttpClient::send_and_read(request, Vec::new(), 2000)
+            .await
+            .ok()?;
         serde_json::from_slice(&body).ok()
     }
 
