--- a/src/bench/requests.rs
+++ b/src/bench/requests.rs
@@ -191,7 +191,10 @@
 
 /// State of every engine.
 pub(super) async fn engine_states(fleet: &Fleet) -> Vec<EngineState> {
-    let states = fleet.members.iter().map(|member| member.engine.state());
+    let states = fleet
+        .members
+        .iter()
+        .map(|member| member.engine.fetch_state());
     let states = join_all(states).await;
     states.into_iter().filter_map(Result::ok).collect()
 }
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -27,8 +27,8 @@
 use super::requests_scenario::TOKEN_MS;
 use crate::calls::GenerateCall;
 use crate::clients::EngineClient;
+use crate::clients::FencingNumber;
 use crate::clients::LoadOrder;
-use crate::clients::OrderNo;
 use crate::contracts::BranchShare;
 use crate::contracts::QueueLimits;
 use crate::endpoint::GenerateQueue;
@@ -164,7 +164,7 @@
         let handle = engine::start(options).await?;
         let engine = EngineClient::new(handle.address());
         let order = LoadOrder {
-            order: OrderNo {
+            order: FencingNumber {
                 offset: 1,
                 incarnation: 1,
                 sequence: 1,
--- a/src/bench/weights.rs
+++ b/src/bench/weights.rs
@@ -248,7 +248,7 @@
             .send_json(Method::POST, &url, &publication, CALL_WAIT_MS)
             .await?;
         let manifest = OriginClient::new(origin.url())
-            .manifest("bench", "v1")
+            .fetch_manifest("bench", "v1")
             .await
             .map_err(|error| LinkError::Malformed(error.to_string()))?;
         match manifest.validate_with_digest(published.manifest) {
--- a/src/cli/demo/operator.rs
+++ b/src/cli/demo/operator.rs
@@ -95,7 +95,7 @@
             .await
             .map_err(failed)?;
         let manifest = OriginClient::new(&self.origin_url)
-            .manifest(MODEL, VERSION)
+            .fetch_manifest(MODEL, VERSION)
             .await
             .map_err(|error| CliError::Failed(error.to_string()))?;
         self.edit_document(published.manifest, replicas).await?;
--- a/src/clients/engine.rs
+++ b/src/clients/engine.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::clients::CancelOrder;
-use crate::clients::EngineFault;
+use crate::clients::EngineErrorCode;
 use crate::clients::EngineRefusal;
 use crate::clients::EngineState;
 use crate::clients::GenerateOrder;
@@ -39,7 +39,7 @@
     /// No answer came.
     Unreachable(String),
     /// The engine refused the order.
-    Refused(EngineFault),
+    Refused(EngineErrorCode),
     /// The engine answered with this status.
     Status(u16),
     /// The answer could not be read.
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Returns [`EngineError`] when the engine refuses or does not answer.
-    pub async fn role(&self, order: &RoleOrder) -> Result<(), EngineError> {
+    pub async fn set_role(&self, order: &RoleOrder) -> Result<(), EngineError> {
         self.post("/v1/role", order, ORDER_TIMEOUT).await
     }
 
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// Returns [`EngineError`] when the engine does not answer.
-    pub async fn state(&self) -> Result<EngineState, EngineError> {
+    pub async fn fetch_state(&self) -> Result<EngineState, EngineError> {
         let url = format!("{}/v1/state", self.base_url);
         let mut response = self
             .http
@@ -140,7 +140,7 @@
             .body()
             .await
             .map_err(|e| EngineError::Unreachable(e.to_string()))?;
-        decode(response.status(), &body)
+        decode_response(response.status(), &body)
     }
 
     /// Starts a token stream.
@@ -156,13 +156,13 @@
             .timeout(ORDER_TIMEOUT)
             .send_json(order)
             .await
-            .map_err(|e| sort_error(&e))?;
+            .map_err(|e| classify_send_error(&e))?;
         if response.status() != StatusCode::OK {
             let body = response
                 .body()
                 .await
                 .map_err(|e| EngineError::Unreachable(e.to_string()))?;
-            return Err(refusal(response.status(), &body));
+            return Err(refusal_error(response.status(), &body));
         }
         let chunks = response.map(|chunk| chunk.map_err(|e| e.to_string()));
         Ok(EngineStream {
@@ -174,7 +174,7 @@
     async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
-        order: &impl Serialize,
+        body: &impl Serialize,
         timeout: Duration,
     ) -> Result<T, EngineError> {
         let url = format!("{}{path}", self.base_url);
@@ -182,18 +182,18 @@
             .http
             .request(Method::POST, &url)
             .timeout(timeout)
-            .send_json(order)
+            .send_json(body)
             .await
-            .map_err(|e| sort_error(&e))?;
+            .map_err(|e| classify_send_error(&e))?;
         let body = response
             .body()
             .await
             .map_err(|e| EngineError::Unreachable(e.to_string()))?;
-        decode(response.status(), &body)
+        decode_response(response.status(), &body)
     }
 }
 
-fn sort_error(error: &SendRequestError) -> EngineError {
+fn classify_send_error(error: &SendRequestError) -> EngineError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
             EngineError::Unreachable(error.to_string())
@@ -203,16 +203,16 @@
     }
 }
 
-fn refusal(status: StatusCode, body: &[u8]) -> EngineError {
+fn refusal_error(status: StatusCode, body: &[u8]) -> EngineError {
     match serde_json::from_slice::<EngineRefusal>(body) {
         Ok(refusal) => EngineError::Refused(refusal.code),
         Err(_) => EngineError::Status(status.as_u16()),
     }
 }
 
-fn decode<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, EngineError> {
+fn decode_response<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, EngineError> {
     if status != StatusCode::OK {
-        return Err(refusal(status, body));
+        return Err(refusal_error(status, body));
     }
     serde_json::from_slice(body).map_err(|e| EngineError::Malformed(e.to_string()))
 }
--- a/src/clients/engine_api.rs
+++ b/src/clients/engine_api.rs
@@ -1,13 +1,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::clients::OrderNo;
+use crate::clients::FencingNumber;
 use crate::weights::Digest;
 
 /// Order to load weights, which the engine reads from `source_url`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadOrder {
-    pub order: OrderNo,
+    pub order: FencingNumber,
     pub model: String,
     pub version: String,
     pub manifest: Digest,
@@ -26,7 +26,7 @@
 /// Order to drop weights.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct UnloadOrder {
-    pub order: OrderNo,
+    pub order: FencingNumber,
     pub manifest: Digest,
 }
 
@@ -45,7 +45,7 @@
 /// Order to change role.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RoleOrder {
-    pub order: OrderNo,
+    pub order: FencingNumber,
     pub role: EngineRole,
 }
 
@@ -63,7 +63,7 @@
 pub struct EngineState {
     pub loaded: Vec<LoadedWeights>,
     /// Highest order number the engine has seen.
-    pub highest_order: Option<OrderNo>,
+    pub highest_order: Option<FencingNumber>,
     pub running: u32,
     pub queued: u32,
     pub cached_blocks: u32,
@@ -105,7 +105,7 @@
 /// Why an engine refused an order or broke a stream off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum EngineFault {
+pub enum EngineErrorCode {
     /// A later order has been seen.
     StaleOrder,
     /// The weights asked for are not loaded.
@@ -123,7 +123,7 @@
     Other,
 }
 
-impl EngineFault {
+impl EngineErrorCode {
     /// Name in metrics and answers.
     pub fn name(self) -> &'static str {
         match self {
@@ -141,9 +141,9 @@
 /// Body of a refused order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineRefusal {
-    pub code: EngineFault,
+    pub code: EngineErrorCode,
     /// Highest order seen, when the order was stale.
-    pub highest: Option<OrderNo>,
+    pub highest: Option<FencingNumber>,
 }
 
 /// One line of a token stream.
@@ -163,7 +163,10 @@
         whole: Digest,
     },
     /// The stream broke off.
-    Error { code: EngineFault, message: String },
+    Error {
+        code: EngineErrorCode,
+        message: String,
+    },
 }
 
 impl StreamEvent {
--- a/src/clients/hosts_client.rs
+++ b/src/clients/hosts_client.rs
@@ -9,7 +9,7 @@
 use crate::links::SimulatedPartition;
 
 /// Longest time a read of the list may take.
-const READ_WAIT_MS: u64 = 3000;
+const READ_TIMEOUT_MS: u64 = 3000;
 
 /// The platform's list of hosts at one version.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -47,9 +47,9 @@
     /// # Errors
     ///
     /// [`LinkError`] when the list does not answer.
-    pub async fn read(&self, since: u64) -> Result<Option<HostList>, LinkError> {
+    pub async fn fetch_list(&self, since: u64) -> Result<Option<HostList>, LinkError> {
         let url = format!("{}?since={since}", self.url);
-        match self.http.get_json(&url, READ_WAIT_MS).await {
+        match self.http.get_json(&url, READ_TIMEOUT_MS).await {
             Ok(list) => Ok(Some(list)),
             Err(LinkError::Status { status: 304, .. }) => Ok(None),
             Err(error) => Err(error),
--- a/src/clients/line_buffer.rs
+++ b/src/clients/line_buffer.rs
@@ -15,24 +15,24 @@
         self.bytes.drain(..self.start);
         self.start = 0;
         self.bytes.extend_from_slice(bytes);
-        let unfinished = match self.bytes.iter().rposition(|&byte| byte == b'\n') {
+        let partial_bytes = match self.bytes.iter().rposition(|&byte| byte == b'\n') {
             Some(newline) => self.bytes.len() - newline - 1,
             None => self.bytes.len(),
         };
-        unfinished <= MAX_LINE_BYTES
+        partial_bytes <= MAX_LINE_BYTES
     }
 
     /// The next whole line, without its newline.
     pub fn next_line(&mut self) -> Option<&[u8]> {
-        let rest = &self.bytes[self.start..];
-        let length = rest.iter().position(|&byte| byte == b'\n')?;
+        let unread = &self.bytes[self.start..];
+        let length = unread.iter().position(|&byte| byte == b'\n')?;
         let line_start = self.start;
         self.start += length + 1;
         Some(&self.bytes[line_start..line_start + length])
     }
 
-    /// Whether bytes of an unfinished line are left.
-    pub fn has_rest(&self) -> bool {
+    /// Whether bytes of an partial_bytes line are left.
+    pub fn has_partial_line(&self) -> bool {
         self.start < self.bytes.len()
     }
 }
--- a/src/clients/log_client.rs
+++ b/src/clients/log_client.rs
@@ -8,21 +8,21 @@
 use crate::links::SimulatedPartition;
 
 /// Longest time an append may take.
-const APPEND_WAIT_MS: u64 = 5000;
+const APPEND_TIMEOUT_MS: u64 = 5000;
 
 /// Time a read may take beyond its own waiting time.
-const READ_SLACK_MS: u64 = 5000;
+const READ_MARGIN_MS: u64 = 5000;
 
 /// One record of a stream of the platform's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogEntry {
+pub struct RawLogRecord {
     /// Position in the stream.
     pub offset: u64,
     /// Bytes of the record, in hexadecimal digits.
     pub body_hex: String,
 }
 
-impl LogEntry {
+impl RawLogRecord {
     /// Bytes of the record; empty when the digits are not hexadecimal.
     pub fn body(&self) -> Vec<u8> {
         let digits = self.body_hex.as_bytes();
@@ -46,17 +46,17 @@
 
 /// A run of records and the bounds of the stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LogSlice {
+pub struct LogReadResponse {
     /// Earliest offset still kept.
     pub earliest: u64,
     /// Offset the next append will get.
     pub next: u64,
     /// Records from the offset asked for, without gaps.
-    pub records: Vec<LogEntry>,
+    pub records: Vec<RawLogRecord>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
@@ -91,10 +91,10 @@
     pub async fn append(&self, body: Vec<u8>) -> Result<u64, LinkError> {
         let answer = self
             .http
-            .post_bytes(&self.url, body, APPEND_WAIT_MS)
+            .post_bytes(&self.url, body, APPEND_TIMEOUT_MS)
             .await?;
-        serde_json::from_slice::<Appended>(&answer)
-            .map(|appended| appended.offset)
+        serde_json::from_slice::<AppendResponse>(&answer)
+            .map(|response| response.offset)
             .map_err(|error| LinkError::Malformed(error.to_string()))
     }
 
@@ -104,8 +104,13 @@
     /// # Errors
     ///
     /// [`LinkError`] when the log does not answer.
-    pub async fn read(&self, from: u64, max: usize, wait_ms: u64) -> Result<LogSlice, LinkError> {
+    pub async fn read(
+        &self,
+        from: u64,
+        max: usize,
+        wait_ms: u64,
+    ) -> Result<LogReadResponse, LinkError> {
         let url = format!("{}?from={from}&max={max}&wait_ms={wait_ms}", self.url);
-        self.http.get_json(&url, wait_ms + READ_SLACK_MS).await
+        self.http.get_json(&url, wait_ms + READ_MARGIN_MS).await
     }
 }
--- a/src/clients/origin_client.rs
+++ b/src/clients/origin_client.rs
@@ -9,7 +9,7 @@
 use crate::weights::Manifest;
 
 /// Longest time a read of a manifest may take.
-const MANIFEST_WAIT_MS: u64 = 10_000;
+const MANIFEST_TIMEOUT_MS: u64 = 10_000;
 
 /// Wait after a refusal that names none.
 const DEFAULT_RETRY_MS: u64 = 1000;
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OriginError {
     /// The origin asks to come back later.
-    Limited {
+    RateLimited {
         /// Time to wait.
         retry_after_ms: u64,
     },
@@ -32,7 +32,7 @@
     /// Label in counters.
     pub fn label(&self) -> &'static str {
         match self {
-            Self::Limited { .. } => "origin_limited",
+            Self::RateLimited { .. } => "origin_limited",
             Self::Missing => "origin_missing",
             Self::Link(_) => "origin_unavailable",
         }
@@ -42,7 +42,7 @@
 impl fmt::Display for OriginError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Limited { retry_after_ms } => {
+            Self::RateLimited { retry_after_ms } => {
                 write!(f, "the origin asks to come back in {retry_after_ms} ms")
             }
             Self::Missing => f.write_str("the origin has no such manifest or chunk"),
@@ -60,7 +60,7 @@
                 status: 429 | 503,
                 retry_after_ms,
                 ..
-            } => Self::Limited {
+            } => Self::RateLimited {
                 retry_after_ms: retry_after_ms.unwrap_or(DEFAULT_RETRY_MS),
             },
             LinkError::Status { status: 404, .. } => Self::Missing,
@@ -90,27 +90,31 @@
     /// # Errors
     ///
     /// [`OriginError`] when there is no manifest to be had now.
-    pub async fn manifest(&self, model: &str, version: &str) -> Result<Manifest, OriginError> {
+    pub async fn fetch_manifest(
+        &self,
+        model: &str,
+        version: &str,
+    ) -> Result<Manifest, OriginError> {
         let url = format!(
             "{}/v1/models/{model}/versions/{version}/manifest",
             self.base_url
         );
-        Ok(self.http.get_json(&url, MANIFEST_WAIT_MS).await?)
+        Ok(self.http.get_json(&url, MANIFEST_TIMEOUT_MS).await?)
     }
 
-    /// Reads one chunk within `wait_ms`; the caller checks its digest.
+    /// Reads one chunk within `timeout_ms`; the caller checks its digest.
     ///
     /// # Errors
     ///
     /// [`OriginError`] when the chunk is not to be had now.
-    pub async fn chunk(
+    pub async fn fetch_chunk(
         &self,
         manifest: Digest,
         index: u32,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Bytes, OriginError> {
         let url = format!("{}/v1/chunks/{manifest}/{index}", self.base_url);
         let request = self.http.request(Method::GET, &url);
-        Ok(HttpClient::send_and_read(request, Bytes::new(), wait_ms).await?)
+        Ok(HttpClient::send_and_read(request, Bytes::new(), timeout_ms).await?)
     }
 }
--- a/src/clients/service_client.rs
+++ b/src/clients/service_client.rs
@@ -27,13 +27,13 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct EchoedId {
+struct EchoedRequestId {
     request_id: String,
 }
 
 /// One call to a plain service.
 #[derive(Debug, Clone)]
-pub struct ServiceCall {
+pub struct ServiceRequest {
     /// Path below the service's call root.
     pub path: String,
     /// Id the service has to echo.
@@ -43,7 +43,7 @@
     /// JSON body.
     pub body: Bytes,
     /// Time allowed for the whole answer.
-    pub wait_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// Client of the plain service beside an endpoint.
@@ -69,7 +69,7 @@
     ///
     /// [`LinkError::NotSent`] when no byte left; after any other error the call
     /// may have run.
-    pub async fn call(&self, call: ServiceCall) -> Result<StoredAnswer, LinkError> {
+    pub async fn call(&self, call: ServiceRequest) -> Result<StoredAnswer, LinkError> {
         let url = format!("{}/{}", self.url, call.path);
         let mut request = self
             .http
@@ -79,7 +79,7 @@
         if let Some(key) = &call.key {
             request = request.insert_header((IDEMPOTENCY_KEY_HEADER, key.as_str()));
         }
-        let answer = match HttpClient::send_and_read(request, call.body, call.wait_ms).await {
+        let answer = match HttpClient::send_and_read(request, call.body, call.timeout_ms).await {
             Ok(body) => StoredAnswer {
                 status: 200,
                 body: body.to_vec(),
@@ -90,13 +90,13 @@
             },
             Err(error) => return Err(error),
         };
-        check_owner(answer, &call.request_id)
+        check_request_id(answer, &call.request_id)
     }
 }
 
 /// Passes on an answer that echoes `request_id`.
-fn check_owner(answer: StoredAnswer, request_id: &str) -> Result<StoredAnswer, LinkError> {
-    let echoed = serde_json::from_slice::<EchoedId>(&answer.body)
+fn check_request_id(answer: StoredAnswer, request_id: &str) -> Result<StoredAnswer, LinkError> {
+    let echoed = serde_json::from_slice::<EchoedRequestId>(&answer.body)
         .map_err(|error| LinkError::Malformed(error.to_string()))?;
     if echoed.request_id == request_id {
         return Ok(answer);
--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -54,14 +54,14 @@
         let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
         let service = self.state.node.document().service(&call.service);
         let timeout_ms = service.map_or(left_ms, |service| service.timeout_ms);
-        let passed_on = clients::ServiceCall {
+        let passed_on = clients::ServiceRequest {
             path: call.path,
             request_id: call.request_id,
             key: nonce.map(|nonce| nonce.to_string()),
             body: call.body.into(),
             // A call that may not be repeated goes on past its caller's deadline,
             // so that the next send of its permit finds the answer.
-            wait_ms: nonce.map_or(left_ms.min(timeout_ms), |_| timeout_ms),
+            timeout_ms: nonce.map_or(left_ms.min(timeout_ms), |_| timeout_ms),
         };
         let client = ServiceClient::new(self.state.settings.backend.url());
         match client.call(passed_on).await {
--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -23,7 +23,7 @@
 use crate::calls::StreamFault;
 use crate::clients::EngineClient;
 use crate::clients::EngineError;
-use crate::clients::EngineFault;
+use crate::clients::EngineErrorCode;
 use crate::clients::EngineStream;
 use crate::clients::GenerateOrder;
 use crate::clients::StreamEvent;
@@ -284,13 +284,13 @@
     }
 }
 
-fn sort_fault(fault: EngineFault) -> StreamFault {
+fn sort_fault(fault: EngineErrorCode) -> StreamFault {
     match fault {
-        EngineFault::NotLoaded | EngineFault::BaseNotLoaded => StreamFault::NotLoaded,
-        EngineFault::DeadlinePassed => StreamFault::DeadlinePassed,
-        EngineFault::StaleOrder
-        | EngineFault::SourceFailed
-        | EngineFault::Cancelled
-        | EngineFault::Other => StreamFault::EngineFailed,
+        EngineErrorCode::NotLoaded | EngineErrorCode::BaseNotLoaded => StreamFault::NotLoaded,
+        EngineErrorCode::DeadlinePassed => StreamFault::DeadlinePassed,
+        EngineErrorCode::StaleOrder
+        | EngineErrorCode::SourceFailed
+        | EngineErrorCode::Cancelled
+        | EngineErrorCode::Other => StreamFault::EngineFailed,
     }
 }
--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -1,9 +1,9 @@
 use crate::clients::EngineClient;
 use crate::clients::EngineError;
-use crate::clients::EngineFault;
+use crate::clients::EngineErrorCode;
 use crate::clients::EngineState;
+use crate::clients::FencingNumber;
 use crate::clients::LoadOrder;
-use crate::clients::OrderNo;
 use crate::clients::UnloadOrder;
 use crate::endpoint::EndpointState;
 use crate::endpoint::weights_tracked::TrackedVersion;
@@ -36,9 +36,9 @@
         }
     }
 
-    fn next_order(&mut self, state: &EndpointState) -> OrderNo {
+    fn next_order(&mut self, state: &EndpointState) -> FencingNumber {
         self.sequence += 1;
-        OrderNo {
+        FencingNumber {
             offset: state.node.config_mark().offset,
             incarnation: state.node.incarnation(),
             sequence: self.sequence,
@@ -47,7 +47,7 @@
 
     /// What the engine holds.
     pub(super) async fn state(&self) -> Result<EngineState, EngineError> {
-        self.client.state().await
+        self.client.fetch_state().await
     }
 
     /// Orders the engine to load a verified version, unless it holds it.
@@ -106,9 +106,9 @@
     Some(found.whole)
 }
 
-fn held_by(fault: EngineFault, tracked: &TrackedVersion) -> HoldReason {
+fn held_by(fault: EngineErrorCode, tracked: &TrackedVersion) -> HoldReason {
     match (fault, tracked.base) {
-        (EngineFault::BaseNotLoaded, Some(base)) => HoldReason::BaseNotLoaded { base },
+        (EngineErrorCode::BaseNotLoaded, Some(base)) => HoldReason::BaseNotLoaded { base },
         _ => HoldReason::EngineRefused {
             reason: fault.name().to_owned(),
         },
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -232,7 +232,7 @@
     async fn begin(&mut self, at: usize, want: &Want) {
         let manifest = self
             .origin
-            .manifest(&want.model.name, &want.model.version)
+            .fetch_manifest(&want.model.name, &want.model.version)
             .await;
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
@@ -241,7 +241,7 @@
             Err(OriginError::Missing) => {
                 tracked.failed(Some(HoldReason::ManifestMissing), 0, now_ms)
             }
-            Err(OriginError::Limited { retry_after_ms }) => {
+            Err(OriginError::RateLimited { retry_after_ms }) => {
                 tracked.failed(None, retry_after_ms, now_ms)
             }
             Err(OriginError::Link(_)) => tracked.failed(None, 0, now_ms),
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -177,7 +177,7 @@
                 let origin = self.options.origin.clone();
                 let wait_ms = self.options.origin_wait_ms;
                 let reading = async move {
-                    let result = origin.chunk(digest, fetch.chunk, wait_ms).await;
+                    let result = origin.fetch_chunk(digest, fetch.chunk, wait_ms).await;
                     if let Ok(bytes) = &result {
                         share.links.down.pass(bytes.len() as u64).await;
                     }
@@ -255,7 +255,7 @@
             (ReadResult::Origin(Ok(bytes)), _) => self.take_chunk(fetch, bytes, "origin"),
             (ReadResult::Origin(Err(error)), _) => {
                 let retry_after_ms = match error {
-                    OriginError::Limited { retry_after_ms } => Some(retry_after_ms),
+                    OriginError::RateLimited { retry_after_ms } => Some(retry_after_ms),
                     _ => None,
                 };
                 self.share.metrics.retried(error.label());
--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -12,8 +12,8 @@
 use crate::entry::auth;
 use crate::entry::call_permits;
 use crate::hosts::HostRole;
-use crate::regions::Place;
-use crate::regions::spread;
+use crate::regions::HostLocation;
+use crate::regions::spread_over_domains;
 
 /// Entries named in one answer.
 const MAX_ENTRIES: usize = 8;
@@ -42,8 +42,8 @@
         }
     }
 
-    fn place(&self) -> Place {
-        Place {
+    fn place(&self) -> HostLocation {
+        HostLocation {
             region: self.region.clone(),
             domain: self.domain.clone(),
         }
@@ -91,7 +91,7 @@
         let own = node.process();
         entries.push(EntryAddress::new(own.listen, &own.region, &own.domain));
     }
-    let mut spread = spread(entries, EntryAddress::place, near, &mut rand::rng());
+    let mut spread = spread_over_domains(entries, EntryAddress::place, near, &mut rand::rng());
     spread.truncate(MAX_ENTRIES);
     spread
 }
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -1,4 +1,4 @@
-use crate::clients::LogSlice;
+use crate::clients::LogReadResponse;
 use crate::document::LogRecord;
 use crate::document::follow::LogDuty;
 use crate::document::follow::LogPage;
@@ -85,7 +85,7 @@
     }
 }
 
-fn page_of(slice: &LogSlice) -> LogPage {
+fn page_of(slice: &LogReadResponse) -> LogPage {
     let records = slice.records.iter().map(|entry| LoggedRecord {
         offset: entry.offset,
         bytes: entry.body(),
--- a/src/node/watcher.rs
+++ b/src/node/watcher.rs
@@ -47,7 +47,7 @@
     node.metrics()
         .add(Tally::PlatformCalls, 1, "call", "hosts_read");
     let since = node.roster().list_version();
-    let read = client.read(since).await;
+    let read = client.fetch_list(since).await;
     let now_ms = node.now_ms();
     match read {
         Ok(Some(list)) => {
--- a/src/regions/place.rs
+++ b/src/regions/host_location.rs
@@ -1,6 +1,6 @@
 /// Where a host stands.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct HostLocation {
     /// Region.
     pub region: String,
     /// Failure domain inside the region.
--- a/src/regions/mod.rs
+++ b/src/regions/mod.rs
@@ -1,7 +1,7 @@
 //! Regions and failure domains.
 
-mod place;
+mod host_location;
 mod spread;
 
-pub use place::Place;
-pub use spread::spread;
+pub use host_location::HostLocation;
+pub use spread::spread_over_domains;
--- a/src/regions/spread.rs
+++ b/src/regions/spread.rs
@@ -1,20 +1,20 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-use crate::regions::Place;
+use crate::regions::HostLocation;
 
 /// Orders `items` so that neighbours stand in different failure domains.
 ///
 /// Items in region `near` come first; the order inside a domain is random, so
 /// that callers spread over its hosts.
-pub fn spread<T>(
+pub fn spread_over_domains<T>(
     mut items: Vec<T>,
-    place: impl Fn(&T) -> Place,
+    place: impl Fn(&T) -> HostLocation,
     near: Option<&str>,
     rng: &mut impl Rng,
 ) -> Vec<T> {
     items.shuffle(rng);
-    let mut ranked: Vec<(bool, usize, Place, T)> = Vec::with_capacity(items.len());
+    let mut ranked: Vec<(bool, usize, HostLocation, T)> = Vec::with_capacity(items.len());
     for item in items {
         let place = place(&item);
         let is_far = near.is_some_and(|near| place.region != near);
--- a/src/standin/engine/generation.rs
+++ b/src/standin/engine/generation.rs
@@ -11,7 +11,7 @@
 
 use super::batch::Slot;
 use super::state::Engine;
-use crate::clients::EngineFault;
+use crate::clients::EngineErrorCode;
 use crate::clients::GenerateOrder;
 use crate::clients::LoadedWeights;
 use crate::clients::StreamEvent;
@@ -70,10 +70,10 @@
             return None;
         }
         if self.cancelled.load(Ordering::Relaxed) {
-            return Some(self.fail(EngineFault::Cancelled));
+            return Some(self.fail(EngineErrorCode::Cancelled));
         }
         if Instant::now() >= self.deadline {
-            return Some(self.fail(EngineFault::DeadlinePassed));
+            return Some(self.fail(EngineErrorCode::DeadlinePassed));
         }
         if self.slot.is_none() && !self.wait_for_slot().await {
             return Some(StreamEvent::Beat);
@@ -146,7 +146,7 @@
         }
     }
 
-    fn fail(&mut self, code: EngineFault) -> StreamEvent {
+    fn fail(&mut self, code: EngineErrorCode) -> StreamEvent {
         self.ended = true;
         self.slot = None;
         StreamEvent::Error {
--- a/src/standin/engine/handlers.rs
+++ b/src/standin/engine/handlers.rs
@@ -16,7 +16,7 @@
 use super::generation::Generation;
 use super::state::Engine;
 use crate::clients::CancelOrder;
-use crate::clients::EngineFault;
+use crate::clients::EngineErrorCode;
 use crate::clients::EngineRefusal;
 use crate::clients::GenerateOrder;
 use crate::clients::LoadAnswer;
@@ -42,10 +42,11 @@
         return conflict(refusal);
     }
     if order.base.is_some_and(|base| engine.find(base).is_none()) {
-        return conflict(fault(EngineFault::BaseNotLoaded));
+        return conflict(fault(EngineErrorCode::BaseNotLoaded));
     }
     let Some(whole) = read_source(&order.source_url).await else {
-        return HttpResponse::build(StatusCode::BAD_GATEWAY).json(fault(EngineFault::SourceFailed));
+        return HttpResponse::build(StatusCode::BAD_GATEWAY)
+            .json(fault(EngineErrorCode::SourceFailed));
     };
     // A later order may have arrived while the bytes were read.
     if let Err(refusal) = engine.accept(order.order) {
@@ -86,7 +87,7 @@
 #[post("/v1/generate")]
 pub(super) async fn generate(engine: Data<Engine>, order: Json<GenerateOrder>) -> HttpResponse {
     let Some(weights) = engine.find(order.manifest) else {
-        return conflict(fault(EngineFault::NotLoaded));
+        return conflict(fault(EngineErrorCode::NotLoaded));
     };
     let generation = Generation::new(engine.into_inner(), order.into_inner(), weights);
     let events = stream::unfold(generation, |mut generation| async move {
@@ -113,7 +114,7 @@
     HttpResponse::Ok().json(())
 }
 
-fn fault(code: EngineFault) -> EngineRefusal {
+fn fault(code: EngineErrorCode) -> EngineRefusal {
     EngineRefusal {
         code,
         highest: None,
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -8,12 +8,12 @@
 use super::EngineOptions;
 use super::PrefixCache;
 use super::batch::Batch;
-use crate::clients::EngineFault;
+use crate::clients::EngineErrorCode;
 use crate::clients::EngineRefusal;
 use crate::clients::EngineRole;
 use crate::clients::EngineState;
+use crate::clients::FencingNumber;
 use crate::clients::LoadedWeights;
-use crate::clients::OrderNo;
 use crate::weights::Digest;
 
 /// State of one engine stand-in.
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Inner {
     loaded: Vec<LoadedWeights>,
-    highest_order: Option<OrderNo>,
+    highest_order: Option<FencingNumber>,
     role: EngineRole,
     cache: PrefixCache,
     streams: Vec<RunningStream>,
@@ -59,12 +59,12 @@
     }
 
     /// Accepts an order number, or refuses it when orders are checked.
-    pub(super) fn accept(&self, order: OrderNo) -> Result<(), EngineRefusal> {
+    pub(super) fn accept(&self, order: FencingNumber) -> Result<(), EngineRefusal> {
         let mut inner = self.lock();
         let stale = inner.highest_order > Some(order);
         if stale && self.options.checks_orders {
             return Err(EngineRefusal {
-                code: EngineFault::StaleOrder,
+                code: EngineErrorCode::StaleOrder,
                 highest: inner.highest_order,
             });
         }
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -14,8 +14,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::clients::LogEntry;
-use crate::clients::LogSlice;
+use crate::clients::LogReadResponse;
+use crate::clients::RawLogRecord;
 use crate::links::ServeOptions;
 use crate::links::serve;
 use crate::standin::Handle;
@@ -77,7 +77,7 @@
         }
     }
 
-    fn slice(&self, from: u64, max: usize) -> LogSlice {
+    fn slice(&self, from: u64, max: usize) -> LogReadResponse {
         let first = from.max(self.earliest);
         let skipped = usize::try_from(first - self.earliest).unwrap_or(usize::MAX);
         let records = self
@@ -86,9 +86,9 @@
             .skip(skipped)
             .take(max)
             .zip(first..)
-            .map(|((_, body), offset)| LogEntry::new(offset, body))
+            .map(|((_, body), offset)| RawLogRecord::new(offset, body))
             .collect();
-        LogSlice {
+        LogReadResponse {
             earliest: self.earliest,
             next: self.next(),
             records,
--- a/tests/generate_engine/fixture.rs
+++ b/tests/generate_engine/fixture.rs
@@ -13,10 +13,10 @@
 use bergamotfork::clients::EngineClient;
 use bergamotfork::clients::EngineError;
 use bergamotfork::clients::EngineStream;
+use bergamotfork::clients::FencingNumber;
 use bergamotfork::clients::GenerateOrder;
 use bergamotfork::clients::LoadAnswer;
 use bergamotfork::clients::LoadOrder;
-use bergamotfork::clients::OrderNo;
 use bergamotfork::clients::StreamEvent;
 use bergamotfork::standin::engine;
 use bergamotfork::standin::engine::EngineOptions;
@@ -71,7 +71,7 @@
 
     pub async fn load(&self, offset: u64) -> Result<LoadAnswer, EngineError> {
         let order = LoadOrder {
-            order: OrderNo {
+            order: FencingNumber {
                 offset,
                 incarnation: 1,
                 sequence: 1,
@@ -119,7 +119,7 @@
     pub async fn running(&self, count: u32) {
         let give_up_at = Instant::now() + DEADLINE;
         loop {
-            let state = self.engine.state().await.expect("the engine runs");
+            let state = self.engine.fetch_state().await.expect("the engine runs");
             if state.running == count {
                 return;
             }
--- a/tests/generate_engine/main.rs
+++ b/tests/generate_engine/main.rs
@@ -4,7 +4,7 @@
 
 use crate::fixture::Fixture;
 use bergamotfork::clients::EngineError;
-use bergamotfork::clients::EngineFault;
+use bergamotfork::clients::EngineErrorCode;
 use bergamotfork::clients::StreamEvent;
 use bergamotfork::standin::engine::token_text;
 
@@ -13,7 +13,7 @@
     let fixture = Fixture::start(|_| {}).await;
     let answer = fixture.load(1).await.expect("the order is fresh");
     assert_eq!(answer.whole, fixture.whole());
-    let state = fixture.engine.state().await.expect("the engine runs");
+    let state = fixture.engine.fetch_state().await.expect("the engine runs");
     assert_eq!(state.loaded[0].whole, fixture.whole());
 }
 
@@ -22,7 +22,7 @@
     let fixture = Fixture::start(|_| {}).await;
     fixture.load(5).await.expect("the order is fresh");
     let refused = fixture.load(4).await.expect_err("the order is stale");
-    assert_eq!(refused, EngineError::Refused(EngineFault::StaleOrder));
+    assert_eq!(refused, EngineError::Refused(EngineErrorCode::StaleOrder));
 }
 
 #[actix_rt::test]
@@ -66,7 +66,7 @@
     let fixture = Fixture::start(|_| {}).await;
     let refused = fixture.engine.generate(&fixture.order("x", 1)).await;
     let error = refused.expect_err("nothing is loaded");
-    assert_eq!(error, EngineError::Refused(EngineFault::NotLoaded));
+    assert_eq!(error, EngineError::Refused(EngineErrorCode::NotLoaded));
 }
 
 #[actix_rt::test]
@@ -88,7 +88,7 @@
     fixture.engine.cancel("r-long").await.expect("it runs");
     let last = fixture::last_event(&mut stream).await;
     let cancelled =
-        matches!(last, StreamEvent::Error { code, .. } if code == EngineFault::Cancelled);
+        matches!(last, StreamEvent::Error { code, .. } if code == EngineErrorCode::Cancelled);
     assert!(cancelled, "{last:?}");
 }
 
--- a/tests/regions/main.rs
+++ b/tests/regions/main.rs
@@ -4,11 +4,11 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-use bergamotfork::regions::Place;
-use bergamotfork::regions::spread;
+use bergamotfork::regions::HostLocation;
+use bergamotfork::regions::spread_over_domains;
 
-fn place(number: usize) -> Place {
-    Place {
+fn place(number: usize) -> HostLocation {
+    HostLocation {
         region: format!("region-{}", number / 2 % 2),
         domain: format!("domain-{}", number % 2),
     }
@@ -19,8 +19,8 @@
     arbtest(|u| {
         let mut rng = Pcg32::seed_from_u64(u.arbitrary()?);
         let hosts: Vec<usize> = (0..u.int_in_range(4..=12)?).collect();
-        let spread = spread(hosts.clone(), |host| place(*host), None, &mut rng);
-        let mut first: Vec<Place> = spread.iter().take(4).map(|host| place(*host)).collect();
+        let spread = spread_over_domains(hosts.clone(), |host| place(*host), None, &mut rng);
+        let mut first: Vec<HostLocation> = spread.iter().take(4).map(|host| place(*host)).collect();
         first.sort_unstable();
         first.dedup();
         assert_eq!(first.len(), 4, "the first four stand in four domains");
@@ -36,7 +36,7 @@
 fn spread_near_first() {
     let mut rng = Pcg32::seed_from_u64(1);
     let hosts: Vec<usize> = (0..8).collect();
-    let spread = spread(hosts, |host| place(*host), Some("region-1"), &mut rng);
+    let spread = spread_over_domains(hosts, |host| place(*host), Some("region-1"), &mut rng);
     assert!(
         spread[..4]
             .iter()
@@ -50,7 +50,7 @@
     let mut firsts = [0u32; 9];
     for _ in 0..9000 {
         let hosts: Vec<usize> = (0..9).collect();
-        let first = spread(hosts, |host| place(host % 3), None, &mut rng)[0];
+        let first = spread_over_domains(hosts, |host| place(host % 3), None, &mut rng)[0];
         firsts[first] += 1;
     }
     // Each of nine hosts is named first by 1000 of 9000 callers; five deviations is 150.
--- a/tests/weights/origin.rs
+++ b/tests/weights/origin.rs
@@ -50,13 +50,13 @@
 async fn origin_manifest_and_chunks() {
     let (handle, client, digest) = start_origin().await;
     let manifest = client
-        .manifest("chat", "v1")
+        .fetch_manifest("chat", "v1")
         .await
         .expect("the version was published");
     assert_eq!(manifest.validate_with_digest(digest), Ok(()));
     for index in 0..4 {
         let chunk = client
-            .chunk(digest, index, TIMEOUT_MS)
+            .fetch_chunk(digest, index, TIMEOUT_MS)
             .await
             .expect("the chunk is available");
         assert_eq!(Digest::of_bytes(&chunk), manifest.chunks[index as usize]);
@@ -74,16 +74,16 @@
     let faults = json!({"corrupt_chunk": 1, "corrupt_times": 1, "truncate_chunk": 2});
     send(&handle, "/fault", faults).await;
     let corrupt = client
-        .chunk(digest, 1, TIMEOUT_MS)
+        .fetch_chunk(digest, 1, TIMEOUT_MS)
         .await
         .expect("the chunk is available");
     let intact = client
-        .chunk(digest, 1, TIMEOUT_MS)
+        .fetch_chunk(digest, 1, TIMEOUT_MS)
         .await
         .expect("the chunk is available");
     assert_ne!(corrupt, intact);
     let truncated = client
-        .chunk(digest, 2, TIMEOUT_MS)
+        .fetch_chunk(digest, 2, TIMEOUT_MS)
         .await
         .expect("the chunk is available");
     assert_eq!(truncated.len(), 150);
@@ -94,26 +94,26 @@
     let (handle, client, digest) = start_origin().await;
     let refuse = json!({"refuse": {"status": 429, "retry_after_s": 3, "count": 1}});
     send(&handle, "/fault", refuse).await;
-    let refused = client.chunk(digest, 0, TIMEOUT_MS).await;
+    let refused = client.fetch_chunk(digest, 0, TIMEOUT_MS).await;
     assert_eq!(
         refused,
-        Err(OriginError::Limited {
+        Err(OriginError::RateLimited {
             retry_after_ms: 3000
         })
     );
-    assert!(client.chunk(digest, 0, TIMEOUT_MS).await.is_ok());
+    assert!(client.fetch_chunk(digest, 0, TIMEOUT_MS).await.is_ok());
 }
 
 #[actix_rt::test]
 async fn origin_manifest_missing() {
     let (handle, client, _) = start_origin().await;
     assert_eq!(
-        client.manifest("chat", "v9").await,
+        client.fetch_manifest("chat", "v9").await,
         Err(OriginError::Missing)
     );
     send(&handle, "/fault", json!({"manifest_missing": true})).await;
     assert_eq!(
-        client.manifest("chat", "v1").await,
+        client.fetch_manifest("chat", "v1").await,
         Err(OriginError::Missing)
     );
 }
--- a/tests/weights_transfer/fleet.rs
+++ b/tests/weights_transfer/fleet.rs
@@ -76,7 +76,7 @@
     });
     send(origin, "/v1/publish", publication).await;
     OriginClient::new(origin.url())
-        .manifest("chat", version)
+        .fetch_manifest("chat", version)
         .await
         .expect("the version was published")
 }
