--- a/src/cli/settings.rs
+++ b/src/cli/settings.rs
@@ -52,7 +52,7 @@
 fn check(files: &[PathBuf]) -> Result<(), CliError> {
     let mut faults = Vec::new();
     for file in files {
-        match conf::check(file) {
+        match conf::check_file(file) {
             Ok(role) => println!(
                 "{}: valid {} settings",
                 file.display(),
--- a/src/conf/backend_settings.rs
+++ b/src/conf/backend_settings.rs
@@ -1,20 +1,23 @@
 use std::net::SocketAddr;
 
-use super::Reader;
-use super::reader::NAME_ALLOWED;
-use super::reader::url_address;
+use super::SettingsReader;
+use super::settings_reader::NAME_ALLOWED;
+use super::settings_reader::parse_url_address;
 
 const SECTION: &str = "backend";
 
 /// Which keys of `[backend]` a kind uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum BackendKind {
     Engine,
     Service,
 }
 
-const KINDS: [(&str, Kind); 2] = [("engine", Kind::Engine), ("service", Kind::Service)];
-const SWITCH: [(&str, bool); 2] = [("yes", true), ("no", false)];
+const KINDS: [(&str, BackendKind); 2] = [
+    ("engine", BackendKind::Engine),
+    ("service", BackendKind::Service),
+];
+const YES_NO: [(&str, bool); 2] = [("yes", true), ("no", false)];
 
 /// What stands beside an endpoint process.
 #[derive(Debug, Clone)]
@@ -43,19 +46,19 @@
         }
     }
 
-    pub(super) fn read(reader: &mut Reader, listen: SocketAddr) -> Self {
+    pub(super) fn read(reader: &mut SettingsReader, listen: SocketAddr) -> Self {
         let kind = reader.choice(SECTION, "kind", &KINDS, None);
         let url = reader.url(SECTION, "url");
-        if url_address(&url) == Some(listen) {
+        if parse_url_address(&url) == Some(listen) {
             let problem = "the endpoint itself listens there";
             let allowed = "an address other than that of [process] listen";
-            reader.fault(SECTION, "url", Some(&url), problem, allowed);
+            reader.add_fault(SECTION, "url", Some(&url), problem, allowed);
         }
         match kind {
-            Some(Kind::Service) => Self::read_service(reader, url),
-            Some(Kind::Engine) => Self::read_engine(reader, url),
+            Some(BackendKind::Service) => Self::read_service(reader, url),
+            Some(BackendKind::Engine) => Self::read_engine(reader, url),
             None => {
-                Self::declare(reader);
+                Self::declare_keys(reader);
                 Self::Engine {
                     url,
                     checks_orders: false,
@@ -64,16 +67,16 @@
         }
     }
 
-    fn read_engine(reader: &mut Reader, url: String) -> Self {
+    fn read_engine(reader: &mut SettingsReader, url: String) -> Self {
         Self::Engine {
             url,
             checks_orders: reader
-                .choice(SECTION, "checks_orders", &SWITCH, Some("no"))
+                .choice(SECTION, "checks_orders", &YES_NO, Some("no"))
                 .unwrap_or_default(),
         }
     }
 
-    fn read_service(reader: &mut Reader, url: String) -> Self {
+    fn read_service(reader: &mut SettingsReader, url: String) -> Self {
         Self::Service {
             url,
             name: reader.name(SECTION, "name"),
@@ -81,8 +84,8 @@
     }
 
     /// Accepts the keys of either kind while the kind is unknown.
-    fn declare(reader: &mut Reader) {
-        reader.declare(SECTION, "checks_orders", "yes, no", Some("no"));
-        reader.declare(SECTION, "name", NAME_ALLOWED, None);
+    fn declare_keys(reader: &mut SettingsReader) {
+        reader.declare_key(SECTION, "checks_orders", "yes, no", Some("no"));
+        reader.declare_key(SECTION, "name", NAME_ALLOWED, None);
     }
 }
--- a/src/conf/check.rs
+++ b/src/conf/check.rs
@@ -3,8 +3,8 @@
 use super::DeclaredKey;
 use super::EndpointSettings;
 use super::EntrySettings;
-use super::Reader;
 use super::SettingsFaults;
+use super::SettingsReader;
 use super::TeamSettings;
 use super::process_settings::read_role;
 use crate::hosts::HostRole;
@@ -14,8 +14,8 @@
 /// # Errors
 ///
 /// Returns every fault of the file.
-pub fn check(path: impl AsRef<Path>) -> Result<HostRole, SettingsFaults> {
-    let mut reader = Reader::open(&path)?;
+pub fn check_file(path: impl AsRef<Path>) -> Result<HostRole, SettingsFaults> {
+    let mut reader = SettingsReader::open(&path)?;
     let Some(role) = read_role(&mut reader) else {
         return Err(reader.into_faults());
     };
@@ -27,15 +27,15 @@
 
 /// Every key that settings of `role` may hold.
 pub fn declared_keys(role: HostRole) -> Vec<DeclaredKey> {
-    let mut reader = Reader::empty();
+    let mut reader = SettingsReader::empty();
     match role {
         HostRole::Entry => {
             EntrySettings::read(&mut reader);
-            TeamSettings::declare(&mut reader);
+            TeamSettings::declare_keys(&mut reader);
         }
         HostRole::Endpoint => {
             EndpointSettings::read(&mut reader);
         }
     }
-    reader.into_declared()
+    reader.into_declared_keys()
 }
--- a/src/conf/cluster_settings.rs
+++ b/src/conf/cluster_settings.rs
@@ -1,30 +1,30 @@
 use std::fmt;
 
-use super::Number;
+use super::NumberKey;
 use super::PartitionPolicy;
-use super::Reader;
+use super::SettingsReader;
 use super::Unit;
 
 const SECTION: &str = "cluster";
 
 /// Shortest shared key that is accepted.
-const SHARED_KEY_LEAST_CHARS: usize = 16;
+const MIN_SHARED_KEY_CHARS: usize = 16;
 
-const GOSSIP_MS: Number = Number {
+const GOSSIP_MS: NumberKey = NumberKey {
     key: "gossip_ms",
     unit: Unit::Milliseconds,
     range: 50..=60_000,
     default: 1000,
 };
 
-const HOSTS_POLL_MS: Number = Number {
+const HOSTS_POLL_MS: NumberKey = NumberKey {
     key: "hosts_poll_ms",
     unit: Unit::Milliseconds,
     range: 50..=60_000,
     default: 2000,
 };
 
-const POLICIES: [(&str, PartitionPolicy); 2] = [
+const PARTITION_POLICIES: [(&str, PartitionPolicy); 2] = [
     ("serve", PartitionPolicy::Serve),
     ("refuse", PartitionPolicy::Refuse),
 ];
@@ -53,13 +53,18 @@
         }
     }
 
-    pub(super) fn read(reader: &mut Reader) -> Self {
+    pub(super) fn read(reader: &mut SettingsReader) -> Self {
         Self {
-            shared_key: reader.secret(SECTION, "shared_key", SHARED_KEY_LEAST_CHARS),
+            shared_key: reader.secret(SECTION, "shared_key", MIN_SHARED_KEY_CHARS),
             gossip_ms: reader.number(SECTION, &GOSSIP_MS),
             hosts_poll_ms: reader.number(SECTION, &HOSTS_POLL_MS),
             partition_policy: reader
-                .choice(SECTION, "partition_policy", &POLICIES, Some("serve"))
+                .choice(
+                    SECTION,
+                    "partition_policy",
+                    &PARTITION_POLICIES,
+                    Some("serve"),
+                )
                 .unwrap_or_default(),
         }
     }
--- a/src/conf/endpoint_settings.rs
+++ b/src/conf/endpoint_settings.rs
@@ -2,11 +2,11 @@
 
 use super::BackendSettings;
 use super::ClusterSettings;
-use super::Number;
+use super::NumberKey;
 use super::PlatformSettings;
 use super::ProcessSettings;
-use super::Reader;
 use super::SettingsFaults;
+use super::SettingsReader;
 use super::Unit;
 use super::WeightsSettings;
 use super::weights_settings;
@@ -14,21 +14,21 @@
 
 const SECTION: &str = "endpoint";
 
-const SLOTS: Number = Number {
+const SLOTS: NumberKey = NumberKey {
     key: "slots",
     unit: Unit::Count,
     range: 1..=4096,
     default: 8,
 };
 
-const QUEUE_LIMIT: Number = Number {
+const QUEUE_LIMIT: NumberKey = NumberKey {
     key: "queue_limit",
     unit: Unit::Count,
     range: 1..=65_536,
     default: 64,
 };
 
-const DRAIN_MS: Number = Number {
+const DRAIN_MS: NumberKey = NumberKey {
     key: "drain_ms",
     unit: Unit::Milliseconds,
     range: 100..=3_600_000,
@@ -82,13 +82,13 @@
     ///
     /// Returns every fault of the file.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, SettingsFaults> {
-        let mut reader = Reader::open(path)?;
+        let mut reader = SettingsReader::open(path)?;
         let settings = Self::read(&mut reader);
         reader.finish()?;
         Ok(settings)
     }
 
-    pub(super) fn read(reader: &mut Reader) -> Self {
+    pub(super) fn read(reader: &mut SettingsReader) -> Self {
         let process = ProcessSettings::read(reader, HostRole::Endpoint);
         let backend = BackendSettings::read(reader, process.listen);
         let settings = Self {
@@ -101,30 +101,30 @@
             drain_ms: reader.number(SECTION, &DRAIN_MS),
             weights: WeightsSettings::read(reader),
         };
-        settings.check_weights(reader);
-        settings.check_queue(reader);
+        settings.check_weights_section(reader);
+        settings.check_queue_limit(reader);
         settings
     }
 
     /// A plain service holds no weights.
-    fn check_weights(&self, reader: &mut Reader) {
+    fn check_weights_section(&self, reader: &mut SettingsReader) {
         let service = matches!(self.backend, BackendSettings::Service { .. });
         if !service || !reader.has_section(weights_settings::SECTION) {
             return;
         }
         let problem = "a plain service holds no weights";
         let allowed = "no such section beside [backend] kind = service";
-        reader.fault(weights_settings::SECTION, "", None, problem, allowed);
+        reader.add_fault(weights_settings::SECTION, "", None, problem, allowed);
     }
 
     /// A queue shorter than the slots would refuse work that has room.
-    fn check_queue(&self, reader: &mut Reader) {
+    fn check_queue_limit(&self, reader: &mut SettingsReader) {
         if self.queue_limit >= self.slots {
             return;
         }
         let value = self.queue_limit.to_string();
         let problem = "the queue is shorter than the slots";
         let allowed = format!("at least slots = {}", self.slots);
-        reader.fault(SECTION, QUEUE_LIMIT.key, Some(&value), problem, &allowed);
+        reader.add_fault(SECTION, QUEUE_LIMIT.key, Some(&value), problem, &allowed);
     }
 }
--- a/src/conf/entry_settings.rs
+++ b/src/conf/entry_settings.rs
@@ -1,25 +1,25 @@
 use std::path::Path;
 
 use super::ClusterSettings;
-use super::Number;
+use super::NumberKey;
 use super::PlatformSettings;
 use super::ProcessSettings;
-use super::Reader;
 use super::SettingsFaults;
+use super::SettingsReader;
 use super::TeamSettings;
 use super::Unit;
 use crate::hosts::HostRole;
 
 const SECTION: &str = "entry";
 
-const ADDRESS_LIFETIME_MS: Number = Number {
+const ADDRESS_LIFETIME_MS: NumberKey = NumberKey {
     key: "address_lifetime_ms",
     unit: Unit::Milliseconds,
     range: 100..=600_000,
     default: 10_000,
 };
 
-const MAX_BODY_BYTES: Number = Number {
+const MAX_BODY_BYTES: NumberKey = NumberKey {
     key: "max_body_bytes",
     unit: Unit::Bytes,
     range: 1024..=64 * 1024 * 1024,
@@ -28,42 +28,42 @@
 
 // The HTTP server's clock moves in steps of 500 ms; a shorter timeout would
 // cut off requests that were sent at once.
-const SLOW_CLIENT_TIMEOUT_MS: Number = Number {
+const SLOW_CLIENT_TIMEOUT_MS: NumberKey = NumberKey {
     key: "slow_client_timeout_ms",
     unit: Unit::Milliseconds,
     range: 1000..=60_000,
     default: 5000,
 };
 
-const SILENCE_MS: Number = Number {
+const SILENCE_MS: NumberKey = NumberKey {
     key: "silence_ms",
     unit: Unit::Milliseconds,
     range: 100..=60_000,
     default: 3000,
 };
 
-const DRAIN_MS: Number = Number {
+const DRAIN_MS: NumberKey = NumberKey {
     key: "drain_ms",
     unit: Unit::Milliseconds,
     range: 100..=3_600_000,
     default: 30_000,
 };
 
-const RETRY_BUDGET_PERCENT: Number = Number {
+const RETRY_BUDGET_PERCENT: NumberKey = NumberKey {
     key: "retry_budget_percent",
     unit: Unit::Percent,
     range: 0..=100,
     default: 10,
 };
 
-const PERMITS_PER_ANSWER: Number = Number {
+const PERMITS_PER_ANSWER: NumberKey = NumberKey {
     key: "permits_per_answer",
     unit: Unit::Count,
     range: 1..=64,
     default: 4,
 };
 
-const LOG_RETENTION_MS: Number = Number {
+const LOG_RETENTION_MS: NumberKey = NumberKey {
     key: "log_retention_ms",
     unit: Unit::Milliseconds,
     range: 1000..=31_536_000_000,
@@ -131,13 +131,13 @@
     ///
     /// Returns every fault of the file.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, SettingsFaults> {
-        let mut reader = Reader::open(path)?;
+        let mut reader = SettingsReader::open(path)?;
         let settings = Self::read(&mut reader);
         reader.finish()?;
         Ok(settings)
     }
 
-    pub(super) fn read(reader: &mut Reader) -> Self {
+    pub(super) fn read(reader: &mut SettingsReader) -> Self {
         let settings = Self {
             process: ProcessSettings::read(reader, HostRole::Entry),
             platform: PlatformSettings::read(reader),
@@ -152,13 +152,13 @@
             log_retention_ms: reader.number(SECTION, &LOG_RETENTION_MS),
             teams: TeamSettings::read_all(reader),
         };
-        settings.check_drain(reader);
-        settings.check_retention(reader);
+        settings.check_drain_ms(reader);
+        settings.check_log_retention_ms(reader);
         settings
     }
 
     /// A stopping entry serves until the addresses it gave have lapsed.
-    fn check_drain(&self, reader: &mut Reader) {
+    fn check_drain_ms(&self, reader: &mut SettingsReader) {
         if self.drain_ms > self.address_lifetime_ms {
             return;
         }
@@ -168,19 +168,20 @@
             "more than address_lifetime_ms = {}",
             self.address_lifetime_ms
         );
-        reader.fault(SECTION, DRAIN_MS.key, Some(&value), problem, &allowed);
+        reader.add_fault(SECTION, DRAIN_MS.key, Some(&value), problem, &allowed);
     }
 
     /// Checkpoints must be spread before the records they cover are trimmed.
-    fn check_retention(&self, reader: &mut Reader) {
-        let least_ms = self.cluster.gossip_ms * CHECKPOINTS_PER_RETENTION;
-        if self.log_retention_ms >= least_ms {
+    fn check_log_retention_ms(&self, reader: &mut SettingsReader) {
+        let min_retention_ms = self.cluster.gossip_ms * CHECKPOINTS_PER_RETENTION;
+        if self.log_retention_ms >= min_retention_ms {
             return;
         }
         let value = self.log_retention_ms.to_string();
         let problem = "records are trimmed before a checkpoint can spread";
-        let allowed = format!("at least {CHECKPOINTS_PER_RETENTION} x gossip_ms = {least_ms}");
-        reader.fault(
+        let allowed =
+            format!("at least {CHECKPOINTS_PER_RETENTION} x gossip_ms = {min_retention_ms}");
+        reader.add_fault(
             SECTION,
             LOG_RETENTION_MS.key,
             Some(&value),
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,6 +1,6 @@
 //! INI settings of each role, with documented defaults and full validation.
 //!
-//! A file is read through [`Reader`], which collects every fault instead of
+//! A file is read through [`SettingsReader`], which collects every fault instead of
 //! stopping at the first: unknown, missing and repeated sections and keys,
 //! malformed values, values out of range and combinations that cannot work.
 //! The structs may also be built in code, where [`Default`] gives the
@@ -13,32 +13,32 @@
 mod endpoint_settings;
 mod entry_settings;
 mod log_format;
-mod number;
+mod number_key;
 mod partition_policy;
 mod platform_settings;
 mod process_settings;
-mod reader;
 mod settings_fault;
 mod settings_faults;
+mod settings_reader;
 mod team_settings;
 mod weights_settings;
 
 pub use backend_settings::BackendSettings;
-pub use check::check;
+pub use check::check_file;
 pub use check::declared_keys;
 pub use cluster_settings::ClusterSettings;
 pub use declared_key::DeclaredKey;
 pub use endpoint_settings::EndpointSettings;
 pub use entry_settings::EntrySettings;
 pub use log_format::LogFormat;
-pub use number::Number;
-pub use number::Unit;
+pub use number_key::NumberKey;
+pub use number_key::Unit;
 pub use partition_policy::PartitionPolicy;
 pub use platform_settings::PlatformSettings;
 pub use process_settings::ProcessSettings;
 pub use process_settings::role_name;
-pub use reader::Reader;
 pub use settings_fault::SettingsFault;
 pub use settings_faults::SettingsFaults;
+pub use settings_reader::SettingsReader;
 pub use team_settings::TeamSettings;
 pub use weights_settings::WeightsSettings;
--- a/src/conf/number.rs
+++ b/src/conf/number_key.rs
@@ -30,7 +30,7 @@
 
 /// A numeric key: its unit, range and default.
 #[derive(Debug, Clone)]
-pub struct Number {
+pub struct NumberKey {
     /// Name of the key.
     pub key: &'static str,
     /// Unit it counts in.
@@ -41,7 +41,7 @@
     pub default: u64,
 }
 
-impl Number {
+impl NumberKey {
     /// What the key accepts, for messages.
     pub fn allowed(&self) -> String {
         let (low, high) = (self.range.start(), self.range.end());
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -1,10 +1,10 @@
-use super::Reader;
+use super::SettingsReader;
 
 const SECTION: &str = "platform";
-const STREAM: &str = "config";
+const DEFAULT_CONFIG_STREAM: &str = "config";
 
 /// Names no region: the first region of the hosts takes the origin's place.
-const FIRST_REGION: &str = "none";
+const UNNAMED_REGION: &str = "none";
 
 /// Where the platform's services are.
 #[derive(Debug, Clone)]
@@ -32,18 +32,18 @@
             log_url: log_url.into(),
             hosts_url: hosts_url.into(),
             origin_url: origin_url.into(),
-            origin_region: FIRST_REGION.to_owned(),
-            config_stream: STREAM.to_owned(),
+            origin_region: UNNAMED_REGION.to_owned(),
+            config_stream: DEFAULT_CONFIG_STREAM.to_owned(),
         }
     }
 
-    pub(super) fn read(reader: &mut Reader) -> Self {
+    pub(super) fn read(reader: &mut SettingsReader) -> Self {
         Self {
             log_url: reader.url(SECTION, "log_url"),
             hosts_url: reader.url(SECTION, "hosts_url"),
             origin_url: reader.url(SECTION, "origin_url"),
-            origin_region: reader.name_or(SECTION, "origin_region", FIRST_REGION),
-            config_stream: reader.name_or(SECTION, "config_stream", STREAM),
+            origin_region: reader.name_or(SECTION, "origin_region", UNNAMED_REGION),
+            config_stream: reader.name_or(SECTION, "config_stream", DEFAULT_CONFIG_STREAM),
         }
     }
 }
--- a/src/conf/process_settings.rs
+++ b/src/conf/process_settings.rs
@@ -4,7 +4,7 @@
 use log::LevelFilter;
 
 use super::LogFormat;
-use super::Reader;
+use super::SettingsReader;
 use crate::hosts::HostRole;
 
 const SECTION: &str = "process";
@@ -12,9 +12,9 @@
 
 const ROLES: [(&str, HostRole); 2] = [("entry", HostRole::Entry), ("endpoint", HostRole::Endpoint)];
 
-const FORMATS: [(&str, LogFormat); 2] = [("text", LogFormat::Text), ("json", LogFormat::Json)];
+const LOG_FORMATS: [(&str, LogFormat); 2] = [("text", LogFormat::Text), ("json", LogFormat::Json)];
 
-const LEVELS: [(&str, LevelFilter); 5] = [
+const LOG_LEVELS: [(&str, LevelFilter); 5] = [
     ("error", LevelFilter::Error),
     ("warn", LevelFilter::Warn),
     ("info", LevelFilter::Info),
@@ -61,12 +61,12 @@
         }
     }
 
-    pub(super) fn read(reader: &mut Reader, role: HostRole) -> Self {
+    pub(super) fn read(reader: &mut SettingsReader, role: HostRole) -> Self {
         let found = read_role(reader);
         if found.is_some_and(|found| found != role) {
             let value = role_name(found.unwrap_or(role));
             let problem = "the file belongs to another role";
-            reader.fault(SECTION, "role", Some(value), problem, role_name(role));
+            reader.add_fault(SECTION, "role", Some(value), problem, role_name(role));
         }
         let listen = reader.value(SECTION, "listen", LISTEN_ALLOWED);
         Self {
@@ -76,17 +76,17 @@
             domain: reader.name(SECTION, "domain"),
             listen: check_listen(reader, listen),
             log_format: reader
-                .choice(SECTION, "log_format", &FORMATS, Some("text"))
+                .choice(SECTION, "log_format", &LOG_FORMATS, Some("text"))
                 .unwrap_or_default(),
             log_level: reader
-                .choice(SECTION, "log_level", &LEVELS, Some("info"))
+                .choice(SECTION, "log_level", &LOG_LEVELS, Some("info"))
                 .unwrap_or(LevelFilter::Info),
         }
     }
 }
 
 /// Role that a file names.
-pub(super) fn read_role(reader: &mut Reader) -> Option<HostRole> {
+pub(super) fn read_role(reader: &mut SettingsReader) -> Option<HostRole> {
     reader.choice(SECTION, "role", &ROLES, None)
 }
 
@@ -99,14 +99,14 @@
 }
 
 /// Peers are told the address, so it must name one host and one port.
-fn check_listen(reader: &mut Reader, listen: Option<SocketAddr>) -> SocketAddr {
+fn check_listen(reader: &mut SettingsReader, listen: Option<SocketAddr>) -> SocketAddr {
     let Some(address) = listen else {
         return SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     };
     if address.ip().is_unspecified() || address.port() == 0 {
         let value = address.to_string();
         let problem = "other hosts cannot reach the address";
-        reader.fault(SECTION, "listen", Some(&value), problem, LISTEN_ALLOWED);
+        reader.add_fault(SECTION, "listen", Some(&value), problem, LISTEN_ALLOWED);
     }
     address
 }
--- a/src/conf/reader.rs
+++ b/src/conf/settings_reader.rs
@@ -9,7 +9,7 @@
 use ini::Properties;
 
 use super::DeclaredKey;
-use super::Number;
+use super::NumberKey;
 use super::SettingsFault;
 use super::SettingsFaults;
 
@@ -21,10 +21,10 @@
 
 /// Reads typed values from one settings file and collects every fault.
 ///
-/// A faulty or missing value reads as a placeholder; [`Reader::finish`] then
+/// A faulty or missing value reads as a placeholder; [`SettingsReader::finish`] then
 /// fails, so that no placeholder is ever used.
 #[derive(Debug)]
-pub struct Reader {
+pub struct SettingsReader {
     file: PathBuf,
     ini: Ini,
     declared: Vec<DeclaredKey>,
@@ -32,26 +32,26 @@
     faults: Vec<SettingsFault>,
 }
 
-impl Reader {
+impl SettingsReader {
     /// Reads and parses `path`.
     pub fn open(path: impl AsRef<Path>) -> Result<Self, SettingsFaults> {
         let file = path.as_ref().to_path_buf();
         let text = match fs::read_to_string(&file) {
             Ok(text) => text,
-            Err(error) => return Err(unreadable(file, error.to_string())),
+            Err(error) => return Err(unreadable_file(file, error.to_string())),
         };
         match Ini::load_from_str_noescape(&text) {
-            Ok(ini) => Ok(Self::over(file, ini)),
-            Err(error) => Err(unreadable(file, error.to_string())),
+            Ok(ini) => Ok(Self::from_ini(file, ini)),
+            Err(error) => Err(unreadable_file(file, error.to_string())),
         }
     }
 
     /// A reader of an empty file, to learn the declared keys.
     pub fn empty() -> Self {
-        Self::over(PathBuf::new(), Ini::new())
+        Self::from_ini(PathBuf::new(), Ini::new())
     }
 
-    fn over(file: PathBuf, ini: Ini) -> Self {
+    fn from_ini(file: PathBuf, ini: Ini) -> Self {
         Self {
             file,
             ini,
@@ -62,7 +62,7 @@
     }
 
     /// Names of the sections that start with `prefix` and a space.
-    pub fn sections_of(&self, prefix: &str) -> Vec<String> {
+    pub fn section_suffixes(&self, prefix: &str) -> Vec<String> {
         let mut names: Vec<String> = self
             .ini
             .sections()
@@ -80,8 +80,8 @@
     }
 
     /// Whether the file sets `key` in `section`.
-    pub fn has(&self, section: &str, key: &str) -> bool {
-        self.raw(section, key).is_some()
+    pub fn has_key(&self, section: &str, key: &str) -> bool {
+        self.raw_value(section, key).is_some()
     }
 
     /// A required name.
@@ -96,11 +96,11 @@
             .unwrap_or_default()
     }
 
-    /// A required secret of at least `least_chars` characters, never shown.
-    pub fn secret(&mut self, section: &str, key: &'static str, least_chars: usize) -> String {
-        let allowed = format!("at least {least_chars} characters");
+    /// A required secret of at least `min_chars` characters, never shown.
+    pub fn secret(&mut self, section: &str, key: &'static str, min_chars: usize) -> String {
+        let allowed = format!("at least {min_chars} characters");
         let secret = self.parse(section, key, &allowed, None, |text| {
-            (text.chars().count() >= least_chars).then(|| text.to_owned())
+            (text.chars().count() >= min_chars).then(|| text.to_owned())
         });
         for fault in &mut self.faults {
             if fault.section == section && fault.key == key && fault.value.is_some() {
@@ -111,7 +111,7 @@
     }
 
     /// A number with a default.
-    pub fn number(&mut self, section: &str, number: &Number) -> u64 {
+    pub fn number(&mut self, section: &str, number: &NumberKey) -> u64 {
         let default = number.default.to_string();
         let allowed = number.allowed();
         self.parse(section, number.key, &allowed, Some(&default), |text| {
@@ -161,7 +161,7 @@
     pub fn url(&mut self, section: &str, key: &'static str) -> String {
         let allowed = "http://IP:port, such as http://127.0.0.1:7001";
         self.parse(section, key, allowed, None, |text| {
-            let address = url_address(text)?;
+            let address = parse_url_address(text)?;
             (address.port() != 0).then(|| text.to_owned())
         })
         .unwrap_or_default()
@@ -176,21 +176,21 @@
         default: Option<&str>,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        self.declare(section, key, allowed, default);
-        let found = self.raw(section, key).map(str::to_owned);
+        self.declare_key(section, key, allowed, default);
+        let found = self.raw_value(section, key).map(str::to_owned);
         let Some(text) = found.as_deref().or(default) else {
-            self.fault(section, key, None, "the key is missing", allowed);
+            self.add_fault(section, key, None, "the key is missing", allowed);
             return None;
         };
         let value = parse(text);
         if value.is_none() {
-            self.fault(section, key, Some(text), "the value is invalid", allowed);
+            self.add_fault(section, key, Some(text), "the value is invalid", allowed);
         }
         value
     }
 
     /// Notes a key as known without reading it.
-    pub(super) fn declare(
+    pub(super) fn declare_key(
         &mut self,
         section: &str,
         key: &'static str,
@@ -206,13 +206,13 @@
         });
     }
 
-    fn raw(&self, section: &str, key: &str) -> Option<&str> {
+    fn raw_value(&self, section: &str, key: &str) -> Option<&str> {
         let properties = self.ini.section(Some(section))?;
         properties.get(key).map(str::trim)
     }
 
     /// Notes a fault of one key, section or combination.
-    pub fn fault(
+    pub fn add_fault(
         &mut self,
         section: &str,
         key: &str,
@@ -231,7 +231,7 @@
     }
 
     /// The keys read so far.
-    pub fn into_declared(self) -> Vec<DeclaredKey> {
+    pub fn into_declared_keys(self) -> Vec<DeclaredKey> {
         self.declared
     }
 
@@ -242,7 +242,7 @@
 
     /// Reports everything wrong, including what nobody asked for.
     pub fn finish(mut self) -> Result<(), SettingsFaults> {
-        self.check_general();
+        self.check_keys_outside_sections();
         self.check_sections();
         if self.faults.is_empty() {
             return Ok(());
@@ -251,12 +251,12 @@
     }
 
     /// Keys before the first section belong to nothing.
-    fn check_general(&mut self) {
-        let strays: Vec<(String, String)> = pairs(self.ini.general_section());
+    fn check_keys_outside_sections(&mut self) {
+        let outside_keys: Vec<(String, String)> = key_value_pairs(self.ini.general_section());
         let known = self.known_sections();
-        for (key, value) in strays {
+        for (key, value) in outside_keys {
             let allowed = format!("keys inside the sections {known}");
-            self.fault(
+            self.add_fault(
                 "",
                 &key,
                 Some(&value),
@@ -272,20 +272,23 @@
         names.dedup();
         for name in names {
             if self.sections.contains(&name) {
-                self.check_keys(&name);
+                self.check_section(&name);
             } else {
                 let allowed = format!("the sections {}", self.known_sections());
-                self.fault(&name, "", None, "the section is unknown", &allowed);
+                self.add_fault(&name, "", None, "the section is unknown", &allowed);
             }
         }
     }
 
     /// Checks one section for repetition and for unknown and repeated keys.
-    fn check_keys(&mut self, section: &str) {
-        let all: Vec<Vec<(String, String)>> =
-            self.ini.section_all(Some(section)).map(pairs).collect();
+    fn check_section(&mut self, section: &str) {
+        let all: Vec<Vec<(String, String)>> = self
+            .ini
+            .section_all(Some(section))
+            .map(key_value_pairs)
+            .collect();
         if all.len() > 1 {
-            self.fault(
+            self.add_fault(
                 section,
                 "",
                 None,
@@ -294,13 +297,13 @@
             );
         }
         let known = self.known_keys(section);
-        let mut seen = BTreeSet::new();
+        let mut found_keys = BTreeSet::new();
         for (key, value) in all.into_iter().flatten() {
             if !known.contains(&key.as_str()) {
                 let allowed = format!("the keys {}", known.join(", "));
-                self.fault(section, &key, Some(&value), "the key is unknown", &allowed);
-            } else if !seen.insert(key.clone()) {
-                self.fault(section, &key, None, "the key is repeated", "each key once");
+                self.add_fault(section, &key, Some(&value), "the key is unknown", &allowed);
+            } else if !found_keys.insert(key.clone()) {
+                self.add_fault(section, &key, None, "the key is repeated", "each key once");
             }
         }
     }
@@ -327,23 +330,23 @@
 }
 
 fn parse_name(text: &str) -> Option<String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    (!text.is_empty() && text.chars().all(plain)).then(|| text.to_owned())
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    (!text.is_empty() && text.chars().all(is_allowed)).then(|| text.to_owned())
 }
 
 /// Address in a text such as `http://127.0.0.1:7001`.
-pub fn url_address(url: &str) -> Option<SocketAddr> {
+pub fn parse_url_address(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.parse().ok()
 }
 
-fn pairs(properties: &Properties) -> Vec<(String, String)> {
+fn key_value_pairs(properties: &Properties) -> Vec<(String, String)> {
     properties
         .iter()
         .map(|(key, value)| (key.to_owned(), value.to_owned()))
         .collect()
 }
 
-fn unreadable(file: PathBuf, problem: String) -> SettingsFaults {
+fn unreadable_file(file: PathBuf, problem: String) -> SettingsFaults {
     SettingsFaults(vec![SettingsFault {
         file,
         section: String::new(),
--- a/src/conf/team_settings.rs
+++ b/src/conf/team_settings.rs
@@ -1,9 +1,10 @@
-use super::Reader;
+use super::SettingsReader;
 use crate::weights::Digest;
 
 /// Prefix of a team's section.
-const PREFIX: &str = "team";
-const DIGEST_ALLOWED: &str = "64 hexadecimal digits, as `bergamotfork token digest` prints them";
+const SECTION_PREFIX: &str = "team";
+const TOKEN_DIGEST_ALLOWED: &str =
+    "64 hexadecimal digits, as `bergamotfork token digest` prints them";
 const SECTIONS_ALLOWED: &str = "section patterns separated by commas, such as `model *`";
 
 /// What one team of operators may write.
@@ -20,29 +21,31 @@
 impl TeamSettings {
     /// Whether the team may write the section called `name`.
     pub fn may_write(&self, name: &str) -> bool {
-        self.sections.iter().any(|pattern| covers(pattern, name))
+        self.sections
+            .iter()
+            .any(|pattern| pattern_matches(pattern, name))
     }
 
-    pub(super) fn read_all(reader: &mut Reader) -> Vec<Self> {
+    pub(super) fn read_all(reader: &mut SettingsReader) -> Vec<Self> {
         let mut teams: Vec<Self> = Vec::new();
-        for name in reader.sections_of(PREFIX) {
+        for name in reader.section_suffixes(SECTION_PREFIX) {
             let Some(team) = Self::read(reader, name) else {
                 continue;
             };
             let other = teams.iter().find(|t| t.token_digest == team.token_digest);
             if let Some(other) = other {
                 let problem = format!("team {} has the same token", other.name);
-                let section = format!("{PREFIX} {}", team.name);
-                reader.fault(&section, "token_digest", None, &problem, "one token a team");
+                let section = format!("{SECTION_PREFIX} {}", team.name);
+                reader.add_fault(&section, "token_digest", None, &problem, "one token a team");
             }
             teams.push(team);
         }
         teams
     }
 
-    fn read(reader: &mut Reader, name: String) -> Option<Self> {
-        let section = format!("{PREFIX} {name}");
-        let token_digest = reader.value(&section, "token_digest", DIGEST_ALLOWED);
+    fn read(reader: &mut SettingsReader, name: String) -> Option<Self> {
+        let section = format!("{SECTION_PREFIX} {name}");
+        let token_digest = reader.value(&section, "token_digest", TOKEN_DIGEST_ALLOWED);
         let sections = reader.list(&section, "sections", SECTIONS_ALLOWED);
         Some(Self {
             name,
@@ -52,13 +55,13 @@
     }
 
     /// Declares the keys of a team for the list of keys.
-    pub(super) fn declare(reader: &mut Reader) {
+    pub(super) fn declare_keys(reader: &mut SettingsReader) {
         let _ = Self::read(reader, "NAME".to_owned());
     }
 }
 
 /// Whether `pattern` covers `name`; `*` stands for any text, once a pattern.
-fn covers(pattern: &str, name: &str) -> bool {
+fn pattern_matches(pattern: &str, name: &str) -> bool {
     let Some((start, end)) = pattern.split_once('*') else {
         return pattern == name;
     };
--- a/src/conf/weights_settings.rs
+++ b/src/conf/weights_settings.rs
@@ -1,5 +1,5 @@
-use super::Number;
-use super::Reader;
+use super::NumberKey;
+use super::SettingsReader;
 use super::Unit;
 
 pub(super) const SECTION: &str = "weights";
@@ -7,35 +7,35 @@
 const MIB: u64 = 1024 * 1024;
 const GIB: u64 = 1024 * MIB;
 
-const BUDGET_BYTES: Number = Number {
+const BUDGET_BYTES: NumberKey = NumberKey {
     key: "budget_bytes",
     unit: Unit::Bytes,
     range: MIB..=1024 * GIB,
     default: 2 * GIB,
 };
 
-const UP_BYTES_PER_S: Number = Number {
+const UP_BYTES_PER_S: NumberKey = NumberKey {
     key: "up_bytes_per_s",
     unit: Unit::BytesPerSecond,
     range: 1024..=100 * GIB,
     default: 128 * MIB,
 };
 
-const DOWN_BYTES_PER_S: Number = Number {
+const DOWN_BYTES_PER_S: NumberKey = NumberKey {
     key: "down_bytes_per_s",
     unit: Unit::BytesPerSecond,
     range: 1024..=100 * GIB,
     default: 128 * MIB,
 };
 
-const LIVE_SHARE_PERCENT: Number = Number {
+const LIVE_SHARE_PERCENT: NumberKey = NumberKey {
     key: "live_share_percent",
     unit: Unit::Percent,
     range: 0..=90,
     default: 20,
 };
 
-const NEIGHBOURS: Number = Number {
+const NEIGHBOURS: NumberKey = NumberKey {
     key: "neighbours",
     unit: Unit::Count,
     range: 1..=64,
@@ -58,7 +58,7 @@
 }
 
 impl WeightsSettings {
-    pub(super) fn read(reader: &mut Reader) -> Self {
+    pub(super) fn read(reader: &mut SettingsReader) -> Self {
         Self {
             budget_bytes: reader.number(SECTION, &BUDGET_BYTES),
             up_bytes_per_s: reader.number(SECTION, &UP_BYTES_PER_S),
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -33,7 +33,7 @@
 
 /// Faults of `file` as "[section] key value: problem".
 fn faults(file: &Path) -> BTreeSet<String> {
-    let found = conf::check(file).expect_err("the file is bad").0;
+    let found = conf::check_file(file).expect_err("the file is bad").0;
     let mut lines = BTreeSet::new();
     for fault in found {
         assert_eq!(fault.file, file);
@@ -59,7 +59,7 @@
 #[test]
 fn check_examples() {
     for file in files("examples") {
-        let role = conf::check(&file).unwrap_or_else(|faults| panic!("{faults}"));
+        let role = conf::check_file(&file).unwrap_or_else(|faults| panic!("{faults}"));
         let name = file.file_name().unwrap_or_default().to_string_lossy();
         assert!(name.starts_with(conf::role_name(role)), "{name}");
     }
@@ -74,7 +74,7 @@
 
 #[test]
 fn check_missing_file() {
-    let faults = conf::check("tests/settings/no-such-file.ini")
+    let faults = conf::check_file("tests/settings/no-such-file.ini")
         .expect_err("no file")
         .0;
     assert_eq!(faults.len(), 1);
