--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -22,7 +22,7 @@
 use crate::hosts::HostRole;
 use crate::hosts::HostState;
 use crate::links::HttpClient;
-use crate::observe::Tally;
+use crate::observe::CounterKind;
 use crate::standin::Handle;
 use crate::standin::engine;
 use crate::standin::engine::EngineOptions;
@@ -311,7 +311,7 @@
 /// Sum of the counters of retries in a metrics text.
 fn retries_in(text: &str) -> u64 {
     text.lines()
-        .filter(|line| line.starts_with(Tally::Retries.name()))
+        .filter(|line| line.starts_with(CounterKind::Retries.name()))
         .filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok())
         .sum()
 }
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -99,7 +99,7 @@
             reason,
             retry_after_ms,
         } => {
-            state.node.metrics().refused(reason.code());
+            state.node.metrics().record_refusal(reason.code());
             CallReport::Ended(CallOutcome::NotRun {
                 reason,
                 retry_after_ms,
@@ -119,7 +119,7 @@
     let admitted = match admit(state, &call, request) {
         Ok(admitted) => admitted,
         Err(reason) => {
-            state.node.metrics().refused(reason.code());
+            state.node.metrics().record_refusal(reason.code());
             return CallReport::Ended(CallOutcome::not_run(reason));
         }
     };
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -22,7 +22,7 @@
 use crate::node::Reporter;
 use crate::node::Watcher;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 use crate::standin::Handle;
 
 /// Largest body of a call from an entry.
@@ -68,7 +68,7 @@
         WeightsKeeper::new(Arc::clone(&state), engine).start();
         LoadKeeper::new(Arc::clone(&state)).start();
     }
-    emit(
+    emit_event(
         Event::ProcessStarted,
         &[("host", &state.node.name()), ("address", &server.address())],
     );
@@ -89,13 +89,13 @@
     /// Leaves: tells the entries, then finishes the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
-        emit(Event::ProcessStopping, &[("host", &node.name())]);
+        emit_event(Event::ProcessStopping, &[("host", &node.name())]);
         node.leave();
         Reporter::report_now(node).await;
         let drain = Duration::from_millis(self.state.settings.drain_ms);
         // Calls outlive their connections, which the server alone waits for.
         let _ = timeout(drain, self.state.calls.drained()).await;
         self.server.stop().await;
-        emit(Event::ProcessStopped, &[("host", &node.name())]);
+        emit_event(Event::ProcessStopped, &[("host", &node.name())]);
     }
 }
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -17,7 +17,7 @@
 use crate::links::decode_rmp;
 use crate::links::has_shared_key;
 use crate::links::rmp_response;
-use crate::observe::Tally;
+use crate::observe::CounterKind;
 use crate::weights::ChunkFrame;
 use crate::weights::Digest;
 use crate::weights::PeerRequest;
@@ -189,9 +189,12 @@
         return frame_response(&version, ReadOutcome::Busy, Bytes::new());
     };
     share.links.send(chunk.len() as u64, &region).await;
-    share
-        .metrics
-        .add(Tally::WeightBytes, chunk.len() as u64, "direction", "up");
+    share.metrics.add(
+        CounterKind::WeightBytes,
+        chunk.len() as u64,
+        "direction",
+        "up",
+    );
     frame_response(&version, ReadOutcome::Sent, chunk)
 }
 
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_keeper.rs
@@ -23,7 +23,7 @@
 use crate::endpoint::weights_tracked::TrackedVersion;
 use crate::hosts::HostRole;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 use crate::weights::Digest;
 use crate::weights::HoldReason;
 use crate::weights::Manifest;
@@ -268,7 +268,7 @@
                 let held = self.tracked[at].version.held();
                 self.release_old(digest);
                 let cause = held.as_ref().map_or_else(String::new, ToString::to_string);
-                emit(
+                emit_event(
                     Event::WeightsHeld,
                     &[("manifest", &digest.short_hex()), ("cause", &cause)],
                 );
@@ -330,7 +330,7 @@
         match loading {
             Loading::Holds(whole) => take_loaded(tracked, whole, now_ms),
             Loading::Unknown => {
-                self.state.node.metrics().retried("engine_reply_lost");
+                self.state.node.metrics().record_retry("engine_reply_lost");
                 tracked.failed(None, 0, now_ms);
             }
             Loading::Refused(held) => tracked.failed(Some(held), 0, now_ms),
@@ -375,7 +375,7 @@
     }
     tracked.version.serve();
     tracked.succeeded();
-    emit(
+    emit_event(
         Event::WeightsServing,
         &[("manifest", &tracked.digest().short_hex())],
     );
--- a/src/endpoint/weights_share.rs
+++ b/src/endpoint/weights_share.rs
@@ -6,8 +6,8 @@
 
 use super::WeightLinks;
 use super::WeightsVersion;
+use crate::observe::CounterKind;
 use crate::observe::Metrics;
-use crate::observe::Tally;
 use crate::weights::Digest;
 use crate::weights::MemoryBudget;
 
@@ -62,7 +62,7 @@
         let bytes = body_bytes + HEADER_BYTES;
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.metrics
-            .add(Tally::ControlBytes, bytes, "direction", direction);
+            .add(CounterKind::ControlBytes, bytes, "direction", direction);
     }
 
     /// Bytes of control traffic so far, as asker and as asked.
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -22,9 +22,9 @@
 use crate::clients::OriginError;
 use crate::links::HttpClient;
 use crate::links::LinkError;
+use crate::observe::CounterKind;
 use crate::observe::Event;
-use crate::observe::Tally;
-use crate::observe::emit;
+use crate::observe::emit_event;
 use crate::weights::ChunkFetch;
 use crate::weights::ChunkFrame;
 use crate::weights::ChunkSource;
@@ -241,7 +241,7 @@
             match result {
                 Ok(note) => act.swarm.probe_answered(probe.peer, &note),
                 Err(error) => {
-                    act.share.metrics.retried(question_label(&error));
+                    act.share.metrics.record_retry(question_label(&error));
                     act.swarm.probe_failed(probe.peer, failure(&error), now_ms);
                 }
             }
@@ -258,7 +258,7 @@
                     OriginError::RateLimited { retry_after_ms } => Some(retry_after_ms),
                     _ => None,
                 };
-                self.share.metrics.retried(error.label());
+                self.share.metrics.record_retry(error.label());
                 self.swarm
                     .origin_fetch_failed(fetch, retry_after_ms, now_ms);
             }
@@ -269,13 +269,13 @@
                     ReadOutcome::Sent => self.take_chunk(fetch, frame.chunk, "peer"),
                     ReadOutcome::Busy => self.defer(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
-                        self.share.metrics.retried("peer_lacks_chunk");
+                        self.share.metrics.record_retry("peer_lacks_chunk");
                         self.swarm.peer_lacks_chunk(fetch, &frame.status, now_ms);
                     }
                 }
             }
             (ReadResult::Peer(Err(error)), _) => {
-                self.share.metrics.retried("peer_unavailable");
+                self.share.metrics.record_retry("peer_unavailable");
                 self.swarm.peer_fetch_failed(fetch, failure(&error), now_ms);
             }
             (ReadResult::Peer(Ok(_)), ChunkSource::Origin) => {}
@@ -284,16 +284,19 @@
     }
 
     fn defer(&mut self, fetch: ChunkFetch, reason: &'static str) {
-        self.share.metrics.retried(reason);
+        self.share.metrics.record_retry(reason);
         let now_ms = self.now_ms();
         self.swarm.fetch_deferred(fetch, now_ms);
     }
 
     fn take_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
         let now_ms = self.now_ms();
-        self.share
-            .metrics
-            .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
+        self.share.metrics.add(
+            CounterKind::WeightBytes,
+            bytes.len() as u64,
+            "direction",
+            from,
+        );
         match self.version.insert(fetch.chunk, bytes) {
             InsertOutcome::Stored | InsertOutcome::Duplicate => {
                 self.swarm.chunk_stored(fetch, now_ms)
@@ -301,8 +304,8 @@
             InsertOutcome::Rejected(reason) => {
                 self.share
                     .metrics
-                    .add(Tally::ChunksRejected, 1, "reason", reason.label());
-                emit(
+                    .add(CounterKind::ChunksRejected, 1, "reason", reason.label());
+                emit_event(
                     Event::ChunkRejected,
                     &[
                         ("chunk", &fetch.chunk),
@@ -321,7 +324,7 @@
         }
         if self.swarm.held_chunks().is_complete() && self.version.verify() == StageName::Verified {
             let digest = self.version.digest();
-            emit(Event::WeightsVerified, &[("manifest", &digest.short_hex())]);
+            emit_event(Event::WeightsVerified, &[("manifest", &digest.short_hex())]);
         }
     }
 }
--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -21,9 +21,9 @@
 use crate::entry::ErrorCode;
 use crate::entry::log_reader::read_log;
 use crate::links::LinkError;
+use crate::observe::CounterKind;
 use crate::observe::Event;
-use crate::observe::Tally;
-use crate::observe::emit;
+use crate::observe::emit_event;
 
 /// Longest time an edit waits for its outcome.
 const DECIDE_WAIT_MS: u64 = 12_000;
@@ -58,7 +58,7 @@
     };
     answer(&state, edit)
         .await
-        .inspect_err(|error| state.node.metrics().refused(error.code().name()))
+        .inspect_err(|error| state.node.metrics().record_refusal(error.code().name()))
 }
 
 /// Deletes a section.
@@ -79,7 +79,7 @@
     };
     answer(&state, edit)
         .await
-        .inspect_err(|error| state.node.metrics().refused(error.code().name()))
+        .inspect_err(|error| state.node.metrics().record_refusal(error.code().name()))
 }
 
 async fn answer(state: &EntryState, edit: Edit) -> Result<HttpResponse, ApiError> {
@@ -141,7 +141,7 @@
     let mut may_stand = false;
     loop {
         node.metrics()
-            .add(Tally::PlatformCalls, 1, "call", "log_append");
+            .add(CounterKind::PlatformCalls, 1, "call", "log_append");
         let learn_until_ms = match state.log.append(record.clone()).await {
             Ok(_) => deadline_ms,
             Err(error) if certainly_not_appended(&error) && !may_stand => {
@@ -160,7 +160,7 @@
             let code = ErrorCode::OutcomeUnknown;
             return Err(ApiError::later(code, message, RETRY_AFTER_MS));
         }
-        node.metrics().retried("edit_reply_lost");
+        node.metrics().record_retry("edit_reply_lost");
     }
 }
 
@@ -215,7 +215,7 @@
     } else {
         "conflict"
     };
-    emit(
+    emit_event(
         Event::EditDecided,
         &[
             ("team", &edit.team),
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -25,7 +25,7 @@
 use crate::entry::call_permits;
 use crate::entry::call_repeatable::call_repeatable;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 
 /// Time allowed when the caller names none.
 const DEFAULT_DEADLINE_MS: u64 = 10_000;
@@ -84,8 +84,8 @@
         call_with(&state, call, body.permit, send_no, deadline).await
     };
     if let CallOutcome::NotRun { reason, .. } = &outcome {
-        state.node.metrics().refused(reason.code());
-        emit(
+        state.node.metrics().record_refusal(reason.code());
+        emit_event(
             Event::CallRefused,
             &[("request_id", &request_id), ("reason", &reason.code())],
         );
--- a/src/entry/call_once.rs
+++ b/src/entry/call_once.rs
@@ -55,7 +55,7 @@
                 self.refuse(RefusalReason::Unreachable).await
             }
             Heard::Lost(cause) => {
-                self.state.node.metrics().retried(cause);
+                self.state.node.metrics().record_retry(cause);
                 let reply = self.ask(RefusalReason::Withdrawn).await;
                 if reply == SendResult::Lost(UnknownReason::EndpointGone) {
                     self.endpoint_died().await;
--- a/src/entry/call_repeatable.rs
+++ b/src/entry/call_repeatable.rs
@@ -16,7 +16,7 @@
 use crate::hosts::HostKey;
 use crate::hosts::HostRole;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 
 /// Endpoints tried for one call.
 const MAX_TRIES: usize = 3;
@@ -74,11 +74,11 @@
 fn may_retry(state: &EntryState, branch: &str, last: &CallOutcome) -> bool {
     if !state.calls.retries().try_retry(branch) {
         let reason = RefusalReason::RetryBudgetSpent;
-        state.node.metrics().refused(reason.code());
+        state.node.metrics().record_refusal(reason.code());
         return false;
     }
-    state.node.metrics().retried(last.code());
-    emit(Event::CallRetried, &[("reason", &last.code())]);
+    state.node.metrics().record_retry(last.code());
+    emit_event(Event::CallRetried, &[("reason", &last.code())]);
     true
 }
 
@@ -118,7 +118,7 @@
         Heard::StillRunning => CallOutcome::unknown(UnknownReason::StillRunning),
         Heard::NotSent => CallOutcome::not_run(RefusalReason::Unreachable),
         Heard::Lost(cause) => {
-            emit(Event::ConnectionSilent, &[("cause", &cause)]);
+            emit_event(Event::ConnectionSilent, &[("cause", &cause)]);
             CallOutcome::unknown(UnknownReason::EndpointLost)
         }
     };
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -17,9 +17,9 @@
 use crate::entry::ErrorCode;
 use crate::hosts::HostKey;
 use crate::node::Reporter;
+use crate::observe::CounterKind;
 use crate::observe::Event;
-use crate::observe::Tally;
-use crate::observe::emit;
+use crate::observe::emit_event;
 use crate::weights::Digest;
 
 /// Endpoints one request is sent to at most, beside those that are leaving.
@@ -90,7 +90,7 @@
                 Step::Last(event) => {
                     self.has_ended = true;
                     let metrics = self.state.node.metrics();
-                    metrics.add(Tally::Requests, 1, "outcome", "done");
+                    metrics.add(CounterKind::Requests, 1, "outcome", "done");
                     self.attempt = None;
                     return Some(Ok(event));
                 }
@@ -113,10 +113,10 @@
         self.has_ended = true;
         self.attempt = None;
         let code = error.code().name();
-        self.state.node.metrics().refused(code);
+        self.state.node.metrics().record_refusal(code);
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("request", &self.call.request_id), ("code", &code)];
-        emit(Event::CallRefused, &fields);
+        emit_event(Event::CallRefused, &fields);
         error
     }
 
@@ -317,10 +317,10 @@
             return Err(self.give_up(reason));
         }
         let name = reason.name();
-        self.state.node.metrics().retried(name);
+        self.state.node.metrics().record_retry(name);
         let fields: [(&str, &dyn std::fmt::Display); 2] =
             [("request", &self.call.request_id), ("reason", &name)];
-        emit(Event::CallRetried, &fields);
+        emit_event(Event::CallRetried, &fields);
         Ok(())
     }
 
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -8,9 +8,9 @@
 use crate::entry::EntryState;
 use crate::hosts::HostRole;
 use crate::node::emit_notices;
+use crate::observe::CounterKind;
 use crate::observe::Event;
-use crate::observe::Tally;
-use crate::observe::emit;
+use crate::observe::emit_event;
 
 /// Records asked for in one read.
 const READ_MAX: usize = 256;
@@ -44,13 +44,13 @@
 pub async fn read_log(state: &EntryState, wait_ms: u64) -> bool {
     let node = &state.node;
     node.metrics()
-        .add(Tally::PlatformCalls, 1, "call", "log_read");
+        .add(CounterKind::PlatformCalls, 1, "call", "log_read");
     let from = node.follower().read_from();
     let asked_ms = node.now_ms();
     let slice = match state.log.read(from, READ_MAX, wait_ms).await {
         Ok(slice) => slice,
         Err(error) => {
-            emit(Event::LogUnavailable, &[("error", &error)]);
+            emit_event(Event::LogUnavailable, &[("error", &error)]);
             return false;
         }
     };
@@ -73,15 +73,15 @@
         follower.fold().checkpoint()
     };
     node.metrics()
-        .add(Tally::PlatformCalls, 1, "call", "log_append");
+        .add(CounterKind::PlatformCalls, 1, "call", "log_append");
     let as_of = checkpoint.as_of;
     let record = LogRecord::Checkpoint(checkpoint).encode();
     match state.log.append(record).await {
-        Ok(_) => emit(
+        Ok(_) => emit_event(
             Event::CheckpointPublished,
             &[("host", &node.name()), ("as_of", &as_of)],
         ),
-        Err(error) => emit(Event::LogUnavailable, &[("error", &error)]),
+        Err(error) => emit_event(Event::LogUnavailable, &[("error", &error)]),
     }
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -24,7 +24,7 @@
 use crate::node::Reporter;
 use crate::node::Watcher;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 use crate::standin::Handle;
 
 /// A running entry.
@@ -69,7 +69,7 @@
     Watcher::new(Arc::clone(&state.node)).start();
     Reporter::bind(Arc::clone(&state.node))?.start();
     Tailer::new(Arc::clone(&state)).start();
-    emit(
+    emit_event(
         Event::ProcessStarted,
         &[("host", &state.node.name()), ("address", &server.address())],
     );
@@ -103,12 +103,12 @@
     /// have lapsed, then finishes the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
-        emit(Event::ProcessStopping, &[("host", &node.name())]);
+        emit_event(Event::ProcessStopping, &[("host", &node.name())]);
         node.leave();
         Reporter::report_now(node).await;
         let lifetime = Duration::from_millis(self.state.settings.address_lifetime_ms);
         actix_rt::time::sleep(lifetime).await;
         self.server.stop().await;
-        emit(Event::ProcessStopped, &[("host", &node.name())]);
+        emit_event(Event::ProcessStopped, &[("host", &node.name())]);
     }
 }
--- a/src/fleet/declarations.rs
+++ b/src/fleet/declarations.rs
@@ -84,7 +84,7 @@
             is_time_exact: record.is_after_listing,
         });
         if is_new {
-            line.write();
+            line.enqueue();
         }
         is_new
     }
@@ -134,7 +134,7 @@
                     .text("model", &age.model)
                     .number("version", age.version)
                     .number("age_ms", age.age_ms)
-                    .write();
+                    .enqueue();
                 self.add(declaration)
             }
         }
--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -75,7 +75,7 @@
                 if Rc::strong_count(&open_connections)
                     > gateway.state.borrow().settings.max_client_connections =>
             {
-                gateway.metrics.refused("connection");
+                gateway.metrics.record_refusal("connection");
             }
             Ok((stream, _)) => {
                 let (gateway, open_connections) = (gateway.clone(), open_connections.clone());
@@ -331,8 +331,8 @@
         .number("status", refusal.status)
         .text("cause", refusal.cause)
         .number("config", config)
-        .write();
-    gateway.metrics.refused(refusal.cause);
+        .enqueue();
+    gateway.metrics.record_refusal(refusal.cause);
     let bytes = local_response(refusal.status, refusal.retry_after_ms, close);
     let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
     match client.write_with_deadline(&bytes, deadline).await {
@@ -358,8 +358,8 @@
     LogLine::new(Event::RequestEnded)
         .number("status", status)
         .text("cause", error.label())
-        .write();
-    gateway.metrics.refused(error.label());
+        .enqueue();
+    gateway.metrics.record_refusal(error.label());
     let bytes = local_response(status, None, true);
     let deadline = Instant::now() + LOCAL_RESPONSE_TIMEOUT;
     if let Err(error) = client.write_with_deadline(&bytes, deadline).await {
--- a/src/gateway/fetch.rs
+++ b/src/gateway/fetch.rs
@@ -61,7 +61,7 @@
         .text("from", peer.to_string())
         .number("records", records.len())
         .number("end_offset", end_offset)
-        .write();
+        .enqueue();
     let mut state = state.borrow_mut();
     if is_listing {
         state.handle_listing(topic, records, end_offset, decoder);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -310,7 +310,7 @@
         budget.set_entry_count(entries, now_ms);
         let allowed = budget.try_resend(now_ms);
         if allowed {
-            self.metrics.retried(history.last_cause);
+            self.metrics.record_retry(history.last_cause);
         }
         allowed
     }
@@ -385,5 +385,5 @@
         .text("replica", &chosen.id)
         .text("cause", cause)
         .number("sends", request.sends)
-        .write();
+        .enqueue();
 }
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -239,7 +239,7 @@
         current.confirm_replicas(heartbeat.replicas_age_ms);
     }
     if current.peers.record_heartbeat(heartbeat, now_ms) {
-        line.write();
+        line.enqueue();
     }
     for topic in Topic::ALL {
         let is_behind = ends[topic as usize] > own_end_offsets[topic as usize]
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -12,10 +12,10 @@
 use crate::http1::Http1Client;
 use crate::http1::InternalResponse;
 use crate::links::TokenBucket;
+use crate::observe::CounterKind;
 use crate::observe::Event;
 use crate::observe::LogLine;
 use crate::observe::Metrics;
-use crate::observe::Tally;
 use crate::weights::ExternalCallError;
 use crate::weights::OriginPort;
 use crate::weights::PieceManifest;
@@ -344,7 +344,7 @@
             match read.await {
                 Ok(bytes) if manifest.matches(index, &bytes) => {
                     self.metrics.add(
-                        Tally::WeightBytes,
+                        CounterKind::WeightBytes,
                         bytes.len() as u64,
                         "direction",
                         "origin",
@@ -357,7 +357,7 @@
                         .number("version", cached.version)
                         .number("piece", index)
                         .text("from", "origin")
-                        .write();
+                        .enqueue();
                     fault = ExternalCallError::Corrupt;
                 }
                 Err(error) => fault = error,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -189,7 +189,7 @@
             )
             .number("config", request.catalog.version)
             .number("left_ms", request.left_ms())
-            .write();
+            .enqueue();
         InFlightGuard {
             state: &self.state,
             key: chosen.key,
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -87,7 +87,7 @@
         .text("role", "entry")
         .text("host", &settings.name)
         .text("front", settings.front.to_string())
-        .write();
+        .enqueue();
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -165,7 +165,7 @@
     let began = Instant::now();
     LogLine::new(Event::ProcessStopping)
         .number("requests", state.borrow().active_requests)
-        .write();
+        .enqueue();
     flush_log();
     state.borrow_mut().stopping_since = Some(began);
     state.borrow().stop_notice.notify_waiters();
@@ -179,7 +179,7 @@
     }
     LogLine::new(Event::ProcessStopped)
         .number("requests", state.borrow().active_requests)
-        .write();
+        .enqueue();
     flush_log();
     tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
 }
--- a/src/gateway/read_ahead.rs
+++ b/src/gateway/read_ahead.rs
@@ -32,7 +32,7 @@
                 LogLine::new(Event::WeightsStaged)
                     .text("model", &declared.model)
                     .number("version", declared.version)
-                    .write();
+                    .enqueue();
             }
             notice.notified().await;
         }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -54,5 +54,5 @@
         .number("grace_ms", new.grace_ms)
         .number("weights_apply_ms", new.weights_apply_ms)
         .flag("needs_restart", needs_restart)
-        .write();
+        .enqueue();
 }
--- a/src/gateway/request_outcome.rs
+++ b/src/gateway/request_outcome.rs
@@ -140,7 +140,7 @@
         let deadline = Instant::now() + Duration::from_secs(1);
         let written = client.write_with_deadline(&bytes, deadline).await;
         if outcome.status == 503 {
-            self.metrics.refused("request");
+            self.metrics.record_refusal("request");
         }
         self.log_request_end(request, history, &outcome, None);
         match written {
@@ -166,7 +166,7 @@
         let took_ms = request.received_at.elapsed().as_secs_f64() * 1_000.0;
         let answer_ms = stream.map_or(took_ms, |stream| stream.0);
         self.metrics
-            .answered(outcome_label(outcome.status), answer_ms);
+            .record_answer(outcome_label(outcome.status), answer_ms);
         let mut line = LogLine::new(Event::RequestEnded)
             .text("id", &request.facts.attempt_id)
             .text("route", &request.route.name)
@@ -186,6 +186,6 @@
                 .number("first_event_ms", first_event_ms as i64)
                 .number("events", events);
         }
-        line.write();
+        line.enqueue();
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -241,14 +241,14 @@
                     .text("dependency", "store")
                     .text("topic", topic.label())
                     .text("error", error.to_string())
-                    .write();
+                    .enqueue();
             }
             None if *is_unavailable => {
                 *is_unavailable = false;
                 LogLine::new(Event::DependencyRegained)
                     .text("dependency", "store")
                     .text("topic", topic.label())
-                    .write();
+                    .enqueue();
             }
             _ => {}
         }
@@ -371,7 +371,7 @@
             LogLine::new(Event::CrashSuspected)
                 .text("replica", replica)
                 .text("fingerprint", entry.fingerprint.to_string())
-                .write();
+                .enqueue();
             let crash = CrashId {
                 endpoint: entry.replica,
                 incarnation: entry.incarnation,
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -115,7 +115,7 @@
                 LogLine::new(Event::CatalogAdopted)
                     .number("version", catalog.version)
                     .number("offset", offset)
-                    .write();
+                    .enqueue();
                 self.catalog = Some(Rc::from(catalog));
             }
             Ok(OperatorRecord::Weights { model, version }) => {
@@ -171,7 +171,7 @@
                         .text("service", &record.service)
                         .text("address", record.address.to_string())
                         .number("offset", offset)
-                        .write();
+                        .enqueue();
                 }
             }
             Err(error) => {
@@ -183,7 +183,9 @@
 
     fn remove_replica(&mut self, id: &str) {
         if self.replicas.remove(id) {
-            LogLine::new(Event::ReplicaGone).text("replica", id).write();
+            LogLine::new(Event::ReplicaGone)
+                .text("replica", id)
+                .enqueue();
         }
     }
 }
@@ -195,5 +197,5 @@
         .text("key", key)
         .number("offset", offset)
         .text("error", error.to_string())
-        .write();
+        .enqueue();
 }
--- a/src/node/config_pull.rs
+++ b/src/node/config_pull.rs
@@ -10,7 +10,7 @@
 use crate::hosts::HostRole;
 use crate::node::Node;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 
 /// Time a peer has to answer a pull.
 const PULL_WAIT_MS: u64 = 3000;
@@ -58,26 +58,28 @@
     for notice in notices {
         match notice {
             Notice::Advanced { head } => {
-                emit(Event::ConfigAdvanced, &[("host", &name), ("offset", head)])
+                emit_event(Event::ConfigAdvanced, &[("host", &name), ("offset", head)])
             }
-            Notice::Skipped { offset, error } => emit(
+            Notice::Skipped { offset, error } => emit_event(
                 Event::RecordSkipped,
                 &[("host", &name), ("offset", offset), ("error", error)],
             ),
-            Notice::CheckpointDiffers { as_of } | Notice::CheckpointsContested { as_of } => emit(
-                Event::CheckpointDiffers,
-                &[("host", &name), ("as_of", as_of)],
-            ),
-            Notice::Trimmed { wanted, earliest } => emit(
+            Notice::CheckpointDiffers { as_of } | Notice::CheckpointsContested { as_of } => {
+                emit_event(
+                    Event::CheckpointDiffers,
+                    &[("host", &name), ("as_of", as_of)],
+                )
+            }
+            Notice::Trimmed { wanted, earliest } => emit_event(
                 Event::RecordsTrimmed,
                 &[("host", &name), ("wanted", wanted), ("earliest", earliest)],
             ),
-            Notice::LogWentBack { next, head } => emit(
+            Notice::LogWentBack { next, head } => emit_event(
                 Event::LogWentBack,
                 &[("host", &name), ("next", next), ("head", head)],
             ),
             Notice::Diverged { head } => {
-                emit(Event::ConfigDiverged, &[("host", &name), ("offset", head)]);
+                emit_event(Event::ConfigDiverged, &[("host", &name), ("offset", head)]);
             }
         }
     }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -34,8 +34,8 @@
 use crate::links::LinkError;
 use crate::links::SimulatedPartition;
 use crate::node::Admission;
+use crate::observe::CounterKind;
 use crate::observe::Metrics;
-use crate::observe::Tally;
 
 /// Bytes of the head of a request or answer between two processes, about.
 const HEADER_BYTES: usize = 200;
@@ -193,7 +193,7 @@
     fn count_control_bytes(&self, direction: &'static str, bytes: usize) {
         let bytes = bytes as u64;
         self.metrics
-            .add(Tally::ControlBytes, bytes, "direction", direction);
+            .add(CounterKind::ControlBytes, bytes, "direction", direction);
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
@@ -280,7 +280,7 @@
         let admission = self.admission();
         if admission == Admission::CutOffServing {
             self.metrics
-                .add(Tally::CutOff, 1, "policy", admission.name());
+                .add(CounterKind::CutOffAdmissions, 1, "policy", admission.name());
         }
         admission.admits()
     }
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -20,7 +20,7 @@
 use crate::node::targets::Target;
 use crate::node::targets::targets;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 
 /// Time between two checks that the process was not paused.
 const TICK: Duration = Duration::from_millis(500);
@@ -142,7 +142,7 @@
 fn tick(node: &Node) {
     let now_ms = node.now_ms();
     if node.follower().tick(now_ms) {
-        emit(Event::ProcessWoken, &[("host", &node.name())]);
+        emit_event(Event::ProcessWoken, &[("host", &node.name())]);
     }
 }
 
--- a/src/node/routes.rs
+++ b/src/node/routes.rs
@@ -13,7 +13,7 @@
 use crate::node::ConfigPull;
 use crate::node::Node;
 use crate::observe::Event;
-use crate::observe::emit;
+use crate::observe::emit_event;
 
 /// Bytes of an encoded [`ReportAnswer`], about.
 const ANSWER_BYTES: usize = 80;
@@ -36,7 +36,7 @@
     let now_ms = node.now_ms();
     let heard = node.roster().heard(&report, now_ms);
     if matches!(heard, Heard::New | Heard::Replaced) {
-        emit(
+        emit_event(
             Event::HostJoined,
             &[("host", &report.name), ("incarnation", &report.incarnation)],
         );
--- a/src/node/watcher.rs
+++ b/src/node/watcher.rs
@@ -8,7 +8,7 @@
 
 use crate::clients::HostsClient;
 use crate::node::Node;
-use crate::observe::Tally;
+use crate::observe::CounterKind;
 
 /// Reads the platform's list of hosts and merges it into the roster.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
 
 async fn read_once(node: &Node, client: &HostsClient) {
     node.metrics()
-        .add(Tally::PlatformCalls, 1, "call", "hosts_read");
+        .add(CounterKind::PlatformCalls, 1, "call", "hosts_read");
     let since = node.roster().list_version();
     let read = client.fetch_list(since).await;
     let now_ms = node.now_ms();
--- a/src/observe/event.rs
+++ b/src/observe/event.rs
@@ -90,7 +90,7 @@
 }
 
 /// Logs `event` with its `fields`.
-pub fn emit(event: Event, fields: &[(&str, &dyn Display)]) {
+pub fn emit_event(event: Event, fields: &[(&str, &dyn Display)]) {
     if !log::log_enabled!(event.level()) {
         return;
     }
--- a/src/observe/log_line.rs
+++ b/src/observe/log_line.rs
@@ -13,18 +13,18 @@
 const MAX_PENDING_BYTES: usize = 64 * 1024;
 
 /// Blocks of lines that may wait for a slow reader of standard output.
-const MAX_WAITING_BLOCKS: usize = 16;
+const MAX_QUEUED_BLOCKS: usize = 16;
 
 /// Lines that wait to be written.
 #[derive(Debug, Default)]
-struct Pending {
+struct PendingLines {
     text: String,
     dropped_lines: u64,
     writer: Option<SyncSender<String>>,
 }
 
 thread_local! {
-    static PENDING: RefCell<Pending> = RefCell::default();
+    static PENDING: RefCell<PendingLines> = RefCell::default();
 }
 
 /// One JSON line about an event, written to standard output.
@@ -74,7 +74,7 @@
     }
 
     /// Queues the line for writing.
-    pub fn write(self) {
+    pub fn enqueue(self) {
         PENDING.with_borrow_mut(|pending| {
             if pending.text.len() + self.text.len() > MAX_PENDING_BYTES {
                 pending.dropped_lines += 1;
@@ -88,7 +88,7 @@
 
 /// Starts the thread that writes log lines to standard output.
 pub fn start_log_writer() {
-    let (sender, receiver) = sync_channel::<String>(MAX_WAITING_BLOCKS);
+    let (sender, receiver) = sync_channel::<String>(MAX_QUEUED_BLOCKS);
     std::thread::spawn(move || {
         let mut output = std::io::stdout();
         while let Ok(block) = receiver.recv() {
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -9,7 +9,7 @@
 
 /// What a process counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tally {
+pub enum CounterKind {
     /// Requests refused, by `reason`.
     Refusals,
     /// Requests sent again, by `reason`.
@@ -25,10 +25,10 @@
     /// Calls to the platform, by `call`.
     PlatformCalls,
     /// Work admitted without a confirmed configuration for long, by `policy`.
-    CutOff,
+    CutOffAdmissions,
 }
 
-impl Tally {
+impl CounterKind {
     /// Every counter.
     pub const ALL: [Self; 8] = [
         Self::Refusals,
@@ -38,7 +38,7 @@
         Self::ChunksRejected,
         Self::ControlBytes,
         Self::PlatformCalls,
-        Self::CutOff,
+        Self::CutOffAdmissions,
     ];
 
     /// Name of the counter in the exported text, which appends `_total`.
@@ -51,7 +51,7 @@
             Self::ChunksRejected => "bergamotfork_chunks_rejected",
             Self::ControlBytes => "bergamotfork_control_bytes",
             Self::PlatformCalls => "bergamotfork_platform_calls",
-            Self::CutOff => "bergamotfork_cut_off_admissions",
+            Self::CutOffAdmissions => "bergamotfork_cut_off_admissions",
         }
     }
 }
@@ -67,7 +67,7 @@
 }
 
 /// Upper bounds of the answer times, in ms: around the targets of routes.
-const ANSWER_BOUNDS_MS: [f64; 12] = [
+const ANSWER_TIME_BUCKETS_MS: [f64; 12] = [
     25.0, 50.0, 100.0, 150.0, 200.0, 300.0, 400.0, 500.0, 750.0, 1_000.0, 2_000.0, 5_000.0,
 ];
 
@@ -81,13 +81,13 @@
             .expect("a new registry has no name clash");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("bergamotfork");
-        let counters = Tally::ALL
+        let counters = CounterKind::ALL
             .iter()
-            .map(|tally| meter.u64_counter(tally.name()).build())
+            .map(|counter| meter.u64_counter(counter.name()).build())
             .collect();
         let answer_ms = meter
             .f64_histogram("bergamotfork_answer_ms")
-            .with_boundaries(ANSWER_BOUNDS_MS.to_vec())
+            .with_boundaries(ANSWER_TIME_BUCKETS_MS.to_vec())
             .build();
         Self {
             registry,
@@ -97,25 +97,25 @@
         }
     }
 
-    /// Adds `count` to `tally` under the label `key` = `value`.
-    pub fn add(&self, tally: Tally, count: u64, key: &'static str, value: &'static str) {
-        self.counters[tally as usize].add(count, &[KeyValue::new(key, value)]);
+    /// Adds `count` to `counter` under the label `key` = `value`.
+    pub fn add(&self, counter: CounterKind, count: u64, key: &'static str, value: &'static str) {
+        self.counters[counter as usize].add(count, &[KeyValue::new(key, value)]);
     }
 
     /// Counts one refusal.
-    pub fn refused(&self, reason: &'static str) {
-        self.add(Tally::Refusals, 1, "reason", reason);
+    pub fn record_refusal(&self, reason: &'static str) {
+        self.add(CounterKind::Refusals, 1, "reason", reason);
     }
 
     /// Counts one retry.
-    pub fn retried(&self, reason: &'static str) {
-        self.add(Tally::Retries, 1, "reason", reason);
+    pub fn record_retry(&self, reason: &'static str) {
+        self.add(CounterKind::Retries, 1, "reason", reason);
     }
 
     /// Counts a request that ended with `outcome`, and the time to its answer or
     /// first event.
-    pub fn answered(&self, outcome: &'static str, answer_ms: f64) {
-        self.add(Tally::Requests, 1, "outcome", outcome);
+    pub fn record_answer(&self, outcome: &'static str, answer_ms: f64) {
+        self.add(CounterKind::Requests, 1, "outcome", outcome);
         let labels = [KeyValue::new("outcome", outcome)];
         self.answer_ms.record(answer_ms, &labels);
     }
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -113,7 +113,7 @@
         .text("role", "endpoint")
         .text("host", &settings.name)
         .text("replica", settings.replica.to_string())
-        .write();
+        .enqueue();
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -121,13 +121,13 @@
                 state.borrow_mut().settings.weights_apply_ms = reloaded.weights_apply_ms;
                 LogLine::new(Event::SettingsReloaded)
                     .number("weights_apply_ms", reloaded.weights_apply_ms)
-                    .write();
+                    .enqueue();
             }
         }
     }
-    LogLine::new(Event::ProcessStopping).write();
+    LogLine::new(Event::ProcessStopping).enqueue();
     tokio::time::sleep(STOP_DELAY).await;
-    LogLine::new(Event::ProcessStopped).write();
+    LogLine::new(Event::ProcessStopped).enqueue();
     flush_log();
     tokio::time::sleep(LOG_INTERVAL / 10).await;
     Ok(())
--- a/src/staging/reporter.rs
+++ b/src/staging/reporter.rs
@@ -130,5 +130,5 @@
             .number("queued", report.queued)
             .number("born_unix_ms", report.born_unix_ms.unwrap_or(0));
     }
-    line.write();
+    line.enqueue();
 }
--- a/src/staging/weights_download.rs
+++ b/src/staging/weights_download.rs
@@ -9,10 +9,10 @@
 use crate::gateway::PIECE_PATH;
 use crate::http1::ClientRequest;
 use crate::http1::Http1Client;
+use crate::observe::CounterKind;
 use crate::observe::Event;
 use crate::observe::LogLine;
 use crate::observe::Metrics;
-use crate::observe::Tally;
 use crate::staging::EnginePort;
 use crate::staging::StagingState;
 use crate::staging::assign_pieces;
@@ -101,7 +101,7 @@
             .number("version", self.version)
             .number("held", self.held_pieces().held_count())
             .number("pieces", manifest.piece_count())
-            .write();
+            .enqueue();
         self.fetch_missing(&manifest).await;
     }
 
@@ -222,7 +222,7 @@
                     .text("model", self.model)
                     .number("version", self.version)
                     .number("took_ms", self.state.borrow().now_ms() - started_ms)
-                    .write();
+                    .enqueue();
                 return;
             }
             if !self.is_wanted() {
@@ -362,15 +362,19 @@
             PieceSource::Swarm(ChunkSource::Origin) => "origin",
             PieceSource::Swarm(ChunkSource::Peer(_)) => "host",
         };
-        self.metrics
-            .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
+        self.metrics.add(
+            CounterKind::WeightBytes,
+            bytes.len() as u64,
+            "direction",
+            from,
+        );
         if !manifest.matches(fetch.index, &bytes) {
             LogLine::new(Event::PieceRejected)
                 .text("model", self.model)
                 .number("version", self.version)
                 .number("piece", fetch.index)
                 .text("from", from)
-                .write();
+                .enqueue();
             return false;
         }
         let can_stage = self
--- a/src/staging/weights_manager.rs
+++ b/src/staging/weights_manager.rs
@@ -100,7 +100,7 @@
     };
     line.text("model", download.model)
         .number("version", download.version)
-        .write();
+        .enqueue();
     let deadline = tokio::time::Instant::now() + ORDER_REPORT_TIMEOUT;
     while tokio::time::Instant::now() < deadline {
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/src/standin/engine/generation.rs
+++ b/src/standin/engine/generation.rs
@@ -86,7 +86,7 @@
         if self.next_token_at > beat_at {
             return Some(StreamEvent::Beat);
         }
-        Some(self.emit())
+        Some(self.emit_event())
     }
 
     async fn wait_for_slot(&mut self) -> bool {
@@ -106,7 +106,7 @@
         true
     }
 
-    fn emit(&mut self) -> StreamEvent {
+    fn emit_event(&mut self) -> StreamEvent {
         let index = self.next_index;
         self.next_index += 1;
         self.next_token_at += self.token_interval();
--- a/tests/docs/catalogue.rs
+++ b/tests/docs/catalogue.rs
@@ -3,8 +3,8 @@
 use bergamotfork::conf;
 use bergamotfork::entry::ErrorCode;
 use bergamotfork::hosts::HostRole;
+use bergamotfork::observe::CounterKind;
 use bergamotfork::observe::Event;
-use bergamotfork::observe::Tally;
 
 /// Rows of the table under `heading`, without its head.
 fn table_under<'a>(text: &'a str, heading: &str) -> Vec<&'a str> {
@@ -135,12 +135,12 @@
 fn metrics_page_agrees() {
     let text = page("docs/OPERATORS.md");
     let rows = table_under(&text, "## Metrics");
-    for tally in Tally::ALL {
+    for tally in CounterKind::ALL {
         let start = format!("| `{}_total` |", tally.name());
         assert!(
             rows.iter().any(|row| row.starts_with(&start)),
             "no row for {start}"
         );
     }
-    assert_eq!(rows.len(), Tally::ALL.len(), "stale rows: {rows:?}");
+    assert_eq!(rows.len(), CounterKind::ALL.len(), "stale rows: {rows:?}");
 }
