--- a/src/http1/body.rs
+++ b/src/http1/body.rs
@@ -4,30 +4,30 @@
 use crate::http1::Framing;
 use crate::http1::Http1Error;
 
-/// Longest line that gives the size of a chunk, in bytes.
+/// Longest chunk size line or trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 256;
 
-/// Takes a body out of the bytes of a connection, piece by piece.
+/// Decodes the body of a message from the bytes of a connection as they arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyDecoder {
-    /// That many bytes are left.
+    /// Body of known length; holds the number of bytes left.
     Length(u64),
-    /// The size line of the next chunk is due.
+    /// Chunked body, before the size line of a chunk.
     ChunkSize,
-    /// That many bytes of a chunk are left.
+    /// Chunked body, inside a chunk; holds the number of bytes left of it.
     ChunkData(u64),
-    /// The line break after a chunk is due.
+    /// Chunked body, before the line break that ends a chunk.
     ChunkEnd,
-    /// Trailer lines or the last line break are due.
+    /// Chunked body, in the trailer lines after the last chunk.
     Trailer,
-    /// All until the connection ends.
+    /// Body that extends to the end of the connection.
     UntilClose,
     /// The body is complete.
     Done,
 }
 
 impl BodyDecoder {
-    /// Decoder at the start of a body.
+    /// Creates a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         match framing {
             Framing::None | Framing::Length(0) => Self::Done,
@@ -42,7 +42,13 @@
         self == Self::Done
     }
 
-    /// Moves what `read_buffer` holds of the body to the end of `out`.
+    /// Moves the bytes of the body from `read_buffer` to the end of `out`.
+    ///
+    /// Bytes after the body stay in `read_buffer`. Trailer lines are discarded.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error::Malformed`] when the chunks are not well-formed.
     pub fn decode(
         &mut self,
         read_buffer: &mut BytesMut,
@@ -79,7 +85,7 @@
                 },
                 Self::ChunkEnd => match split_line(read_buffer)? {
                     Some(line) if line.is_empty() => Self::ChunkSize,
-                    Some(_) => return Err(Http1Error::Malformed("chunk end")),
+                    Some(_) => return Err(Http1Error::Malformed("end of a chunk")),
                     None => return Ok(()),
                 },
                 Self::Trailer => match split_line(read_buffer)? {
@@ -91,7 +97,11 @@
         }
     }
 
-    /// What the end of the connection means for the body.
+    /// Ends the body when the peer has closed the connection.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error::IncompleteMessage`] when the body is not complete.
     pub fn finish_at_close(&mut self) -> Result<(), Http1Error> {
         match *self {
             Self::Done | Self::UntilClose => {
@@ -103,7 +113,7 @@
     }
 }
 
-/// Moves at most `left` bytes and returns how many are left then.
+/// Moves at most `left` bytes and returns how many are still missing.
 fn move_bytes(read_buffer: &mut BytesMut, out: &mut Vec<u8>, left: u64) -> u64 {
     let count = usize::try_from(left).map_or(read_buffer.len(), |left| left.min(read_buffer.len()));
     out.extend_from_slice(&read_buffer[..count]);
@@ -111,22 +121,24 @@
     left - count as u64
 }
 
-/// Takes one line that ends with CR LF, without its end.
+/// Takes one line off the front and returns it without its CR LF; `None` when it is
+/// not complete yet.
 fn split_line(read_buffer: &mut BytesMut) -> Result<Option<Vec<u8>>, Http1Error> {
     let Some(newline) = read_buffer.iter().position(|byte| *byte == b'\n') else {
         if read_buffer.len() > MAX_LINE_BYTES {
-            return Err(Http1Error::Malformed("chunk line"));
+            return Err(Http1Error::Malformed("line of a chunked body"));
         }
         return Ok(None);
     };
     if newline == 0 || read_buffer[newline - 1] != b'\r' || newline > MAX_LINE_BYTES {
-        return Err(Http1Error::Malformed("chunk line"));
+        return Err(Http1Error::Malformed("line of a chunked body"));
     }
     let line = read_buffer[..newline - 1].to_vec();
     read_buffer.advance(newline + 1);
     Ok(Some(line))
 }
 
+/// Parses the size line of a chunk; extensions after `;` are ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<u64, Http1Error> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits).unwrap_or("").trim_end();
--- a/src/http1/client.rs
+++ b/src/http1/client.rs
@@ -9,32 +9,32 @@
 use crate::http1::Http1Error;
 use crate::http1::ResponseHead;
 
-/// Largest head of an answer, in bytes.
+/// Largest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// Largest body of an answer, in bytes.
+/// Largest body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Time to open a connection, in ms: a lost opening packet is sent again after 1 s.
+/// Time to open a connection, in ms; TCP resends a lost SYN packet only after 1 s.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// One call with a small answer.
+/// A request with a small body and a small response.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientRequest<'a> {
-    /// Method.
+    /// Method, in capitals.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query, as sent.
     pub target: &'a str,
-    /// Media type of the body; none is named when empty.
+    /// Value of Content-Type; the header is not sent when empty.
     pub content_type: &'a str,
-    /// Body.
+    /// Complete body; may be empty.
     pub body: &'a [u8],
-    /// Time for the whole call.
+    /// Time from opening the connection to the end of the response.
     pub timeout: Duration,
 }
 
 impl<'a> ClientRequest<'a> {
-    /// A call without a body.
+    /// Creates a GET request without a body.
     pub fn get(target: &'a str, timeout: Duration) -> Self {
         Self {
             method: "GET",
@@ -46,21 +46,21 @@
     }
 }
 
-/// A complete answer.
+/// A response with its complete body.
 #[derive(Debug)]
 pub struct ClientResponse {
     /// Status code.
     pub status: u16,
-    /// Header lines.
+    /// Header lines, in the order of arrival.
     pub headers: Headers,
-    /// Whole body.
+    /// Complete body, decoded.
     pub body: Vec<u8>,
 }
 
-/// Calls one address, over a idle_connection connection where the peer allows it.
+/// HTTP/1.1 client of one address, which reuses its connection if the peer allows it.
 ///
-/// A call that fails drops the connection and is never sent again here: the
-/// caller knows whether it may be repeated.
+/// A request that fails drops the connection. The client never retries it, as only
+/// the caller knows whether it may run twice.
 #[derive(Debug)]
 pub struct Http1Client {
     address: SocketAddr,
@@ -69,7 +69,7 @@
 }
 
 impl Http1Client {
-    /// Client of `address` that keeps connections idle for at most `max_idle`.
+    /// Creates a client of `address` that reuses a connection idle for less than `max_idle`.
     pub fn new(address: SocketAddr, max_idle: Duration) -> Self {
         Self {
             address,
@@ -78,12 +78,16 @@
         }
     }
 
-    /// Address that is called.
+    /// Address that requests are sent to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Makes one call.
+    /// Sends a request and reads the complete response.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error`] when the connection or the response fails, whatever the status.
     pub async fn send(
         &mut self,
         request: &ClientRequest<'_>,
@@ -109,6 +113,7 @@
     }
 }
 
+/// Encodes the head and the body of a request.
 fn encode_request(address: SocketAddr, request: &ClientRequest<'_>) -> Vec<u8> {
     let mut bytes = format!(
         "{} {} HTTP/1.1\r\nHost: {address}\r\n",
@@ -126,6 +131,7 @@
     bytes
 }
 
+/// Reads a response to `method`, and whether its connection can be reused.
 async fn read_response(
     connection: &mut Connection,
     method: &str,
--- a/src/http1/connection.rs
+++ b/src/http1/connection.rs
@@ -11,17 +11,18 @@
 use crate::http1::BodyDecoder;
 use crate::http1::Http1Error;
 
-/// Bytes read from a connection at once.
+/// Space reserved in the buffer for each read, in bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Unread bytes kept while something else is awaited; more wait in the socket.
+/// Bytes kept of pipelined requests while a request is handled; the rest stays in the
+/// socket, where TCP slows the sender down.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// One TCP connection with the bytes read ahead.
+/// TCP connection with a buffer of the bytes that were read but not yet parsed.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// Bytes that were read and not yet used.
+    /// Bytes that were read but not yet parsed.
     pub read_buffer: BytesMut,
 }
 
@@ -29,7 +30,7 @@
     /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("cannot switch off delayed sends: {error}");
+            log::debug!("cannot set TCP_NODELAY on a connection: {error}");
         }
         Self {
             stream,
@@ -37,7 +38,11 @@
         }
     }
 
-    /// Opens a connection within `limit`.
+    /// Opens a connection to `address` within `timeout`.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error::NotConnected`], also when the time has passed.
     pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Self, Http1Error> {
         match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => Ok(Self::new(stream)),
@@ -46,7 +51,8 @@
         }
     }
 
-    /// Reads what has arrived, at least one byte; 0 when the peer closed.
+    /// Waits for bytes, appends them to `read_buffer` and returns their number; 0 when
+    /// the peer has closed the connection.
     pub async fn fill_buffer(&mut self) -> io::Result<usize> {
         loop {
             self.read_buffer.reserve(READ_CHUNK_BYTES);
@@ -59,7 +65,7 @@
         }
     }
 
-    /// Reads as `fill_buffer` does, no later than `until`.
+    /// Does the same as `fill_buffer`, and fails after `deadline`.
     pub async fn fill_buffer_with_deadline(
         &mut self,
         deadline: Instant,
@@ -70,11 +76,11 @@
         }
     }
 
-    /// Reads a body of at most `max_bytes`; `until` gives the time of each wait.
+    /// Reads a body of at most `max_bytes`; `deadline` is evaluated before each read.
     ///
     /// # Errors
     ///
-    /// When it is too long, not well-formed, cut off or late.
+    /// [`Http1Error`] when the body is too large, malformed, incomplete or late.
     pub async fn read_body(
         &mut self,
         mut decoder: BodyDecoder,
@@ -97,7 +103,7 @@
         }
     }
 
-    /// Writes all of `bytes`, no later than `until`.
+    /// Writes all of `bytes`, and fails after `deadline`.
     pub async fn write_with_deadline(
         &self,
         bytes: &[u8],
@@ -109,6 +115,7 @@
         }
     }
 
+    /// Writes all of `bytes`, however long it takes.
     async fn write(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             match self.stream.try_write(bytes) {
@@ -123,8 +130,10 @@
         Ok(())
     }
 
-    /// Writes `bytes` while reading answers; returns how many bytes went out
-    /// when something arrived first.
+    /// Writes `bytes`, but stops when the peer sends something first, as it does when it
+    /// refuses a request before it has read it all.
+    ///
+    /// Returns the number of bytes written. What arrived is in `read_buffer`.
     pub async fn write_until_readable(
         &mut self,
         bytes: &[u8],
@@ -150,7 +159,7 @@
         Ok(sent)
     }
 
-    /// Reads without waiting; 0 when nothing has arrived.
+    /// Appends what has arrived to `read_buffer` without waiting and returns its length.
     fn try_fill_buffer(&mut self) -> Result<usize, Http1Error> {
         self.read_buffer.reserve(READ_CHUNK_BYTES);
         match self.stream.try_read_buf(&mut self.read_buffer) {
@@ -161,7 +170,10 @@
         }
     }
 
-    /// Resolves when the peer has closed; requests sent ahead are kept.
+    /// Waits until the peer closes the connection.
+    ///
+    /// Pipelined requests that arrive meanwhile are kept in `read_buffer`. Once it is
+    /// full nothing more is read, and the wait never ends.
     pub async fn wait_closed(&mut self) {
         loop {
             if self.read_buffer.len() >= MAX_READ_AHEAD_BYTES {
@@ -174,7 +186,7 @@
         }
     }
 
-    /// Runs `work` until it is done or the peer has closed.
+    /// Runs `work`; drops it and returns `None` when the peer closes the connection first.
     pub async fn run_unless_closed<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -183,14 +195,14 @@
         }
     }
 
-    /// Makes the connection end with a reset whenever it is dropped.
+    /// Makes the connection end with a TCP reset when it is dropped.
     ///
-    /// What was not sent by then is discarded, so that a request that is given
-    /// up does not reach its replica later.
+    /// The reset discards the bytes that wait in the socket, so that a request that was
+    /// abandoned does not reach its replica later.
     pub fn reset_on_drop(&self) {
         let socket = socket2::SockRef::from(&self.stream);
         if let Err(error) = socket.set_linger(Some(Duration::ZERO)) {
-            log::debug!("a connection will not be reset: {error}");
+            log::debug!("cannot set SO_LINGER, the connection will not be reset: {error}");
         }
     }
 }
--- a/src/http1/errors.rs
+++ b/src/http1/errors.rs
@@ -1,20 +1,20 @@
 use std::fmt;
 use std::io;
 
-/// Why a message could not be read or written.
+/// Why an HTTP/1.1 message could not be read or written.
 #[derive(Debug)]
 pub enum Http1Error {
-    /// The peer closed before a message began.
+    /// The peer closed the connection, or sent nothing in time, before a message began.
     Closed,
-    /// The peer closed or reset in the middle of a message.
+    /// The peer closed the connection in the middle of a message.
     IncompleteMessage,
-    /// The bytes are no message of the protocol.
+    /// The bytes are not a valid message; names the part that is wrong.
     Malformed(&'static str),
-    /// The head is larger than allowed.
+    /// The head exceeds its limit of bytes or header lines.
     HeadTooLarge,
-    /// The body is larger than allowed.
+    /// The body exceeds its limit of bytes.
     BodyTooLarge,
-    /// The time allowed has passed.
+    /// The message was not read or written by its deadline.
     TimedOut,
     /// The connection could not be opened.
     NotConnected(io::Error),
@@ -23,7 +23,7 @@
 }
 
 impl Http1Error {
-    /// Short stable name for logs and metrics.
+    /// Name of the error in logs and metrics; part of the interface.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Closed => "closed",
@@ -42,11 +42,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Closed => f.write_str("the peer closed the connection"),
-            Self::IncompleteMessage => f.write_str("the peer broke off in the middle of a message"),
-            Self::Malformed(what) => write!(f, "not a valid HTTP/1.1 message: {what}"),
-            Self::HeadTooLarge => f.write_str("the head exceeds the limit"),
-            Self::BodyTooLarge => f.write_str("the body exceeds the limit"),
-            Self::TimedOut => f.write_str("timed out"),
+            Self::IncompleteMessage => {
+                f.write_str("the peer closed the connection in the middle of a message")
+            }
+            Self::Malformed(part) => write!(f, "not a valid HTTP/1.1 message: {part}"),
+            Self::HeadTooLarge => f.write_str("the head of the message exceeds the limit"),
+            Self::BodyTooLarge => f.write_str("the body of the message exceeds the limit"),
+            Self::TimedOut => f.write_str("the message was not read or written in time"),
             Self::NotConnected(error) => write!(f, "cannot connect: {error}"),
             Self::Io(error) => write!(f, "connection failed: {error}"),
         }
--- a/src/http1/head.rs
+++ b/src/http1/head.rs
@@ -3,22 +3,22 @@
 
 use crate::http1::Http1Error;
 
-/// Header lines that one head may hold.
+/// Most header lines in one head.
 const MAX_HEADERS: usize = 96;
 
-/// Header lines in the order of arrival; names compare without case.
+/// Header lines in the order of arrival; names are compared without case.
 #[derive(Debug, Clone, Default)]
 pub struct Headers {
     lines: Vec<(String, Vec<u8>)>,
 }
 
 impl Headers {
-    /// Appends a line.
+    /// Appends a header line.
     pub fn push(&mut self, name: impl Into<String>, value: impl Into<Vec<u8>>) {
         self.lines.push((name.into(), value.into()));
     }
 
-    /// First value of `name` as text.
+    /// First value of header `name`, trimmed; `None` also when it is not UTF-8.
     pub fn first_text(&self, name: &str) -> Option<&str> {
         let line = self
             .lines
@@ -27,7 +27,7 @@
         std::str::from_utf8(&line.1).ok().map(str::trim)
     }
 
-    /// Every value of `name`.
+    /// All values of header `name`, in order.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.lines
             .iter()
@@ -35,14 +35,14 @@
             .map(|line| line.1.as_slice())
     }
 
-    /// All lines.
+    /// All header lines, as name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.lines
             .iter()
             .map(|line| (line.0.as_str(), line.1.as_slice()))
     }
 
-    /// Whether a comma-separated list under `name` holds `token`.
+    /// Whether header `name`, a comma-separated list, contains `token`.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name)
             .filter_map(|value| std::str::from_utf8(value).ok())
@@ -60,34 +60,39 @@
     }
 }
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     None,
-    /// That many bytes.
+    /// By Content-Length, in bytes.
     Length(u64),
-    /// In chunks, with an end record.
+    /// By the last chunk of a chunked transfer encoding.
     Chunked,
-    /// Until the connection ends; answers only.
+    /// By the end of the connection; for responses only.
     UntilClose,
 }
 
-/// Head of a request.
+/// Request line and headers of a request.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
-    /// Method, as sent.
+    /// Method, as received.
     pub method: String,
-    /// Target, as sent.
+    /// Path and query, as received.
     pub target: String,
-    /// Whether the client speaks HTTP/1.0.
+    /// Whether the request is of HTTP/1.0 and not HTTP/1.1.
     pub is_http10: bool,
-    /// Header lines.
+    /// Header lines, in the order of arrival.
     pub headers: Headers,
 }
 
 impl RequestHead {
-    /// Takes a complete head off the front of `read_buffer`; None when more is needed.
+    /// Parses a head and takes it off the front of `read_buffer`; `None` when it is not
+    /// complete yet.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error::HeadTooLarge`] or [`Http1Error::Malformed`].
     pub fn parse_from(
         read_buffer: &mut BytesMut,
         max_bytes: usize,
@@ -101,7 +106,7 @@
             }
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(httparse::Error::TooManyHeaders) => return Err(Http1Error::HeadTooLarge),
-            Err(_) => return Err(Http1Error::Malformed("request head")),
+            Err(_) => return Err(Http1Error::Malformed("head of the request")),
         };
         if len > max_bytes {
             return Err(Http1Error::HeadTooLarge);
@@ -116,12 +121,20 @@
         Ok(Some(head))
     }
 
-    /// How the body ends; ambiguous framing is an error.
+    /// Framing of the request's body.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error::Malformed`] when the end of the body is ambiguous.
     pub fn framing(&self) -> Result<Framing, Http1Error> {
         let length = content_length(&self.headers)?;
-        match (transfer_encoding(&self.headers)?, length) {
-            (true, Some(_)) => Err(Http1Error::Malformed("length beside chunked")),
-            (true, None) if self.is_http10 => Err(Http1Error::Malformed("chunked in HTTP/1.0")),
+        match (is_chunked(&self.headers)?, length) {
+            (true, Some(_)) => Err(Http1Error::Malformed(
+                "both Content-Length and Transfer-Encoding",
+            )),
+            (true, None) if self.is_http10 => {
+                Err(Http1Error::Malformed("Transfer-Encoding in HTTP/1.0"))
+            }
             (true, None) => Ok(Framing::Chunked),
             (false, Some(0) | None) => Ok(Framing::None),
             (false, Some(length)) => Ok(Framing::Length(length)),
@@ -135,31 +148,36 @@
             .map_or(self.target.as_str(), |parts| parts.0)
     }
 
-    /// Query of the target.
+    /// Query of the target, without the question mark; empty when there is none.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |parts| parts.1)
     }
 
-    /// Whether the client wants the connection closed after the answer.
+    /// Whether the client wants the connection closed after the response.
     pub fn wants_close(&self) -> bool {
         self.headers.has_token("connection", "close")
             || (self.is_http10 && !self.headers.has_token("connection", "keep-alive"))
     }
 }
 
-/// Head of an answer.
+/// Status line and headers of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
     /// Status code.
     pub status: u16,
-    /// Reason phrase.
+    /// Reason phrase; may be empty.
     pub reason: String,
-    /// Header lines.
+    /// Header lines, in the order of arrival.
     pub headers: Headers,
 }
 
 impl ResponseHead {
-    /// Takes a complete head off the front of `read_buffer`; None when more is needed.
+    /// Parses a head and takes it off the front of `read_buffer`; `None` when it is not
+    /// complete yet.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error::HeadTooLarge`] or [`Http1Error::Malformed`].
     pub fn parse_from(
         read_buffer: &mut BytesMut,
         max_bytes: usize,
@@ -172,7 +190,7 @@
                 return Err(Http1Error::HeadTooLarge);
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Http1Error::Malformed("answer head")),
+            Err(_) => return Err(Http1Error::Malformed("head of the response")),
         };
         let head = Self {
             status: parsed.code.unwrap_or_default(),
@@ -183,14 +201,20 @@
         Ok(Some(head))
     }
 
-    /// How the body of an answer to `method` ends.
+    /// Framing of the body of a response to `method`.
+    ///
+    /// # Errors
+    ///
+    /// [`Http1Error::Malformed`] when the end of the body is ambiguous.
     pub fn framing(&self, method: &str) -> Result<Framing, Http1Error> {
         if method == "HEAD" || self.status == 204 || self.status == 304 || self.status < 200 {
             return Ok(Framing::None);
         }
         let length = content_length(&self.headers)?;
-        match (transfer_encoding(&self.headers)?, length) {
-            (true, Some(_)) => Err(Http1Error::Malformed("length beside chunked")),
+        match (is_chunked(&self.headers)?, length) {
+            (true, Some(_)) => Err(Http1Error::Malformed(
+                "both Content-Length and Transfer-Encoding",
+            )),
             (true, None) => Ok(Framing::Chunked),
             (false, Some(length)) => Ok(Framing::Length(length)),
             (false, None) => Ok(Framing::UntilClose),
@@ -198,33 +222,36 @@
     }
 }
 
+/// Value of Content-Length; more than one such header is an error.
 fn content_length(headers: &Headers) -> Result<Option<u64>, Http1Error> {
     let mut values = headers.values("content-length");
     let Some(value) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(Http1Error::Malformed("repeated length"));
+        return Err(Http1Error::Malformed("repeated Content-Length"));
     }
     let digits = std::str::from_utf8(value).map(str::trim).unwrap_or("");
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-        return Err(Http1Error::Malformed("length"));
+        return Err(Http1Error::Malformed("Content-Length"));
     }
     digits
         .parse()
         .map(Some)
-        .map_err(|_| Http1Error::Malformed("length"))
+        .map_err(|_| Http1Error::Malformed("Content-Length"))
 }
 
-/// Whether the body comes in chunks; any other coding is an error.
-fn transfer_encoding(headers: &Headers) -> Result<bool, Http1Error> {
+/// Whether the transfer encoding is chunked; any other one is an error.
+fn is_chunked(headers: &Headers) -> Result<bool, Http1Error> {
     let mut values = headers.values("transfer-encoding");
     let Some(value) = values.next() else {
         return Ok(false);
     };
     let is_chunked = value.trim_ascii().eq_ignore_ascii_case(b"chunked");
     if values.next().is_some() || !is_chunked {
-        return Err(Http1Error::Malformed("transfer coding"));
+        return Err(Http1Error::Malformed(
+            "Transfer-Encoding other than chunked",
+        ));
     }
     Ok(true)
 }
--- a/src/http1/mod.rs
+++ b/src/http1/mod.rs
@@ -1,9 +1,10 @@
 //! HTTP/1.1 heads, bodies and connections over plain sockets.
 //!
-//! Forwarding must see what general clients and servers hide: bytes after a
-//! complete answer, an answer that comes before its request is out, an answer
-//! without a length that is reset, and the exact target of a request. Heads are
-//! parsed by `httparse`; framing is strict, so that nothing can be smuggled.
+//! The gateway forwards requests and needs details that general-purpose HTTP
+//! libraries hide: bytes after a complete response, a response that arrives before
+//! its request is fully sent, a reset in the middle of a response without a length,
+//! and the target of a request exactly as sent. Heads are parsed by `httparse`.
+//! Ambiguous framing is rejected, which prevents request smuggling.
 
 mod body;
 mod client;
--- a/src/http1/server.rs
+++ b/src/http1/server.rs
@@ -10,40 +10,41 @@
 use crate::http1::Http1Error;
 use crate::http1::RequestHead;
 
-/// Largest head of an internal call, in bytes.
+/// Largest head of an internal request, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Largest body of an internal call, in bytes.
+/// Largest body of an internal request, in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// Time that an internal connection may stay idle.
+/// Time that an internal connection may stay idle between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time for one internal message.
+/// Time to read the head of an internal request, then its body, then to write the
+/// response.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One internal call: method, path, query and body.
+/// Request from another process of the system.
 #[derive(Debug)]
 pub struct InternalRequest {
-    /// Head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Whole body.
+    /// Complete body, decoded.
     pub body: Vec<u8>,
 }
 
-/// Answer to an internal call.
+/// Response to an internal request.
 #[derive(Debug)]
 pub struct InternalResponse {
     /// Status code.
     pub status: u16,
-    /// Media type of the body.
+    /// Value of Content-Type.
     pub content_type: &'static str,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl InternalResponse {
-    /// Answer with metrics in the Prometheus text format.
+    /// Creates a response with metrics in the Prometheus text format.
     pub fn metrics(text: String) -> Self {
         Self {
             status: 200,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Answer without a body.
+    /// Creates a response without a body.
     pub fn status(status: u16) -> Self {
         Self {
             status,
@@ -62,15 +63,21 @@
     }
 }
 
-/// Answers internal calls.
+/// Handles the requests of an internal listener.
 pub trait InternalHandler: 'static {
-    /// Answers one call.
+    /// Handles one request.
     fn handle(&self, request: InternalRequest) -> impl Future<Output = InternalResponse>;
 }
 
-/// Reads one request with its whole body.
+/// Reads the head of a request.
 ///
-/// Waits `idle_timeout` for its first byte and `head_timeout` for the rest of the head.
+/// Waits at most `idle_timeout` for its first byte, then at most `head_timeout` for the
+/// rest of the head.
+///
+/// # Errors
+///
+/// [`Http1Error::Closed`] when no byte of a request arrived; any other error concerns
+/// a request that had begun.
 pub async fn read_request_head(
     connection: &mut Connection,
     max_head_bytes: usize,
@@ -100,7 +107,7 @@
     }
 }
 
-/// Serves internal calls until the listener fails.
+/// Accepts connections and serves their internal requests, without end.
 pub async fn serve_internal(listener: TcpListener, handler: impl InternalHandler) {
     let handler = Rc::new(handler);
     loop {
@@ -121,6 +128,7 @@
     }
 }
 
+/// Serves the requests of one connection until it is closed or idle for too long.
 async fn serve_connection(
     mut connection: Connection,
     handler: &impl InternalHandler,
@@ -142,7 +150,7 @@
         let body = connection
             .read_body(decoder, MAX_BODY_BYTES, || deadline)
             .await?;
-        let closes = head.wants_close();
+        let is_last = head.wants_close();
         let response = handler.handle(InternalRequest { head, body }).await;
         let mut bytes = format!(
             "HTTP/1.1 {} .\r\nContent-Type: {}\r\nContent-Length: {}\r\n\r\n",
@@ -155,7 +163,7 @@
         connection
             .write_with_deadline(&bytes, Instant::now() + MESSAGE_TIMEOUT)
             .await?;
-        if closes {
+        if is_last {
             return Ok(());
         }
     }
--- a/src/links/body_timeout.rs
+++ b/src/links/body_timeout.rs
@@ -15,36 +15,39 @@
 use futures_util::StreamExt;
 use futures_util::stream;
 
-/// A request body that must be whole at its deadline.
+/// Request body that fails when it is not complete at its deadline.
 struct TimedBody {
     payload: Payload,
     deadline: Instant,
-    ended: bool,
+    has_ended: bool,
 }
 
 impl TimedBody {
+    /// Next part of the body; `None` after its end or a failure.
     async fn next(&mut self) -> Option<Result<Bytes, PayloadError>> {
-        if self.ended {
+        if self.has_ended {
             return None;
         }
         let left = self.deadline.saturating_duration_since(Instant::now());
         let part = timeout(left, self.payload.next()).await;
-        let part = part.unwrap_or_else(|_| Some(Err(too_slow())));
-        self.ended = !matches!(part, Some(Ok(_)));
+        let part = part.unwrap_or_else(|_| Some(Err(late_body_error())));
+        self.has_ended = !matches!(part, Some(Ok(_)));
         part
     }
 }
 
-fn too_slow() -> PayloadError {
+/// Error of a body that was not complete at its deadline.
+fn late_body_error() -> PayloadError {
     PayloadError::Io(io::Error::new(
         io::ErrorKind::TimedOut,
         "the client took too long to send the body",
     ))
 }
 
-/// Lets the body of a request fail when it is not whole within `wait`.
+/// Middleware that makes the body of a request fail when it is not complete within
+/// `body_timeout`.
 pub async fn limit_body_time(
-    wait: Duration,
+    body_timeout: Duration,
     mut request: ServiceRequest,
     next: Next<impl MessageBody>,
 ) -> Result<ServiceResponse<impl MessageBody>, Error> {
@@ -54,8 +57,8 @@
     }
     let body = TimedBody {
         payload,
-        deadline: Instant::now() + wait,
-        ended: false,
+        deadline: Instant::now() + body_timeout,
+        has_ended: false,
     };
     let parts = stream::unfold(body, |mut body| async move {
         let part = body.next().await?;
--- a/src/links/call_rejection.rs
+++ b/src/links/call_rejection.rs
@@ -2,17 +2,17 @@
 
 use crate::links::LinkError;
 
-/// Why a call between processes is refused before it is looked at.
+/// Why a request between processes is refused before it is handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallRejection {
-    /// It does not carry the shared key.
+    /// The shared key is missing or wrong.
     WrongKey,
-    /// Its body does not decode.
+    /// The body could not be decoded.
     Malformed(LinkError),
 }
 
 impl CallRejection {
-    /// The response that refuses the call.
+    /// Response with the status of the refusal: 401 or 400.
     pub fn response(&self) -> HttpResponse {
         match self {
             Self::WrongKey => HttpResponse::Unauthorized().finish(),
--- a/src/links/errors.rs
+++ b/src/links/errors.rs
@@ -1,32 +1,32 @@
 use std::fmt;
 
-/// Why a call to another process gave no usable answer.
+/// Why a request to another process got no usable response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LinkError {
-    /// No connection was made: the request never left this process.
+    /// The request was not sent, as no connection was made or its URL is invalid.
     NotSent(String),
-    /// The connection broke after the request may have left.
+    /// The connection failed after the request may have been sent.
     Broken(String),
-    /// No answer within the time allowed.
+    /// No complete response within the timeout.
     Timeout {
-        /// Time allowed.
+        /// Timeout, in milliseconds.
         timeout_ms: u64,
     },
-    /// The other process answered with an error status.
+    /// The other process responded with an error status.
     Status {
         /// HTTP status code.
         status: u16,
-        /// When the other process asks to come back.
+        /// Wait before a retry that the response suggests, in milliseconds.
         retry_after_ms: Option<u64>,
-        /// Body of the answer.
+        /// Body of the response.
         body: String,
     },
-    /// The answer could not be decoded.
+    /// A message could not be encoded or decoded.
     Malformed(String),
 }
 
 impl LinkError {
-    /// Whether the request certainly never reached the other process.
+    /// Whether the request certainly did not reach the other process.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::NotSent(_))
     }
@@ -35,11 +35,15 @@
 impl fmt::Display for LinkError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(cause) => write!(f, "no connection: {cause}"),
-            Self::Broken(cause) => write!(f, "connection broke: {cause}"),
-            Self::Timeout { timeout_ms } => write!(f, "no answer within {timeout_ms} ms"),
-            Self::Status { status, body, .. } => write!(f, "status {status}: {body}"),
-            Self::Malformed(cause) => write!(f, "answer cannot be decoded: {cause}"),
+            Self::NotSent(cause) => write!(f, "the request was not sent: {cause}"),
+            Self::Broken(cause) => write!(f, "the connection failed: {cause}"),
+            Self::Timeout { timeout_ms } => write!(f, "no response within {timeout_ms} ms"),
+            Self::Status { status, body, .. } => {
+                write!(f, "the response has status {status}: {body}")
+            }
+            Self::Malformed(cause) => {
+                write!(f, "the message cannot be encoded or decoded: {cause}")
+            }
         }
     }
 }
--- a/src/links/http_client.rs
+++ b/src/links/http_client.rs
@@ -19,22 +19,24 @@
 use crate::links::LinkError;
 use crate::links::SimulatedPartition;
 
-/// Header that carries the shared key between this system's processes.
+/// Header with the shared key, in requests between this system's processes.
 pub const SHARED_KEY_HEADER: &str = "x-bergamotfork-key";
 
-/// Longest body read from another process.
+/// Largest body read from another process, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Connections one thread keeps to one address.
+/// Most connections in the pool of one thread.
 const MAX_CONNECTIONS: usize = 1024;
 
-/// Time to make a connection.
+/// Time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 thread_local! {
+    /// Client whose connections the requests of one thread share.
     static POOL: Client = new_client(MAX_CONNECTIONS);
 }
 
+/// Creates a client without a timeout for requests, as each call here sets its own.
 fn new_client(max_connections: usize) -> Client {
     Client::builder()
         .connector(
@@ -47,7 +49,7 @@
         .finish()
 }
 
-/// Sends requests to other processes from the current thread.
+/// HTTP client towards other processes; each thread has its own pool of connections.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     shared_key: Option<String>,
@@ -55,7 +57,7 @@
 }
 
 impl HttpClient {
-    /// Client towards the platform: no key is sent.
+    /// Creates a client that sends no shared key, for processes outside this system.
     pub fn to_platform() -> Self {
         Self {
             shared_key: None,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Client towards this system's processes.
+    /// Creates a client that sends the shared key, for this system's processes.
     pub fn to_processes(shared_key: impl Into<String>) -> Self {
         Self {
             shared_key: Some(shared_key.into()),
@@ -71,13 +73,13 @@
         }
     }
 
-    /// The same client, which does not reach the addresses in `partition`.
+    /// The same client, whose requests time out while `partition` blocks their address.
     pub fn with_simulated_partition(mut self, partition: Arc<SimulatedPartition>) -> Self {
         self.partition = Some(partition);
         self
     }
 
-    /// Waits in vain for `timeout_ms` when `url` is cut off.
+    /// Waits for `timeout_ms` and fails if the simulated partition blocks `url`.
     async fn fail_if_partitioned(&self, url: &str, timeout_ms: u64) -> Result<(), LinkError> {
         if !self
             .partition
@@ -90,17 +92,18 @@
         Err(LinkError::Timeout { timeout_ms })
     }
 
-    /// Request on a pooled connection.
+    /// Creates a request on a pooled connection.
     pub fn request(&self, method: Method, url: &str) -> ClientRequest {
         self.add_shared_key(POOL.with(|pool| pool.request(method, url)))
     }
 
-    /// Request on a connection of its own, never resent by the client.
+    /// Creates a request on a connection of its own; the client never resends it.
     pub fn request_on_new_connection(&self, method: Method, url: &str) -> ClientRequest {
         self.add_shared_key(new_client(1).request(method, url))
             .force_close()
     }
 
+    /// Adds the header with the shared key, if this client has one.
     fn add_shared_key(&self, request: ClientRequest) -> ClientRequest {
         match &self.shared_key {
             Some(key) => request.insert_header((SHARED_KEY_HEADER, key.as_str())),
@@ -108,11 +111,11 @@
         }
     }
 
-    /// Sends `body` and waits up to `timeout_ms` for the head of the answer.
+    /// Sends `body` and waits up to `timeout_ms` for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no answer came; its status is not looked at.
+    /// [`LinkError`] when no response came; the status is left to the caller.
     pub async fn send(
         request: ClientRequest,
         body: impl Into<Bytes>,
@@ -120,16 +123,16 @@
     ) -> Result<ClientResponse, LinkError> {
         let sending = request.send_body(body.into());
         match timeout(Duration::from_millis(timeout_ms), sending).await {
-            Ok(answer) => answer.map_err(classify_send_error),
+            Ok(response) => response.map_err(classify_send_error),
             Err(_) => Err(LinkError::Timeout { timeout_ms }),
         }
     }
 
-    /// Sends `body` and reads the whole answer within `timeout_ms`.
+    /// Sends `body` and returns the complete body of the response within `timeout_ms`.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no answer came or its status is not a success.
+    /// [`LinkError`] when no response came or its status is not a success.
     pub async fn send_and_read(
         request: ClientRequest,
         body: impl Into<Bytes>,
@@ -166,7 +169,7 @@
             .unwrap_or(Err(LinkError::Timeout { timeout_ms }))
     }
 
-    /// Sends `request` as MessagePack and decodes the answer.
+    /// Posts `request` as MessagePack and decodes the response, also MessagePack.
     ///
     /// # Errors
     ///
@@ -178,11 +181,11 @@
         timeout_ms: u64,
     ) -> Result<A, LinkError> {
         let body = rmp_serde::to_vec_named(request).map_err(malformed)?;
-        let answer = self.post_rmp(url, body, timeout_ms).await?;
-        rmp_serde::from_slice(&answer).map_err(malformed)
+        let response = self.post_rmp(url, body, timeout_ms).await?;
+        rmp_serde::from_slice(&response).map_err(malformed)
     }
 
-    /// Sends raw bytes and reads the whole answer.
+    /// Posts raw bytes and returns the body of the response.
     ///
     /// # Errors
     ///
@@ -197,7 +200,7 @@
         Self::send_and_read(self.request(Method::POST, url), body, timeout_ms).await
     }
 
-    /// Sends an encoded MessagePack body and reads the whole answer.
+    /// Posts a body that is encoded as MessagePack and returns the body of the response.
     ///
     /// # Errors
     ///
@@ -215,7 +218,7 @@
         Self::send_and_read(request, body, timeout_ms).await
     }
 
-    /// Reads a JSON document.
+    /// Gets a JSON document and decodes it.
     ///
     /// # Errors
     ///
@@ -226,12 +229,12 @@
         timeout_ms: u64,
     ) -> Result<A, LinkError> {
         self.fail_if_partitioned(url, timeout_ms).await?;
-        let answer =
+        let response =
             Self::send_and_read(self.request(Method::GET, url), Bytes::new(), timeout_ms).await?;
-        serde_json::from_slice(&answer).map_err(malformed)
+        serde_json::from_slice(&response).map_err(malformed)
     }
 
-    /// Sends `request` as JSON and decodes the JSON answer.
+    /// Sends `request` as JSON and decodes the response, also JSON.
     ///
     /// # Errors
     ///
@@ -248,16 +251,19 @@
         let request = self
             .request(method, url)
             .insert_header((CONTENT_TYPE, "application/json"));
-        let answer = Self::send_and_read(request, body, timeout_ms).await?;
-        serde_json::from_slice(&answer).map_err(malformed)
+        let response = Self::send_and_read(request, body, timeout_ms).await?;
+        serde_json::from_slice(&response).map_err(malformed)
     }
 }
 
+/// Error of a message that could not be encoded or decoded.
 fn malformed(error: impl std::fmt::Display) -> LinkError {
     LinkError::Malformed(error.to_string())
 }
 
-/// Tells requests that never left from those that may have.
+/// Separates requests that were certainly not sent from those that may have been.
+///
+/// `Disconnected` counts as possibly sent.
 pub(super) fn classify_send_error(error: SendRequestError) -> LinkError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
--- a/src/links/http_server.rs
+++ b/src/links/http_server.rs
@@ -17,12 +17,12 @@
 use crate::links::body_timeout::limit_body_time;
 use crate::standin::Handle;
 
-/// How a process serves HTTP.
+/// Time limits of an HTTP server.
 #[derive(Debug, Clone)]
 pub struct ServeOptions {
-    /// Time a client has to send the head of a request, and again for its body.
+    /// Time a client has to send the head of a request, and again for its body, in ms.
     pub client_timeout_ms: u64,
-    /// Time requests in progress have after a stop.
+    /// Time that requests in progress have after a stop, in ms.
     pub drain_ms: u64,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Serves on `listen` with one worker thread.
+/// Starts an HTTP server on `listen` with one worker thread.
 ///
 /// # Errors
 ///
@@ -45,34 +45,34 @@
     options: &ServeOptions,
     configure: impl Fn(&mut ServiceConfig) + Clone + Send + 'static,
 ) -> io::Result<Handle> {
-    let wait = Duration::from_millis(options.client_timeout_ms);
+    let client_timeout = Duration::from_millis(options.client_timeout_ms);
     let app = move || {
         App::new()
             .wrap(from_fn(move |request, next| {
-                limit_body_time(wait, request, next)
+                limit_body_time(client_timeout, request, next)
             }))
             .configure(configure.clone())
     };
     let server = HttpServer::new(app)
         .workers(1)
-        .client_request_timeout(wait)
+        .client_request_timeout(client_timeout)
         .shutdown_timeout(options.drain_ms.div_ceil(1000))
         .disable_signals()
         .bind(listen)?;
     let address = server.addrs().first().copied().unwrap_or(listen);
-    let running = server.run();
-    let handle = Handle::new(address, running.handle());
-    actix_rt::spawn(running);
+    let server = server.run();
+    let handle = Handle::new(address, server.handle());
+    actix_rt::spawn(server);
     Ok(handle)
 }
 
-/// Whether `request` carries the shared key.
+/// Whether `request` carries `shared_key`.
 pub fn has_shared_key(request: &HttpRequest, shared_key: &str) -> bool {
     let given = request
         .headers()
         .get(SHARED_KEY_HEADER)
         .map_or(&b""[..], |value| value.as_bytes());
-    // Comparing digests takes the same time whatever the given key is.
+    // The time to compare digests tells an attacker nothing about the key.
     blake3::hash(given) == blake3::hash(shared_key.as_bytes())
 }
 
@@ -85,11 +85,11 @@
     rmp_serde::from_slice(body).map_err(|error| LinkError::Malformed(error.to_string()))
 }
 
-/// Decodes a call between processes, which must carry the shared key.
+/// Checks the shared key of a request between processes and decodes its body.
 ///
 /// # Errors
 ///
-/// [`CallRejection`], whose response refuses the call.
+/// [`CallRejection`], which gives the response to send.
 pub fn decode_call<T: DeserializeOwned>(
     request: &HttpRequest,
     body: &[u8],
@@ -101,7 +101,7 @@
     decode_rmp(body).map_err(CallRejection::Malformed)
 }
 
-/// A response with a MessagePack body.
+/// Creates a response with `answer` as MessagePack; status 500 if it can't be encoded.
 pub fn rmp_response(answer: &impl Serialize) -> HttpResponse {
     match rmp_serde::to_vec_named(answer) {
         Ok(body) => HttpResponse::Ok()
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -1,7 +1,7 @@
-//! Links between hosts: the HTTP client and server set-up shared by all roles.
+//! HTTP client and server of all roles, and the capacity of links between hosts.
 //!
-//! Calls between this system's processes carry MessagePack bodies and the
-//! shared key; calls to the platform and to callers carry JSON.
+//! Requests between this system's processes have MessagePack bodies and carry the
+//! shared key. The platform and clients are served with JSON.
 
 pub mod raw_bytes;
 
--- a/src/links/raw_bytes.rs
+++ b/src/links/raw_bytes.rs
@@ -1,4 +1,5 @@
-//! Encodes bytes as one binary string, for fields under `#[serde(with)]`.
+//! Serde functions that encode a field of bytes as one byte string instead of a list
+//! of numbers, for `#[serde(with)]`.
 
 use std::fmt;
 
@@ -6,7 +7,7 @@
 use serde::Serializer;
 use serde::de;
 
-/// Encodes `bytes`.
+/// Serialises `bytes` as a byte string.
 ///
 /// # Errors
 ///
@@ -15,7 +16,7 @@
     serializer.serialize_bytes(bytes)
 }
 
-/// Decodes bytes.
+/// Deserialises a byte string.
 ///
 /// # Errors
 ///
@@ -24,6 +25,7 @@
     deserializer.deserialize_byte_buf(BytesVisitor)
 }
 
+/// Accepts borrowed and owned byte strings.
 struct BytesVisitor;
 
 impl de::Visitor<'_> for BytesVisitor {
--- a/src/links/simulated_partition.rs
+++ b/src/links/simulated_partition.rs
@@ -4,13 +4,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Addresses that this process does not reach for a while: a drill for a
-/// region that is cut off.
+/// Simulated network partition: addresses that this process can't reach for a while.
+///
+/// The benchmark of the control plane cuts regions off with it.
 #[derive(Debug, Default)]
 pub struct SimulatedPartition {
     state: Mutex<Option<BlockedAddresses>>,
 }
 
+/// Sorted addresses and the end of the partition.
 #[derive(Debug)]
 struct BlockedAddresses {
     addresses: Vec<SocketAddr>,
@@ -18,14 +20,14 @@
 }
 
 impl SimulatedPartition {
-    /// SimulatedPartition `addresses` off for `time`, in place of those cut off before.
+    /// Blocks `addresses` for `duration`, and unblocks those blocked before.
     pub fn start(&self, mut addresses: Vec<SocketAddr>, duration: Duration) {
         addresses.sort_unstable();
         let until = Instant::now() + duration;
-        *self.state() = Some(BlockedAddresses { addresses, until });
+        *self.lock() = Some(BlockedAddresses { addresses, until });
     }
 
-    /// Whether the address in `url` is cut off now.
+    /// Whether the address in `url` is blocked now.
     pub fn blocks_url(&self, url: &str) -> bool {
         let address = url
             .strip_prefix("http://")
@@ -34,16 +36,18 @@
         address.is_some_and(|address| self.blocks_address(address))
     }
 
-    /// Whether `address` is cut off now.
+    /// Whether `address` is blocked now.
     pub fn blocks_address(&self, address: SocketAddr) -> bool {
-        let state = self.state();
-        let blocked = state
+        let state = self.lock();
+        let active = state
             .as_ref()
             .filter(|blocked| Instant::now() < blocked.until);
-        blocked.is_some_and(|blocked| blocked.addresses.binary_search(&address).is_ok())
+        active.is_some_and(|blocked| blocked.addresses.binary_search(&address).is_ok())
     }
 
-    fn state(&self) -> MutexGuard<'_, Option<BlockedAddresses>> {
-        self.state.lock().expect("no holder of the cuts panics")
+    fn lock(&self) -> MutexGuard<'_, Option<BlockedAddresses>> {
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
--- a/src/links/token_bucket.rs
+++ b/src/links/token_bucket.rs
@@ -1,18 +1,18 @@
 /// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
 
-/// A link's capacity: callers reserve bytes and wait their turn, first come
-/// first served.
+/// Token bucket that limits the rate of a link; reservations are served in order.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate_bytes_per_s: u64,
     burst_bytes: u64,
+    /// Time at which all reservations have passed, in microseconds.
     free_at_us: u64,
 }
 
 impl TokenBucket {
-    /// A link of `rate_bytes_per_s` that lets `burst_bytes` pass at once after
-    /// it was idle; a rate of 0 means no limit.
+    /// Creates a bucket that passes `rate_bytes_per_s`, and `burst_bytes` at once after
+    /// an idle time; a rate of 0 means no limit.
     pub fn new(rate_bytes_per_s: u64, burst_bytes: u64) -> Self {
         Self {
             rate_bytes_per_s,
@@ -21,18 +21,18 @@
         }
     }
 
-    /// The rate, 0 for no limit.
+    /// Rate, in bytes per second; 0 for no limit.
     pub fn rate_bytes_per_s(&self) -> u64 {
         self.rate_bytes_per_s
     }
 
-    /// Changes the rate for what is reserved from now on.
+    /// Changes the rate of later reservations.
     pub fn set_rate(&mut self, rate_bytes_per_s: u64) {
         self.rate_bytes_per_s = rate_bytes_per_s;
     }
 
-    /// Takes the next `bytes` of the link and returns the time until they have
-    /// passed.
+    /// Reserves `bytes` after all earlier reservations and returns the time until they
+    /// have passed, in microseconds.
     pub fn reserve(&mut self, now_us: u64, bytes: u64) -> u64 {
         if self.rate_bytes_per_s == 0 {
             return 0;
@@ -43,11 +43,12 @@
         self.free_at_us.saturating_sub(now_us)
     }
 
-    /// Time until a reservation made now would start.
+    /// Time until all reservations have passed, in microseconds.
     pub fn backlog_us(&self, now_us: u64) -> u64 {
         self.free_at_us.saturating_sub(now_us)
     }
 
+    /// Time that `bytes` take at the current rate, in microseconds.
     fn time_us(&self, bytes: u64) -> u64 {
         let time_us = u128::from(bytes) * u128::from(SECOND_US) / u128::from(self.rate_bytes_per_s);
         u64::try_from(time_us).unwrap_or(u64::MAX)
