--- a/src/clients/engine.rs
+++ b/src/clients/engine.rs
@@ -25,24 +25,24 @@
 use crate::clients::UnloadOrder;
 use crate::links::HttpClient;
 
-/// Time an engine may take to load weights.
+/// Timeout of an order to load weights.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Time an engine may take for any other order.
+/// Timeout of all other requests to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a call to an engine failed.
+/// Why a request to an engine failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineError {
-    /// No connection was made: the order never left this process.
+    /// No connection was made, so the request was not sent.
     NotSent(String),
-    /// No answer came.
+    /// No complete response came after the request may have been sent.
     Unreachable(String),
-    /// The engine refused the order.
+    /// The engine refused the request with this code.
     Refused(EngineErrorCode),
-    /// The engine answered with this status.
+    /// The engine responded with this error status, without a code.
     Status(u16),
-    /// The answer could not be read.
+    /// The response could not be decoded.
     Malformed(String),
 }
 
@@ -50,17 +50,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(reason) => write!(f, "the engine accepts no connection: {reason}"),
-            Self::Unreachable(reason) => write!(f, "the engine did not answer: {reason}"),
-            Self::Refused(fault) => write!(f, "the engine refused the order: {}", fault.name()),
-            Self::Status(status) => write!(f, "the engine answered with status {status}"),
-            Self::Malformed(reason) => write!(f, "the engine's answer is malformed: {reason}"),
+            Self::Unreachable(reason) => write!(f, "the engine did not respond: {reason}"),
+            Self::Refused(code) => write!(f, "the engine refused the request: {}", code.name()),
+            Self::Status(status) => write!(f, "the engine responded with status {status}"),
+            Self::Malformed(reason) => {
+                write!(f, "the engine's response cannot be decoded: {reason}")
+            }
         }
     }
 }
 
 impl std::error::Error for EngineError {}
 
-/// Client of one engine; only its endpoint process holds one.
+/// Client of one engine, used only by the endpoint process beside it.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     http: HttpClient,
@@ -68,7 +70,7 @@
 }
 
 impl EngineClient {
-    /// Client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             http: HttpClient::to_platform(),
@@ -76,45 +78,45 @@
         }
     }
 
-    /// Address of the engine.
+    /// Address of the engine, as IP:port.
     pub fn address(&self) -> &str {
         self.base_url
             .strip_prefix("http://")
-            .expect("the base URL starts so")
+            .expect("the base URL starts with http://")
     }
 
-    /// Orders the engine to load weights.
+    /// Orders the engine to load weights and waits until it has.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineError`] when the engine refuses or does not answer.
+    /// Returns [`EngineError`] when the engine refuses or does not respond.
     pub async fn load(&self, order: &LoadOrder) -> Result<LoadAnswer, EngineError> {
         self.post("/v1/load", order, LOAD_TIMEOUT).await
     }
 
-    /// Orders the engine to drop weights.
+    /// Orders the engine to unload weights.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineError`] when the engine refuses or does not answer.
+    /// Returns [`EngineError`] when the engine refuses or does not respond.
     pub async fn unload(&self, order: &UnloadOrder) -> Result<(), EngineError> {
         self.post("/v1/unload", order, ORDER_TIMEOUT).await
     }
 
-    /// Orders the engine to change role.
+    /// Orders the engine to change its role.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineError`] when the engine refuses or does not answer.
+    /// Returns [`EngineError`] when the engine refuses or does not respond.
     pub async fn set_role(&self, order: &RoleOrder) -> Result<(), EngineError> {
         self.post("/v1/role", order, ORDER_TIMEOUT).await
     }
 
-    /// Cancels the stream of a request.
+    /// Cancels the token stream of a request.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineError`] when the engine does not answer.
+    /// Returns [`EngineError`] when the engine does not respond.
     pub async fn cancel(&self, request_id: impl Into<String>) -> Result<(), EngineError> {
         let order = CancelOrder {
             request_id: request_id.into(),
@@ -122,11 +124,11 @@
         self.post("/v1/cancel", &order, ORDER_TIMEOUT).await
     }
 
-    /// State of the engine.
+    /// Fetches the state of the engine.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineError`] when the engine does not answer.
+    /// Returns [`EngineError`] when the engine does not respond.
     pub async fn fetch_state(&self) -> Result<EngineState, EngineError> {
         let url = format!("{}/v1/state", self.base_url);
         let mut response = self
@@ -143,11 +145,11 @@
         decode_response(response.status(), &body)
     }
 
-    /// Starts a token stream.
+    /// Starts a token stream and returns it once the engine has accepted the request.
     ///
     /// # Errors
     ///
-    /// Returns [`EngineError`] when the engine refuses or does not answer.
+    /// Returns [`EngineError`] when the engine refuses or does not respond.
     pub async fn generate(&self, order: &GenerateOrder) -> Result<EngineStream, EngineError> {
         let url = format!("{}/v1/generate", self.base_url);
         let mut response = self
@@ -171,6 +173,7 @@
         })
     }
 
+    /// Posts `body` as JSON and decodes the response, also JSON.
     async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -193,6 +196,9 @@
     }
 }
 
+/// Separates requests that were certainly not sent from those that may have been.
+///
+/// `Disconnected` counts as possibly sent.
 fn classify_send_error(error: &SendRequestError) -> EngineError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
@@ -203,6 +209,7 @@
     }
 }
 
+/// Error of a response with a status other than 200.
 fn refusal_error(status: StatusCode, body: &[u8]) -> EngineError {
     match serde_json::from_slice::<EngineRefusal>(body) {
         Ok(refusal) => EngineError::Refused(refusal.code),
@@ -210,6 +217,7 @@
     }
 }
 
+/// Decodes the JSON of a response, which must have status 200.
 fn decode_response<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, EngineError> {
     if status != StatusCode::OK {
         return Err(refusal_error(status, body));
@@ -217,14 +225,18 @@
     serde_json::from_slice(body).map_err(|e| EngineError::Malformed(e.to_string()))
 }
 
-/// Events of one token stream; dropping it closes the connection.
+/// Events of a token stream; dropping it closes the connection.
 pub struct EngineStream {
     chunks: LocalBoxStream<'static, Result<Bytes, String>>,
     lines: LineBuffer,
 }
 
 impl EngineStream {
-    /// The next event; `None` when the connection ended.
+    /// Waits for the next event; `None` when the connection ended.
+    ///
+    /// # Errors
+    ///
+    /// [`EngineError`] when the connection fails or a line is not a valid event.
     pub async fn next(&mut self) -> Option<Result<StreamEvent, EngineError>> {
         loop {
             if let Some(line) = self.lines.next_line() {
@@ -233,7 +245,7 @@
             }
             match self.chunks.next().await? {
                 Ok(chunk) if self.lines.push(&chunk) => {}
-                Ok(_) => return Some(Err(EngineError::Malformed("line too long".to_owned()))),
+                Ok(_) => return Some(Err(EngineError::Malformed("a line is too long".to_owned()))),
                 Err(reason) => return Some(Err(EngineError::Unreachable(reason))),
             }
         }
--- a/src/clients/engine_api.rs
+++ b/src/clients/engine_api.rs
@@ -4,33 +4,40 @@
 use crate::clients::FencingNumber;
 use crate::weights::Digest;
 
-/// Order to load weights, which the engine reads from `source_url`.
+/// Order to load the weights of a model version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadOrder {
+    /// Fencing number of the order.
     pub order: FencingNumber,
+    /// Name of the model.
     pub model: String,
+    /// Name of the version.
     pub version: String,
+    /// Digest of the version's manifest.
     pub manifest: Digest,
-    /// Manifest of the base model when this is an adapter.
+    /// Digest of the base model's manifest, when the weights are an adapter.
     pub base: Option<Digest>,
+    /// URL that the engine reads the weights from.
     pub source_url: String,
 }
 
-/// What the engine loaded.
+/// Response of the engine when it has loaded weights.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadAnswer {
-    /// Digest of all bytes that were read.
+    /// Digest of all bytes that the engine read.
     pub whole: Digest,
 }
 
-/// Order to drop weights.
+/// Order to unload weights.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct UnloadOrder {
+    /// Fencing number of the order.
     pub order: FencingNumber,
+    /// Digest of the weights' manifest.
     pub manifest: Digest,
 }
 
-/// Part of the work an engine takes.
+/// Phases of generation that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -42,73 +49,91 @@
     Decode,
 }
 
-/// Order to change role.
+/// Order to change the engine's role.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RoleOrder {
+    /// Fencing number of the order.
     pub order: FencingNumber,
+    /// Role to take.
     pub role: EngineRole,
 }
 
-/// Weights an engine holds.
+/// Weights that an engine has loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedWeights {
+    /// Name of the model.
     pub model: String,
+    /// Name of the version.
     pub version: String,
+    /// Digest of the version's manifest.
     pub manifest: Digest,
+    /// Digest of all bytes that the engine read.
     pub whole: Digest,
 }
 
 /// State of an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineState {
+    /// Weights that are loaded.
     pub loaded: Vec<LoadedWeights>,
-    /// Highest order number the engine has seen.
+    /// Highest fencing number that the engine has received.
     pub highest_order: Option<FencingNumber>,
+    /// Requests that run.
     pub running: u32,
+    /// Requests that wait to run.
     pub queued: u32,
+    /// Prompt blocks in the prefix cache.
     pub cached_blocks: u32,
-    /// Streams that were started.
+    /// Token streams started since the engine started.
     #[serde(default)]
     pub started: u64,
-    /// Prompt blocks looked up in the cache.
+    /// Prompt blocks looked up in the prefix cache.
     #[serde(default)]
     pub prompt_blocks: u64,
-    /// Prompt blocks found there.
+    /// Prompt blocks found in the prefix cache.
     #[serde(default)]
     pub hit_blocks: u64,
+    /// Role of the engine.
     pub role: EngineRole,
 }
 
-/// One request for tokens.
+/// Order to generate tokens; unlike the other orders it has no fencing number.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GenerateOrder {
+    /// Identifies the request; repeated in the end of the stream.
     pub request_id: String,
+    /// Name of the model.
     pub model: String,
+    /// Digest of the manifest of the weights to use.
     pub manifest: Digest,
+    /// Text to continue.
     pub prompt: String,
+    /// Most tokens to generate.
     pub max_tokens: u32,
+    /// Seed of the sampling.
     pub seed: u64,
-    /// Higher goes first.
+    /// Priority; requests with a higher one run first.
     pub priority: u8,
-    /// Index of the first token wanted.
+    /// Index of the first token to send; the tokens before it were sent earlier.
     pub resume_from: u32,
-    /// Time left for the whole answer.
+    /// Time left for the complete answer, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Order to stop a stream.
+/// Order to stop a token stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CancelOrder {
+    /// Request whose stream is stopped.
     pub request_id: String,
 }
 
-/// Why an engine refused an order or broke a stream off.
+/// Why an engine refused an order or ended a stream early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineErrorCode {
-    /// A later order has been seen.
+    /// The engine has received an order with a higher fencing number.
     StaleOrder,
-    /// The weights asked for are not loaded.
+    /// The requested weights are not loaded.
     NotLoaded,
     /// The base model of an adapter is not loaded.
     BaseNotLoaded,
@@ -118,13 +143,13 @@
     Cancelled,
     /// The deadline passed.
     DeadlinePassed,
-    /// A reason this program does not know.
+    /// A code that this version of the program does not know.
     #[serde(other)]
     Other,
 }
 
 impl EngineErrorCode {
-    /// Name in metrics and answers.
+    /// Name of the code in metrics and messages, as serialised.
     pub fn name(self) -> &'static str {
         match self {
             Self::StaleOrder => "stale_order",
@@ -141,38 +166,44 @@
 /// Body of a refused order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineRefusal {
+    /// Why the order was refused.
     pub code: EngineErrorCode,
-    /// Highest order seen, when the order was stale.
+    /// Highest fencing number that the engine has received, when the order was stale.
     pub highest: Option<FencingNumber>,
 }
 
-/// One line of a token stream.
+/// Event of a token stream, sent as one line of JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum StreamEvent {
-    /// The next token.
+    /// The next token; its index counts from the start of the answer.
     Token { index: u32, text: String },
-    /// Nothing to say yet; the connection is alive.
+    /// Heartbeat while no token is ready; shows that the connection works.
     Beat,
-    /// The answer is whole.
+    /// The answer is complete.
     End {
+        /// Request that the stream answers.
         request_id: String,
         /// Index after the last token.
         tokens: u32,
+        /// Digest of the manifest of the weights that were used.
         manifest: Digest,
+        /// Digest of all bytes of the weights that were used.
         whole: Digest,
     },
-    /// The stream broke off.
+    /// The stream ended early.
     Error {
+        /// Why it ended.
         code: EngineErrorCode,
+        /// Explanation for people.
         message: String,
     },
 }
 
 impl StreamEvent {
-    /// The event as one line with its newline.
+    /// Encodes the event as a line of JSON with its newline.
     pub fn to_line(&self) -> Vec<u8> {
-        let mut line = serde_json::to_vec(self).expect("stream events have no failing fields");
+        let mut line = serde_json::to_vec(self).expect("all fields of an event can be serialised");
         line.push(b'\n');
         line
     }
--- a/src/clients/fencing_number.rs
+++ b/src/clients/fencing_number.rs
@@ -3,14 +3,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Fencing number of an order to an engine; a later order compares greater.
+/// Fencing number of an order to an engine; a later order has a greater number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FencingNumber {
-    /// Configuration offset the order follows from.
+    /// Offset of the configuration that the order follows from.
     pub offset: u64,
-    /// Incarnation of the endpoint process that gives it.
+    /// Incarnation of the endpoint process that sends the order.
     pub incarnation: u64,
-    /// Position among the orders of that incarnation.
+    /// Number of the order within that incarnation.
     pub sequence: u64,
 }
 
--- a/src/clients/hosts_client.rs
+++ b/src/clients/hosts_client.rs
@@ -8,19 +8,19 @@
 use crate::links::LinkError;
 use crate::links::SimulatedPartition;
 
-/// Longest time a read of the list may take.
+/// Timeout of a fetch of the list.
 const READ_TIMEOUT_MS: u64 = 3000;
 
-/// The platform's list of hosts at one version.
+/// One version of the platform's list of hosts.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct HostList {
-    /// Version of the list; grows with each change.
+    /// Version of the list, which increases with each change.
     pub version: u64,
-    /// Every host the platform knows.
+    /// All hosts that the platform has registered.
     pub hosts: Vec<HostRecord>,
 }
 
-/// Client of the platform's lagging list of hosts.
+/// Client of the platform's list of hosts, which may lag behind the hosts' real state.
 #[derive(Debug, Clone)]
 pub struct HostsClient {
     url: String,
@@ -28,7 +28,7 @@
 }
 
 impl HostsClient {
-    /// Client of the list at the given base URL.
+    /// Creates a client of the list at `base_url`.
     pub fn new(base_url: &str) -> Self {
         Self {
             url: format!("{base_url}/v1/hosts"),
@@ -36,17 +36,17 @@
         }
     }
 
-    /// The same client, which does not reach the addresses in `partition`.
+    /// The same client, whose requests time out while `partition` blocks the list.
     pub fn with_simulated_partition(mut self, partition: Arc<SimulatedPartition>) -> Self {
         self.http = self.http.with_simulated_partition(partition);
         self
     }
 
-    /// Reads the list, or `None` when it still is at version `since`.
+    /// Fetches the list; `None` if its version still is `since`.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when the list does not answer.
+    /// [`LinkError`] when the platform does not respond.
     pub async fn fetch_list(&self, since: u64) -> Result<Option<HostList>, LinkError> {
         let url = format!("{}?since={since}", self.url);
         match self.http.get_json(&url, READ_TIMEOUT_MS).await {
--- a/src/clients/log_client.rs
+++ b/src/clients/log_client.rs
@@ -7,23 +7,23 @@
 use crate::links::LinkError;
 use crate::links::SimulatedPartition;
 
-/// Longest time an append may take.
+/// Timeout of an append.
 const APPEND_TIMEOUT_MS: u64 = 5000;
 
-/// Time a read may take beyond its own waiting time.
+/// Time a read may take in addition to the wait that it asks for.
 const READ_MARGIN_MS: u64 = 5000;
 
-/// One record of a stream of the platform's log.
+/// Record in a stream of the platform's log, as its HTTP interface represents it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RawLogRecord {
-    /// Position in the stream.
+    /// Offset of the record in the stream.
     pub offset: u64,
-    /// Bytes of the record, in hexadecimal digits.
+    /// Bytes of the record, in hexadecimal.
     pub body_hex: String,
 }
 
 impl RawLogRecord {
-    /// Bytes of the record; empty when the digits are not hexadecimal.
+    /// Decodes the bytes of the record; empty when `body_hex` is not valid.
     pub fn body(&self) -> Vec<u8> {
         let digits = self.body_hex.as_bytes();
         digits
@@ -37,24 +37,25 @@
             .unwrap_or_default()
     }
 
-    /// A record from its bytes.
+    /// Creates a record from its bytes.
     pub fn new(offset: u64, body: &[u8]) -> Self {
         let body_hex = body.iter().map(|byte| format!("{byte:02x}")).collect();
         Self { offset, body_hex }
     }
 }
 
-/// A run of records and the bounds of the stream.
+/// Response of the log to a read: consecutive records and the bounds of the stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogReadResponse {
-    /// Earliest offset still kept.
+    /// Lowest offset that is not trimmed.
     pub earliest: u64,
-    /// Offset the next append will get.
+    /// Offset that the next appended record will get.
     pub next: u64,
-    /// Records from the offset asked for, without gaps.
+    /// Records from the requested offset on, without gaps.
     pub records: Vec<RawLogRecord>,
 }
 
+/// Response of the log to an append.
 #[derive(Debug, Deserialize)]
 struct AppendResponse {
     offset: u64,
@@ -68,7 +69,7 @@
 }
 
 impl LogClient {
-    /// Client of `stream` at the log's base URL.
+    /// Creates a client of `stream` in the log at `base_url`.
     pub fn new(base_url: &str, stream: &str) -> Self {
         Self {
             url: format!("{base_url}/v1/streams/{stream}/records"),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The same client, which does not reach the addresses in `partition`.
+    /// The same client, whose requests time out while `partition` blocks the log.
     pub fn with_simulated_partition(mut self, partition: Arc<SimulatedPartition>) -> Self {
         self.http = self.http.with_simulated_partition(partition);
         self
@@ -86,8 +87,8 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`]; the record may have been appended unless the error is
-    /// [`LinkError::NotSent`].
+    /// [`LinkError`]; unless it is [`LinkError::NotSent`], the record may have been
+    /// appended all the same.
     pub async fn append(&self, body: Vec<u8>) -> Result<u64, LinkError> {
         let answer = self
             .http
@@ -98,12 +99,12 @@
             .map_err(|error| LinkError::Malformed(error.to_string()))
     }
 
-    /// Reads up to `max` records from offset `from`, waiting up to `wait_ms`
-    /// for the first one.
+    /// Reads up to `max` records from offset `from` on; the log waits up to `wait_ms` for
+    /// the first one.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when the log does not answer.
+    /// [`LinkError`] when the log does not respond.
     pub async fn read(
         &self,
         from: u64,
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Clients of the services around the product's own interface: log, origin, host
-//! list, engine and service.
+//! Clients of the processes outside this system: the platform's log, list of hosts and
+//! origin of weights, and the engine or service beside an endpoint.
 
 mod engine;
 mod engine_api;
--- a/src/clients/origin_client.rs
+++ b/src/clients/origin_client.rs
@@ -8,28 +8,28 @@
 use crate::weights::Digest;
 use crate::weights::Manifest;
 
-/// Longest time a read of a manifest may take.
+/// Timeout of a fetch of a manifest.
 const MANIFEST_TIMEOUT_MS: u64 = 10_000;
 
-/// Wait after a refusal that names none.
+/// Wait after a refusal of the origin that suggests none.
 const DEFAULT_RETRY_MS: u64 = 1000;
 
-/// Why the origin gave no weights.
+/// Why a fetch from the origin failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OriginError {
-    /// The origin asks to come back later.
+    /// The origin is over its limit or unavailable and asks to retry later.
     RateLimited {
-        /// Time to wait.
+        /// Wait before the retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// The origin has no such manifest or chunk.
     Missing,
-    /// No usable answer.
+    /// The origin gave no usable response.
     Link(LinkError),
 }
 
 impl OriginError {
-    /// Label in counters.
+    /// Name of the error in metrics; part of the interface.
     pub fn label(&self) -> &'static str {
         match self {
             Self::RateLimited { .. } => "origin_limited",
@@ -43,10 +43,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::RateLimited { retry_after_ms } => {
-                write!(f, "the origin asks to come back in {retry_after_ms} ms")
+                write!(f, "the origin asks to retry in {retry_after_ms} ms")
             }
             Self::Missing => f.write_str("the origin has no such manifest or chunk"),
-            Self::Link(error) => write!(f, "the origin gave no answer: {error}"),
+            Self::Link(error) => write!(f, "the origin gave no usable response: {error}"),
         }
     }
 }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Client of the origin of weights.
+/// Client of the origin, which stores the weights of all versions.
 #[derive(Debug, Clone)]
 pub struct OriginClient {
     base_url: String,
@@ -77,7 +77,7 @@
 }
 
 impl OriginClient {
-    /// Client of the origin at `base_url`.
+    /// Creates a client of the origin at `base_url`.
     pub fn new(base_url: impl Into<String>) -> Self {
         Self {
             base_url: base_url.into(),
@@ -85,11 +85,11 @@
         }
     }
 
-    /// Reads the manifest of a version; the caller checks its digest.
+    /// Fetches the manifest of a version; the caller has to check its digest.
     ///
     /// # Errors
     ///
-    /// [`OriginError`] when there is no manifest to be had now.
+    /// [`OriginError`] when the origin does not send the manifest.
     pub async fn fetch_manifest(
         &self,
         model: &str,
@@ -102,11 +102,11 @@
         Ok(self.http.get_json(&url, MANIFEST_TIMEOUT_MS).await?)
     }
 
-    /// Reads one chunk within `timeout_ms`; the caller checks its digest.
+    /// Fetches one chunk within `timeout_ms`; the caller has to check its digest.
     ///
     /// # Errors
     ///
-    /// [`OriginError`] when the chunk is not to be had now.
+    /// [`OriginError`] when the origin does not send the chunk.
     pub async fn fetch_chunk(
         &self,
         manifest: Digest,
--- a/src/clients/service_client.rs
+++ b/src/clients/service_client.rs
@@ -9,40 +9,41 @@
 use crate::links::HttpClient;
 use crate::links::LinkError;
 
-/// Header that carries the nonce of a call to a service that keeps keys.
+/// Header with the idempotency key: a service that keeps keys runs each only once.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Header that carries the request id.
+/// Header with the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Answer of a plain service.
+/// Response of a plain service, one that is not a model, in the form of the stand-in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// Id of the request it answers.
+    /// Id of the request that the service answers.
     pub request_id: String,
-    /// Running number of the execution.
+    /// Number of the execution, counted by the service.
     pub execution: u64,
-    /// Body of the request.
+    /// Body of the request, returned unchanged.
     pub echo: Value,
 }
 
+/// The part of a response that shows which request it belongs to.
 #[derive(Debug, Deserialize)]
 struct EchoedRequestId {
     request_id: String,
 }
 
-/// One call to a plain service.
+/// Request to a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceRequest {
-    /// Path below the service's call root.
+    /// Path below `/v1/call/` of the service.
     pub path: String,
-    /// Id the service has to echo.
+    /// Request id, which the response has to contain.
     pub request_id: String,
-    /// Idempotency key, for a call that may not be repeated.
+    /// Idempotency key, for a call that must not run twice.
     pub key: Option<String>,
     /// JSON body.
     pub body: Bytes,
-    /// Time allowed for the whole answer.
+    /// Time for the complete response, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl ServiceClient {
-    /// Client of the service at the given base URL.
+    /// Creates a client of the service at `base_url`.
     pub fn new(base_url: &str) -> Self {
         Self {
             url: format!("{base_url}/v1/call"),
@@ -62,13 +63,13 @@
         }
     }
 
-    /// Makes one call on a connection of its own and checks that the answer is
-    /// whole and belongs to the request.
+    /// Sends the call on a connection of its own and checks that the response is complete
+    /// and belongs to the request.
     ///
     /// # Errors
     ///
-    /// [`LinkError::NotSent`] when no byte left; after any other error the call
-    /// may have run.
+    /// [`LinkError::NotSent`] when nothing was sent; after any other error the call may
+    /// have run.
     pub async fn call(&self, call: ServiceRequest) -> Result<StoredAnswer, LinkError> {
         let url = format!("{}/{}", self.url, call.path);
         let mut request = self
@@ -94,7 +95,7 @@
     }
 }
 
-/// Passes on an answer that echoes `request_id`.
+/// Returns the answer if it contains `request_id`, and an error otherwise.
 fn check_request_id(answer: StoredAnswer, request_id: &str) -> Result<StoredAnswer, LinkError> {
     let echoed = serde_json::from_slice::<EchoedRequestId>(&answer.body)
         .map_err(|error| LinkError::Malformed(error.to_string()))?;
@@ -102,7 +103,7 @@
         return Ok(answer);
     }
     Err(LinkError::Malformed(format!(
-        "the answer belongs to request {:?}",
+        "the response belongs to request {:?}",
         echoed.request_id
     )))
 }
--- a/src/regions/host_location.rs
+++ b/src/regions/host_location.rs
@@ -1,8 +1,8 @@
-/// Where a host stands.
+/// Region and failure domain of a host.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostLocation {
-    /// Region.
+    /// Name of the region.
     pub region: String,
-    /// Failure domain inside the region.
+    /// Name of the failure domain within the region.
     pub domain: String,
 }
--- a/src/regions/mod.rs
+++ b/src/regions/mod.rs
@@ -1,4 +1,4 @@
-//! Regions and failure domains.
+//! Location of hosts in regions and failure domains.
 
 mod host_location;
 mod spread;
