--- a/src/conf/backend_settings.rs
+++ b/src/conf/backend_settings.rs
@@ -6,7 +6,7 @@
 
 const SECTION: &str = "backend";
 
-/// Which keys of `[backend]` a kind uses.
+/// Value of `kind` in `[backend]`, which determines the other keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BackendKind {
     Engine,
@@ -17,21 +17,23 @@
     ("engine", BackendKind::Engine),
     ("service", BackendKind::Service),
 ];
+
+/// Values of a key that is on or off.
 const YES_NO: [(&str, bool); 2] = [("yes", true), ("no", false)];
 
-/// What stands beside an endpoint process.
+/// Engine or service that an endpoint process sends requests to.
 #[derive(Debug, Clone)]
 pub enum BackendSettings {
-    /// A model engine.
+    /// Engine that serves models.
     Engine {
-        /// Where it listens.
+        /// Base URL of the engine.
         url: String,
-        /// Whether it refuses an order with an old number.
+        /// Whether the engine refuses orders with a lower fencing number than before.
         checks_orders: bool,
     },
-    /// A plain service.
+    /// Plain service, without weights.
     Service {
-        /// Where it listens.
+        /// Base URL of the service.
         url: String,
         /// Name of the service in the configuration.
         name: String,
@@ -39,13 +41,14 @@
 }
 
 impl BackendSettings {
-    /// Where the engine or service listens.
+    /// Base URL of the engine or service.
     pub fn url(&self) -> &str {
         match self {
             Self::Engine { url, .. } | Self::Service { url, .. } => url,
         }
     }
 
+    /// Reads all keys; a backend at the address `listen` of the endpoint itself is a fault.
     pub(super) fn read(reader: &mut SettingsReader, listen: SocketAddr) -> Self {
         let kind = reader.choice(SECTION, "kind", &KINDS, None);
         let url = reader.url(SECTION, "url");
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Accepts the keys of either kind while the kind is unknown.
+    /// Declares the keys of both kinds, as the kind is missing or invalid.
     fn declare_keys(reader: &mut SettingsReader) {
         reader.declare_key(SECTION, "checks_orders", "yes, no", Some("no"));
         reader.declare_key(SECTION, "name", NAME_ALLOWED, None);
--- a/src/conf/check.rs
+++ b/src/conf/check.rs
@@ -9,7 +9,7 @@
 use super::process_settings::read_role;
 use crate::hosts::HostRole;
 
-/// Validates the settings file of either role and says which role it is for.
+/// Validates a settings file and returns the role that it is for.
 ///
 /// # Errors
 ///
@@ -25,7 +25,7 @@
     }
 }
 
-/// Every key that settings of `role` may hold.
+/// All keys that a settings file of `role` may contain.
 pub fn declared_keys(role: HostRole) -> Vec<DeclaredKey> {
     let mut reader = SettingsReader::empty();
     match role {
--- a/src/conf/cluster_settings.rs
+++ b/src/conf/cluster_settings.rs
@@ -7,7 +7,7 @@
 
 const SECTION: &str = "cluster";
 
-/// Shortest shared key that is accepted.
+/// Shortest accepted shared key, in characters.
 const MIN_SHARED_KEY_CHARS: usize = 16;
 
 const GOSSIP_MS: NumberKey = NumberKey {
@@ -24,26 +24,27 @@
     default: 2000,
 };
 
+/// Values of `partition_policy`.
 const PARTITION_POLICIES: [(&str, PartitionPolicy); 2] = [
     ("serve", PartitionPolicy::Serve),
     ("refuse", PartitionPolicy::Refuse),
 ];
 
-/// What all processes of one deployment share.
+/// Settings common to all processes of a deployment.
 #[derive(Clone)]
 pub struct ClusterSettings {
-    /// Key that calls between the processes carry.
+    /// Key that requests between the processes carry; secret.
     pub shared_key: String,
     /// Time between two rounds of gossip; default 1000.
     pub gossip_ms: u64,
-    /// Time between two reads of the list of hosts; default 2000.
+    /// Time between two fetches of the list of hosts; default 2000.
     pub hosts_poll_ms: u64,
-    /// What a process does that is cut off from the others; default `serve`.
+    /// What a process does while it can't confirm its configuration; default `serve`.
     pub partition_policy: PartitionPolicy,
 }
 
 impl ClusterSettings {
-    /// Settings with the defaults beside the shared key.
+    /// Creates settings with this shared key and the defaults.
     pub fn new(shared_key: impl Into<String>) -> Self {
         Self {
             shared_key: shared_key.into(),
@@ -53,6 +54,7 @@
         }
     }
 
+    /// Reads all keys.
     pub(super) fn read(reader: &mut SettingsReader) -> Self {
         Self {
             shared_key: reader.secret(SECTION, "shared_key", MIN_SHARED_KEY_CHARS),
@@ -70,7 +72,7 @@
     }
 }
 
-// The shared key must not reach a log.
+// Leaves the shared key out, so that it can't reach a log.
 impl fmt::Debug for ClusterSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("ClusterSettings")
--- a/src/conf/declared_key.rs
+++ b/src/conf/declared_key.rs
@@ -1,12 +1,12 @@
-/// A key that a role's settings may hold.
+/// Key that the settings of a role may contain.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeclaredKey {
-    /// Section header without brackets.
+    /// Section without brackets.
     pub section: String,
     /// Name of the key.
     pub key: &'static str,
-    /// Values it accepts.
+    /// Description of the accepted values.
     pub allowed: String,
-    /// Value used when the key is absent; none for a required key.
+    /// Value when the key is absent; `None` if the key is required.
     pub default: Option<String>,
 }
--- a/src/conf/endpoint_settings.rs
+++ b/src/conf/endpoint_settings.rs
@@ -38,26 +38,26 @@
 /// Settings of an endpoint process.
 #[derive(Debug, Clone)]
 pub struct EndpointSettings {
-    /// Who the process is.
+    /// Identity, location and logging of the process.
     pub process: ProcessSettings,
-    /// Where the platform is.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// What all processes share.
+    /// Settings common to all processes.
     pub cluster: ClusterSettings,
-    /// The engine or service beside it.
+    /// Engine or service that the endpoint sends requests to.
     pub backend: BackendSettings,
-    /// Requests that run at once; default 8.
+    /// Most requests that run at once; default 8.
     pub slots: u64,
-    /// Requests that wait for a slot; default 64.
+    /// Most requests that wait for a slot; default 64.
     pub queue_limit: u64,
-    /// Longest graceful stop; default 30000.
+    /// Longest time that a graceful stop takes; default 30000.
     pub drain_ms: u64,
-    /// How it holds and moves weights.
+    /// Limits of storing and transferring weights.
     pub weights: WeightsSettings,
 }
 
 impl EndpointSettings {
-    /// Settings with the defaults.
+    /// Creates settings with the defaults.
     pub fn new(
         process: ProcessSettings,
         platform: PlatformSettings,
@@ -88,6 +88,7 @@
         Ok(settings)
     }
 
+    /// Reads all keys, and reports those that don't fit together as faults.
     pub(super) fn read(reader: &mut SettingsReader) -> Self {
         let process = ProcessSettings::read(reader, HostRole::Endpoint);
         let backend = BackendSettings::read(reader, process.listen);
@@ -106,7 +107,7 @@
         settings
     }
 
-    /// A plain service holds no weights.
+    /// Checks that there is no weights section beside a plain service, which has none.
     fn check_weights_section(&self, reader: &mut SettingsReader) {
         let service = matches!(self.backend, BackendSettings::Service { .. });
         if !service || !reader.has_section(weights_settings::SECTION) {
@@ -117,7 +118,8 @@
         reader.add_fault(weights_settings::SECTION, "", None, problem, allowed);
     }
 
-    /// A queue shorter than the slots would refuse work that has room.
+    /// Checks that the queue is not shorter than the slots: it would refuse requests while
+    /// slots are free.
     fn check_queue_limit(&self, reader: &mut SettingsReader) {
         if self.queue_limit >= self.slots {
             return;
--- a/src/conf/entry_settings.rs
+++ b/src/conf/entry_settings.rs
@@ -26,8 +26,8 @@
     default: 1024 * 1024,
 };
 
-// The HTTP server's clock moves in steps of 500 ms; a shorter timeout would
-// cut off requests that were sent at once.
+// The clock of the HTTP server advances in steps of 500 ms, so a timeout shorter than
+// 1000 ms would also abort requests that were sent without delay.
 const SLOW_CLIENT_TIMEOUT_MS: NumberKey = NumberKey {
     key: "slow_client_timeout_ms",
     unit: Unit::Milliseconds,
@@ -70,40 +70,41 @@
     default: 86_400_000,
 };
 
-/// A checkpoint is due within a quarter of the retention.
+/// Rounds of gossip that must fit into the retention, so that a checkpoint reaches all
+/// processes before the records it covers are trimmed.
 const CHECKPOINTS_PER_RETENTION: u64 = 4;
 
 /// Settings of an entry process.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// Who the process is.
+    /// Identity, location and logging of the process.
     pub process: ProcessSettings,
-    /// Where the platform is.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// What all processes share.
+    /// Settings common to all processes.
     pub cluster: ClusterSettings,
-    /// How long a caller may keep an answer with addresses; default 10000.
+    /// Time that a client may use the addresses of entries it got; default 10000.
     pub address_lifetime_ms: u64,
     /// Largest request body; default 1 MiB.
     pub max_body_bytes: u64,
-    /// How long a client may take for the head, and again for the body; default 5000.
+    /// Time a client has to send a head, and again for a body; default 5000.
     pub slow_client_timeout_ms: u64,
-    /// Silence after which a connection is abandoned; default 3000.
+    /// Time without data after which a connection is abandoned; default 3000.
     pub silence_ms: u64,
-    /// Longest graceful stop; default 30000.
+    /// Longest time that a graceful stop takes; default 30000.
     pub drain_ms: u64,
-    /// Retries allowed in a hundred requests; default 10.
+    /// Retries allowed, in percent of the requests; default 10.
     pub retry_budget_percent: u64,
-    /// Permits given with one answer; default 4.
+    /// Permits issued with one answer; default 4.
     pub permits_per_answer: u64,
-    /// How long the platform's log keeps a record; default one day.
+    /// Time that the platform's log keeps a record; default one day.
     pub log_retention_ms: u64,
     /// Teams that may write the configuration.
     pub teams: Vec<TeamSettings>,
 }
 
 impl EntrySettings {
-    /// Settings with the defaults and no team.
+    /// Creates settings with the defaults and without teams.
     pub fn new(
         process: ProcessSettings,
         platform: PlatformSettings,
@@ -137,6 +138,7 @@
         Ok(settings)
     }
 
+    /// Reads all keys, and reports those that don't fit together as faults.
     pub(super) fn read(reader: &mut SettingsReader) -> Self {
         let settings = Self {
             process: ProcessSettings::read(reader, HostRole::Entry),
@@ -157,7 +159,7 @@
         settings
     }
 
-    /// A stopping entry serves until the addresses it gave have lapsed.
+    /// Checks that a stopping entry serves until its address has expired at all clients.
     fn check_drain_ms(&self, reader: &mut SettingsReader) {
         if self.drain_ms > self.address_lifetime_ms {
             return;
@@ -171,7 +173,8 @@
         reader.add_fault(SECTION, DRAIN_MS.key, Some(&value), problem, &allowed);
     }
 
-    /// Checkpoints must be spread before the records they cover are trimmed.
+    /// Checks that a checkpoint can reach all processes before the records it covers are
+    /// trimmed.
     fn check_log_retention_ms(&self, reader: &mut SettingsReader) {
         let min_retention_ms = self.cluster.gossip_ms * CHECKPOINTS_PER_RETENTION;
         if self.log_retention_ms >= min_retention_ms {
--- a/src/conf/log_format.rs
+++ b/src/conf/log_format.rs
@@ -1,9 +1,9 @@
-/// Shape of the log lines.
+/// Format of the log on standard error.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text an event.
+    /// One line of text per event.
     #[default]
     Text,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
 }
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,10 +1,9 @@
-//! INI settings of each role, with documented defaults and full validation.
+//! Settings of each role, read from INI files and validated.
 //!
-//! A file is read through [`SettingsReader`], which collects every fault instead of
-//! stopping at the first: unknown, missing and repeated sections and keys,
-//! malformed values, values out of range and combinations that cannot work.
-//! The structs may also be built in code, where [`Default`] gives the
-//! documented default of every optional key.
+//! [`SettingsReader`] collects all faults of a file instead of stopping at the first:
+//! unknown, missing and repeated sections and keys, malformed values, values out of
+//! range and combinations that can't work. Code may also build the structs itself;
+//! optional keys then get the same defaults as in a file.
 
 mod backend_settings;
 mod check;
--- a/src/conf/number_key.rs
+++ b/src/conf/number_key.rs
@@ -1,18 +1,18 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Unit that a numeric key counts in; the key's name ends with it.
+/// Unit of a numeric key; the key's name ends with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
-    /// Things, such as slots.
+    /// Number of items, such as slots.
     Count,
     /// Milliseconds.
     Milliseconds,
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesPerSecond,
-    /// Hundredths.
+    /// Percent.
     Percent,
 }
 
@@ -28,21 +28,21 @@
     }
 }
 
-/// A numeric key: its unit, range and default.
+/// Numeric key of a settings file, with its unit, range and default.
 #[derive(Debug, Clone)]
 pub struct NumberKey {
     /// Name of the key.
     pub key: &'static str,
-    /// Unit it counts in.
+    /// Unit of the values.
     pub unit: Unit,
-    /// Values it accepts.
+    /// Accepted values.
     pub range: RangeInclusive<u64>,
-    /// Value used when the key is absent.
+    /// Value when the key is absent.
     pub default: u64,
 }
 
 impl NumberKey {
-    /// What the key accepts, for messages.
+    /// Description of the accepted values, for messages.
     pub fn allowed(&self) -> String {
         let (low, high) = (self.range.start(), self.range.end());
         format!("{} from {low} to {high}, digits only", self.unit)
--- a/src/conf/partition_policy.rs
+++ b/src/conf/partition_policy.rs
@@ -1,9 +1,9 @@
-/// What a process does with calls while it cannot confirm the configuration.
+/// How a process handles new requests while it can't confirm its configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PartitionPolicy {
-    /// Serve on the last configuration, counted and shown.
+    /// Serve them with the last configuration; metrics count them and the status shows it.
     #[default]
     Serve,
-    /// Refuse new calls.
+    /// Refuse them.
     Refuse,
 }
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -3,26 +3,26 @@
 const SECTION: &str = "platform";
 const DEFAULT_CONFIG_STREAM: &str = "config";
 
-/// Names no region: the first region of the hosts takes the origin's place.
+/// Region of the origin when none is set; stands for the first region of the hosts by name.
 const UNNAMED_REGION: &str = "none";
 
-/// Where the platform's services are.
+/// Addresses of the platform's services.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
-    /// The log service.
+    /// Base URL of the log.
     pub log_url: String,
-    /// The list of live and leaving hosts.
+    /// Base URL of the list of live and leaving hosts.
     pub hosts_url: String,
-    /// The origin of weights.
+    /// Base URL of the origin of weights.
     pub origin_url: String,
-    /// Region of the origin; default `none`, which takes the first by name.
+    /// Region of the origin; default `none`, which stands for the first region by name.
     pub origin_region: String,
-    /// Stream of the log that carries the configuration; default `config`.
+    /// Stream of the log with the configuration; default `config`.
     pub config_stream: String,
 }
 
 impl PlatformSettings {
-    /// Settings with the default stream.
+    /// Creates settings with the default stream and region.
     pub fn new(
         log_url: impl Into<String>,
         hosts_url: impl Into<String>,
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Reads all keys.
     pub(super) fn read(reader: &mut SettingsReader) -> Self {
         Self {
             log_url: reader.url(SECTION, "log_url"),
--- a/src/conf/process_settings.rs
+++ b/src/conf/process_settings.rs
@@ -8,6 +8,8 @@
 use crate::hosts::HostRole;
 
 const SECTION: &str = "process";
+
+/// Description of the accepted addresses.
 const LISTEN_ALLOWED: &str = "IP:port by number, neither 0.0.0.0 nor port 0";
 
 const ROLES: [(&str, HostRole); 2] = [("entry", HostRole::Entry), ("endpoint", HostRole::Endpoint)];
@@ -22,27 +24,27 @@
     ("trace", LevelFilter::Trace),
 ];
 
-/// Who a process is, where it stands and how it logs.
+/// Identity, location and logging of a process.
 #[derive(Debug, Clone)]
 pub struct ProcessSettings {
     /// Role of the process.
     pub role: HostRole,
     /// Name, unique among the hosts.
     pub name: String,
-    /// Region it stands in.
+    /// Region of the process.
     pub region: String,
-    /// Failure domain inside the region.
+    /// Failure domain within the region.
     pub domain: String,
-    /// Address it listens on and is reached at.
+    /// Address that the process listens on and that other hosts connect to.
     pub listen: SocketAddr,
-    /// Shape of the log lines; default `text`.
+    /// Format of the log; default `text`.
     pub log_format: LogFormat,
-    /// Least severe level that is logged; default `info`.
+    /// Lowest level that is logged; default `info`.
     pub log_level: LevelFilter,
 }
 
 impl ProcessSettings {
-    /// Settings of a process of `role`, with the defaults for logs.
+    /// Creates settings with the defaults for logging.
     pub fn new(
         role: HostRole,
         name: impl Into<String>,
@@ -61,10 +63,11 @@
         }
     }
 
+    /// Reads all keys; a file for another role than `role` is a fault.
     pub(super) fn read(reader: &mut SettingsReader, role: HostRole) -> Self {
-        let found = read_role(reader);
-        if found.is_some_and(|found| found != role) {
-            let value = role_name(found.unwrap_or(role));
+        let found_role = read_role(reader);
+        if found_role.is_some_and(|found| found != role) {
+            let value = role_name(found_role.unwrap_or(role));
             let problem = "the file belongs to another role";
             reader.add_fault(SECTION, "role", Some(value), problem, role_name(role));
         }
@@ -85,12 +88,12 @@
     }
 }
 
-/// Role that a file names.
+/// Reads only the role, to find out which settings the file must hold.
 pub(super) fn read_role(reader: &mut SettingsReader) -> Option<HostRole> {
     reader.choice(SECTION, "role", &ROLES, None)
 }
 
-/// Name of `role` in settings.
+/// Name of `role` in settings files.
 pub fn role_name(role: HostRole) -> &'static str {
     match role {
         HostRole::Entry => "entry",
@@ -98,7 +101,9 @@
     }
 }
 
-/// Peers are told the address, so it must name one host and one port.
+/// Checks that other hosts can connect to the address, as it is reported to them.
+///
+/// A missing address becomes a placeholder.
 fn check_listen(reader: &mut SettingsReader, listen: Option<SocketAddr>) -> SocketAddr {
     let Some(address) = listen else {
         return SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
--- a/src/conf/settings_fault.rs
+++ b/src/conf/settings_fault.rs
@@ -1,20 +1,20 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// One thing wrong in a settings file.
+/// Fault in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// The settings file.
+    /// Path of the settings file.
     pub file: PathBuf,
-    /// Section header without brackets; empty for the file as a whole.
+    /// Section without brackets; empty when the fault concerns the whole file.
     pub section: String,
-    /// Key; empty for the section as a whole.
+    /// Key; empty when the fault concerns the whole section.
     pub key: String,
-    /// Value found, unless there was none or it is secret.
+    /// Value in the file; a placeholder if it is secret.
     pub value: Option<String>,
-    /// What is wrong.
+    /// Description of the fault.
     pub problem: String,
-    /// What is allowed in its place.
+    /// Description of what is allowed instead.
     pub allowed: String,
 }
 
--- a/src/conf/settings_faults.rs
+++ b/src/conf/settings_faults.rs
@@ -2,7 +2,7 @@
 
 use super::SettingsFault;
 
-/// Everything wrong in a settings file.
+/// All faults of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsFaults(pub Vec<SettingsFault>);
 
--- a/src/conf/settings_reader.rs
+++ b/src/conf/settings_reader.rs
@@ -13,27 +13,33 @@
 use super::SettingsFault;
 use super::SettingsFaults;
 
-/// Shown in place of a secret value.
+/// Placeholder for a secret value in a fault.
 const HIDDEN: &str = "(hidden)";
 
-/// What a name may hold: it becomes part of paths and of section headers.
+/// Description of the accepted names, which become part of paths and section headers.
 pub(super) const NAME_ALLOWED: &str = "a name of ASCII letters, digits, '-', '_' and '.'";
 
-/// Reads typed values from one settings file and collects every fault.
+/// Reads typed values from a settings file and collects all faults.
 ///
-/// A faulty or missing value reads as a placeholder; [`SettingsReader::finish`] then
-/// fails, so that no placeholder is ever used.
+/// The value of a faulty or missing key is a placeholder. [`SettingsReader::finish`]
+/// then returns the faults, so that no placeholder is ever used.
 #[derive(Debug)]
 pub struct SettingsReader {
     file: PathBuf,
     ini: Ini,
+    /// Keys declared so far; any other key is a fault.
     declared: Vec<DeclaredKey>,
+    /// Sections with declared keys; any other section is a fault.
     sections: BTreeSet<String>,
     faults: Vec<SettingsFault>,
 }
 
 impl SettingsReader {
-    /// Reads and parses `path`.
+    /// Reads and parses the file at `path`.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsFaults`] when the file can't be read or is not an INI file.
     pub fn open(path: impl AsRef<Path>) -> Result<Self, SettingsFaults> {
         let file = path.as_ref().to_path_buf();
         let text = match fs::read_to_string(&file) {
@@ -46,11 +52,12 @@
         }
     }
 
-    /// A reader of an empty file, to learn the declared keys.
+    /// Creates a reader of an empty file, to collect the declared keys.
     pub fn empty() -> Self {
         Self::from_ini(PathBuf::new(), Ini::new())
     }
 
+    /// Creates a reader of a parsed file.
     fn from_ini(file: PathBuf, ini: Ini) -> Self {
         Self {
             file,
@@ -61,7 +68,7 @@
         }
     }
 
-    /// Names of the sections that start with `prefix` and a space.
+    /// Names after `prefix` and a space in the section headers that start so.
     pub fn section_suffixes(&self, prefix: &str) -> Vec<String> {
         let mut names: Vec<String> = self
             .ini
@@ -74,29 +81,29 @@
         names
     }
 
-    /// Whether the file has `section`.
+    /// Whether the file contains `section`.
     pub fn has_section(&self, section: &str) -> bool {
         self.ini.section(Some(section)).is_some()
     }
 
-    /// Whether the file sets `key` in `section`.
+    /// Whether the file contains `key` in `section`.
     pub fn has_key(&self, section: &str, key: &str) -> bool {
         self.raw_value(section, key).is_some()
     }
 
-    /// A required name.
+    /// Reads a required name.
     pub fn name(&mut self, section: &str, key: &'static str) -> String {
         self.parse(section, key, NAME_ALLOWED, None, parse_name)
             .unwrap_or_default()
     }
 
-    /// A name with a default.
+    /// Reads a name with a default.
     pub fn name_or(&mut self, section: &str, key: &'static str, default: &str) -> String {
         self.parse(section, key, NAME_ALLOWED, Some(default), parse_name)
             .unwrap_or_default()
     }
 
-    /// A required secret of at least `min_chars` characters, never shown.
+    /// Reads a required secret of at least `min_chars` characters, hidden in faults.
     pub fn secret(&mut self, section: &str, key: &'static str, min_chars: usize) -> String {
         let allowed = format!("at least {min_chars} characters");
         let secret = self.parse(section, key, &allowed, None, |text| {
@@ -110,19 +117,19 @@
         secret.unwrap_or_default()
     }
 
-    /// A number with a default.
+    /// Reads a number with a default.
     pub fn number(&mut self, section: &str, number: &NumberKey) -> u64 {
         let default = number.default.to_string();
         let allowed = number.allowed();
         self.parse(section, number.key, &allowed, Some(&default), |text| {
-            let digits = text.bytes().all(|byte| byte.is_ascii_digit());
-            let value: u64 = text.parse().ok().filter(|_| digits)?;
+            let is_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+            let value: u64 = text.parse().ok().filter(|_| is_digits)?;
             number.range.contains(&value).then_some(value)
         })
         .unwrap_or(number.default)
     }
 
-    /// One of a few named choices; required when `default` is none.
+    /// Reads one of the named `choices`; the key is required when `default` is `None`.
     pub fn choice<T: Copy>(
         &mut self,
         section: &str,
@@ -138,7 +145,7 @@
         })
     }
 
-    /// A required value parsed by its own `FromStr`.
+    /// Reads a required value with its implementation of `FromStr`.
     pub fn value<T: FromStr>(
         &mut self,
         section: &str,
@@ -148,7 +155,7 @@
         self.parse(section, key, allowed, None, |text| text.parse().ok())
     }
 
-    /// A required list separated by commas, with no empty item.
+    /// Reads a required list separated by commas; empty items are a fault.
     pub fn list(&mut self, section: &str, key: &'static str, allowed: &str) -> Vec<String> {
         self.parse(section, key, allowed, None, |text| {
             let items: Vec<String> = text.split(',').map(|item| item.trim().to_owned()).collect();
@@ -157,7 +164,7 @@
         .unwrap_or_default()
     }
 
-    /// A required `http://IP:port` without a path.
+    /// Reads a required URL of the form `http://IP:port`, without a path.
     pub fn url(&mut self, section: &str, key: &'static str) -> String {
         let allowed = "http://IP:port, such as http://127.0.0.1:7001";
         self.parse(section, key, allowed, None, |text| {
@@ -167,7 +174,8 @@
         .unwrap_or_default()
     }
 
-    /// Parses one key and notes it as declared; a fault reads as none.
+    /// Declares and parses a key; adds a fault and returns `None` when it is missing or
+    /// invalid.
     fn parse<T>(
         &mut self,
         section: &str,
@@ -189,7 +197,7 @@
         value
     }
 
-    /// Notes a key as known without reading it.
+    /// Declares a key, so that it is accepted, without reading it.
     pub(super) fn declare_key(
         &mut self,
         section: &str,
@@ -206,12 +214,13 @@
         });
     }
 
+    /// Text of a key in the file, trimmed.
     fn raw_value(&self, section: &str, key: &str) -> Option<&str> {
         let properties = self.ini.section(Some(section))?;
         properties.get(key).map(str::trim)
     }
 
-    /// Notes a fault of one key, section or combination.
+    /// Adds a fault of a key, a section or a combination of keys.
     pub fn add_fault(
         &mut self,
         section: &str,
@@ -230,17 +239,21 @@
         });
     }
 
-    /// The keys read so far.
+    /// Keys declared so far.
     pub fn into_declared_keys(self) -> Vec<DeclaredKey> {
         self.declared
     }
 
-    /// The faults noted so far.
+    /// Faults found so far.
     pub fn into_faults(self) -> SettingsFaults {
         SettingsFaults(self.faults)
     }
 
-    /// Reports everything wrong, including what nobody asked for.
+    /// Checks for unknown and repeated sections and keys and returns all faults.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsFaults`] when there is any fault.
     pub fn finish(mut self) -> Result<(), SettingsFaults> {
         self.check_keys_outside_sections();
         self.check_sections();
@@ -250,7 +263,7 @@
         Err(self.into_faults())
     }
 
-    /// Keys before the first section belong to nothing.
+    /// Adds a fault for each key before the first section.
     fn check_keys_outside_sections(&mut self) {
         let outside_keys: Vec<(String, String)> = key_value_pairs(self.ini.general_section());
         let known = self.known_sections();
@@ -266,6 +279,7 @@
         }
     }
 
+    /// Adds a fault for each unknown section and checks the keys of the others.
     fn check_sections(&mut self) {
         let mut names: Vec<String> = self.ini.sections().flatten().map(str::to_owned).collect();
         names.sort_unstable();
@@ -280,14 +294,14 @@
         }
     }
 
-    /// Checks one section for repetition and for unknown and repeated keys.
+    /// Adds a fault for a repeated section and for its unknown and repeated keys.
     fn check_section(&mut self, section: &str) {
-        let all: Vec<Vec<(String, String)>> = self
+        let occurrences: Vec<Vec<(String, String)>> = self
             .ini
             .section_all(Some(section))
             .map(key_value_pairs)
             .collect();
-        if all.len() > 1 {
+        if occurrences.len() > 1 {
             self.add_fault(
                 section,
                 "",
@@ -298,7 +312,7 @@
         }
         let known = self.known_keys(section);
         let mut found_keys = BTreeSet::new();
-        for (key, value) in all.into_iter().flatten() {
+        for (key, value) in occurrences.into_iter().flatten() {
             if !known.contains(&key.as_str()) {
                 let allowed = format!("the keys {}", known.join(", "));
                 self.add_fault(section, &key, Some(&value), "the key is unknown", &allowed);
@@ -308,6 +322,7 @@
         }
     }
 
+    /// Keys declared in `section`, in order of declaration.
     fn known_keys(&self, section: &str) -> Vec<&'static str> {
         let mut keys: Vec<&'static str> = self
             .declared
@@ -319,6 +334,7 @@
         keys
     }
 
+    /// Sections with declared keys, as a list for messages.
     fn known_sections(&self) -> String {
         let names: Vec<String> = self
             .sections
@@ -329,16 +345,18 @@
     }
 }
 
+/// Returns `text` if it is an accepted name.
 fn parse_name(text: &str) -> Option<String> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     (!text.is_empty() && text.chars().all(is_allowed)).then(|| text.to_owned())
 }
 
-/// Address in a text such as `http://127.0.0.1:7001`.
+/// Address in a URL such as `http://127.0.0.1:7001`; `None` for any other form.
 pub fn parse_url_address(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.parse().ok()
 }
 
+/// Keys and values of a section, in order, with repetitions.
 fn key_value_pairs(properties: &Properties) -> Vec<(String, String)> {
     properties
         .iter()
@@ -346,6 +364,7 @@
         .collect()
 }
 
+/// Fault of a file that could not be read or parsed.
 fn unreadable_file(file: PathBuf, problem: String) -> SettingsFaults {
     SettingsFaults(vec![SettingsFault {
         file,
--- a/src/conf/weights_settings.rs
+++ b/src/conf/weights_settings.rs
@@ -2,6 +2,7 @@
 use super::SettingsReader;
 use super::Unit;
 
+/// Section of these settings, which a plain service must not have.
 pub(super) const SECTION: &str = "weights";
 
 const MIB: u64 = 1024 * 1024;
@@ -42,22 +43,23 @@
     default: 6,
 };
 
-/// How an endpoint holds and moves weights.
+/// Limits of storing and transferring weights on an endpoint.
 #[derive(Debug, Clone)]
 pub struct WeightsSettings {
     /// Memory for weights; default 2 GiB.
     pub budget_bytes: u64,
-    /// Rate of the link towards other hosts; default 128 MiB/s.
+    /// Capacity of the link to other hosts; default 128 MiB/s.
     pub up_bytes_per_s: u64,
-    /// Rate of the link from other hosts; default 128 MiB/s.
+    /// Capacity of the link from other hosts; default 128 MiB/s.
     pub down_bytes_per_s: u64,
-    /// Part of each link kept for live requests; default 20.
+    /// Share of each link that is reserved for live requests; default 20.
     pub live_share_percent: u64,
-    /// Peers asked for chunks at a time; default 6.
+    /// Most peers that are asked for chunks at a time; default 6.
     pub neighbours: u64,
 }
 
 impl WeightsSettings {
+    /// Reads all keys.
     pub(super) fn read(reader: &mut SettingsReader) -> Self {
         Self {
             budget_bytes: reader.number(SECTION, &BUDGET_BYTES),
