--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! bergamotfork distributes model weights to hosts in bursts and routes live
-//! requests to the replicas that serve them.
+//! bergamotfork distributes the weights of models to many hosts at once and routes
+//! requests to the replicas that serve the models.
 //!
-//! Decision logic (the document fold, the transfer plan, the permit table, the
-//! fair queue) does no I/O and takes time as an argument, so that tests,
-//! specifications and the running system execute the same code.
+//! The logic that decides does no I/O and takes the time as an argument: the fold of
+//! the configuration log into a document, the plan of transfers, the table of permits
+//! and the fair queue. Tests, specifications and the running system share this code.
 
 pub mod bench;
 pub mod calls;
--- a/src/observe/event.rs
+++ b/src/observe/event.rs
@@ -2,35 +2,35 @@
 
 use log::Level;
 
-/// Declares the events: number, name, level and meaning.
+/// Declares the events with their numbers, names, levels and meanings.
 macro_rules! events {
     ($($number:literal $name:ident $level:ident $meaning:literal;)*) => {
-        /// A numbered event; docs/EVENTS.md is its catalogue.
+        /// Event in the logs; docs/EVENTS.md lists all of them.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Event {
             $(#[doc = $meaning] $name,)*
         }
 
         impl Event {
-            /// Every event, in ascending number.
+            /// All events, by ascending number.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Stable number of the event.
+            /// Number of the event; part of the interface.
             pub fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Stable name of the event.
+            /// Name of the event; part of the interface.
             pub fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name),)* }
             }
 
-            /// Level the event is logged at.
+            /// Level at which the event is logged.
             pub fn level(self) -> Level {
                 match self { $(Self::$name => Level::$level,)* }
             }
 
-            /// What the event means, in one sentence.
+            /// Meaning in one sentence, for operators.
             pub fn meaning(self) -> &'static str {
                 match self { $(Self::$name => $meaning,)* }
             }
@@ -38,8 +38,9 @@
     };
 }
 
-// Blocks of numbers: 100 process, 200 configuration, 300 weights, 400 calls,
-// 500 hosts, 600 links, 900 stand-ins.
+// Ranges of numbers: 100 process, 200 configuration, 300 weights, 400 calls, 500 hosts,
+// 600 links, 700 requests and records of the gateway, 800 staging of weights; 900 is
+// reserved for stand-ins.
 events! {
     101 ProcessStarted Info "A process is listening.";
     102 ProcessStopping Info "A process received a stop signal and drains.";
@@ -89,7 +90,7 @@
     806 EngineChanged Info "The engine restarted, or its version or state changed.";
 }
 
-/// Logs `event` with its `fields`.
+/// Logs `event` with `fields` as one line of text.
 pub fn emit_event(event: Event, fields: &[(&str, &dyn Display)]) {
     if !log::log_enabled!(event.level()) {
         return;
--- a/src/observe/log_line.rs
+++ b/src/observe/log_line.rs
@@ -9,17 +9,20 @@
 
 use crate::observe::Event;
 
-/// Bytes of lines kept between two flushes; lines beyond are counted and dropped.
+/// Bytes of lines kept between two flushes; further lines are dropped and counted.
 const MAX_PENDING_BYTES: usize = 64 * 1024;
 
-/// Blocks of lines that may wait for a slow reader of standard output.
+/// Blocks of lines that may be queued while the reader of standard output is slow.
 const MAX_QUEUED_BLOCKS: usize = 16;
 
-/// Lines that wait to be written.
+/// Lines of one thread that are not yet handed to the writer thread.
 #[derive(Debug, Default)]
 struct PendingLines {
+    /// The lines, each with its newline.
     text: String,
+    /// Lines dropped since the last successful flush.
     dropped_lines: u64,
+    /// Queue of the writer thread; `None` when it was not started or has ended.
     writer: Option<SyncSender<String>>,
 }
 
@@ -27,10 +30,10 @@
     static PENDING: RefCell<PendingLines> = RefCell::default();
 }
 
-/// One JSON line about an event, written to standard output.
+/// Line of JSON about an event, for standard output.
 ///
-/// Lines gather in memory until `flush_log` hands them to a writer thread, so
-/// that a slow reader never holds a request up.
+/// Lines are kept in memory until `flush_log` hands them to a writer thread, so that a
+/// slow reader of standard output does not delay requests.
 #[derive(Debug)]
 #[must_use]
 pub struct LogLine {
@@ -38,7 +41,7 @@
 }
 
 impl LogLine {
-    /// Line about `event`, with its number, name and the time of day.
+    /// Creates a line about `event` with the time and the event's number, name and level.
     pub fn new(event: Event) -> Self {
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -53,27 +56,27 @@
         }
     }
 
-    /// Adds a text.
+    /// Adds a field with a string.
     pub fn text(mut self, key: &str, value: impl AsRef<str>) -> Self {
         let quoted = serde_json::Value::from(value.as_ref()).to_string();
         self.text.push_str(&format!(",\"{key}\":{quoted}"));
         self
     }
 
-    /// Adds a whole number.
+    /// Adds a field with an integer; one that exceeds `i64` becomes `i64::MAX`.
     pub fn number(mut self, key: &str, value: impl TryInto<i64>) -> Self {
         let value = value.try_into().unwrap_or(i64::MAX);
         self.text.push_str(&format!(",\"{key}\":{value}"));
         self
     }
 
-    /// Adds true or false.
+    /// Adds a field with a boolean.
     pub fn flag(mut self, key: &str, value: bool) -> Self {
         self.text.push_str(&format!(",\"{key}\":{value}"));
         self
     }
 
-    /// Queues the line for writing.
+    /// Keeps the line for the next flush; drops and counts it when too much is kept.
     pub fn enqueue(self) {
         PENDING.with_borrow_mut(|pending| {
             if pending.text.len() + self.text.len() > MAX_PENDING_BYTES {
@@ -86,7 +89,7 @@
     }
 }
 
-/// Starts the thread that writes log lines to standard output.
+/// Starts the thread that writes the lines of the current thread to standard output.
 pub fn start_log_writer() {
     let (sender, receiver) = sync_channel::<String>(MAX_QUEUED_BLOCKS);
     std::thread::spawn(move || {
@@ -100,7 +103,7 @@
     PENDING.with_borrow_mut(|pending| pending.writer = Some(sender));
 }
 
-/// Hands the queued lines to the writer again and again.
+/// Calls `flush_log` at this interval, without end.
 pub async fn flush_log_every(interval: Duration) {
     loop {
         tokio::time::sleep(interval).await;
@@ -108,7 +111,8 @@
     }
 }
 
-/// Hands the queued lines to the writer; drops and counts them when it is stuck.
+/// Hands the lines of the current thread to the writer; drops and counts them when the
+/// writer's queue is full.
 pub fn flush_log() {
     PENDING.with_borrow_mut(|pending| {
         if pending.text.is_empty() {
--- a/src/observe/logging.rs
+++ b/src/observe/logging.rs
@@ -5,10 +5,9 @@
 
 use crate::conf::LogFormat;
 
-/// Starts the process's log on standard error.
+/// Starts the log of the process on standard error.
 ///
-/// A second call has no effect on the log's shape, so that several roles may
-/// run in one process.
+/// Only the first call has an effect, so that several roles can run in one process.
 pub fn init_logging(format: LogFormat, level: LevelFilter) {
     let appender = match format {
         LogFormat::Text => Stderr::default().with_layout(TextLayout::default().no_color()),
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -7,29 +7,29 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// What a process counts.
+/// Counters of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CounterKind {
-    /// Requests refused, by `reason`.
+    /// Requests that were refused, by `reason`.
     Refusals,
-    /// Requests sent again, by `reason`.
+    /// Requests that were sent again, by `reason`.
     Retries,
-    /// Requests finished, by `outcome`.
+    /// Requests that were finished, by `outcome`.
     Requests,
-    /// Bytes of weights moved, by `direction` and peer kind.
+    /// Bytes of weights that were transferred, by `direction`.
     WeightBytes,
-    /// Chunks dropped, by `reason`.
+    /// Chunks that were received and dropped, by `reason`.
     ChunksRejected,
     /// Bytes of control traffic, by `direction`.
     ControlBytes,
     /// Calls to the platform, by `call`.
     PlatformCalls,
-    /// Work admitted without a confirmed configuration for long, by `policy`.
+    /// Requests admitted long after the configuration was last confirmed, by `policy`.
     CutOffAdmissions,
 }
 
 impl CounterKind {
-    /// Every counter.
+    /// All counters, in order of declaration.
     pub const ALL: [Self; 8] = [
         Self::Refusals,
         Self::Retries,
@@ -41,7 +41,7 @@
         Self::CutOffAdmissions,
     ];
 
-    /// Name of the counter in the exported text, which appends `_total`.
+    /// Name of the counter; the exported text appends `_total` to it.
     pub fn name(self) -> &'static str {
         match self {
             Self::Refusals => "bergamotfork_refusals",
@@ -56,29 +56,32 @@
     }
 }
 
-/// Counters of one process, exported in the Prometheus text format.
+/// Metrics of a process, exported in the Prometheus text format.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    // Keeps the instruments alive.
+    // Kept because the instruments stop working when the provider is dropped.
     _provider: SdkMeterProvider,
+    /// One counter for each kind, in the order of `CounterKind::ALL`.
     counters: Vec<Counter<u64>>,
+    /// Time from a request to its answer or first event, by `outcome`.
     answer_ms: Histogram<f64>,
 }
 
-/// Upper bounds of the answer times, in ms: around the targets of routes.
+/// Upper bounds of the buckets for answer times, in ms; dense around the latency targets
+/// of routes.
 const ANSWER_TIME_BUCKETS_MS: [f64; 12] = [
     25.0, 50.0, 100.0, 150.0, 200.0, 300.0, 400.0, 500.0, 750.0, 1_000.0, 2_000.0, 5_000.0,
 ];
 
 impl Metrics {
-    /// Fresh counters.
+    /// Creates metrics that are all zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a new registry has no name clash");
+            .expect("a new registry has no conflicting names");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("bergamotfork");
         let counters = CounterKind::ALL
@@ -102,25 +105,25 @@
         self.counters[counter as usize].add(count, &[KeyValue::new(key, value)]);
     }
 
-    /// Counts one refusal.
+    /// Counts a refused request.
     pub fn record_refusal(&self, reason: &'static str) {
         self.add(CounterKind::Refusals, 1, "reason", reason);
     }
 
-    /// Counts one retry.
+    /// Counts a request that is sent again.
     pub fn record_retry(&self, reason: &'static str) {
         self.add(CounterKind::Retries, 1, "reason", reason);
     }
 
-    /// Counts a request that ended with `outcome`, and the time to its answer or
-    /// first event.
+    /// Counts a request that ended with `outcome`, and records the time to its answer or
+    /// first event, in milliseconds.
     pub fn record_answer(&self, outcome: &'static str, answer_ms: f64) {
         self.add(CounterKind::Requests, 1, "outcome", outcome);
         let labels = [KeyValue::new("outcome", outcome)];
         self.answer_ms.record(answer_ms, &labels);
     }
 
-    /// All counters in the Prometheus text format.
+    /// All metrics in the Prometheus text format; empty if they can't be encoded.
     pub fn render(&self) -> String {
         let mut text = Vec::new();
         let families = self.registry.gather();
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -1,4 +1,7 @@
-//! Structured logs with numbered events, and metrics.
+//! Logs with numbered events, and metrics in the Prometheus text format.
+//!
+//! `emit_event` logs an event on standard error through the `log` crate. [`LogLine`]
+//! writes an event to standard output as JSON, without ever blocking its thread.
 
 mod event;
 mod log_line;
