--- a/tests/http1/main.rs
+++ b/tests/http1/main.rs
@@ -1,4 +1,5 @@
-//! Heads, framing and bodies: what is accepted, and what could smuggle a request.
+//! Heads, framing and bodies of HTTP/1.1 messages. Ambiguous messages must be rejected,
+//! as they could be used to smuggle requests.
 
 use bytes::BytesMut;
 
@@ -10,18 +11,21 @@
 
 const MAX_HEAD_BYTES: usize = 1_024;
 
-fn request(text: &str) -> Result<Option<RequestHead>, Http1Error> {
+/// Parses the head of a request.
+fn parse_request(text: &str) -> Result<Option<RequestHead>, Http1Error> {
     RequestHead::parse_from(&mut BytesMut::from(text), MAX_HEAD_BYTES)
 }
 
+/// Framing of a request with these header lines.
 fn framing(lines: &str) -> Result<Framing, Http1Error> {
     let text = format!("POST /a/b HTTP/1.1\r\nHost: h\r\n{lines}\r\n");
-    request(&text)
+    parse_request(&text)
         .expect("the head parses")
-        .expect("the head is whole")
+        .expect("the head is complete")
         .framing()
 }
 
+/// Decodes a body that arrives in `parts`; returns it, and whether it is complete.
 fn decode(framing: Framing, parts: &[&str]) -> Result<(Vec<u8>, bool), Http1Error> {
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
@@ -32,12 +36,16 @@
 }
 
 #[test]
-fn request_head_partial_waits() {
-    assert!(request("GET / HTTP/1.1\r\nHost: h\r\n").unwrap().is_none());
+fn request_head_incomplete() {
+    assert!(
+        parse_request("GET / HTTP/1.1\r\nHost: h\r\n")
+            .unwrap()
+            .is_none()
+    );
 }
 
 #[test]
-fn request_head_leaves_the_rest() {
+fn request_head_keeps_following_bytes() {
     let mut read_buffer = BytesMut::from("GET /x?y=1 HTTP/1.1\r\nHost: h\r\n\r\nGET /z");
     let head = RequestHead::parse_from(&mut read_buffer, MAX_HEAD_BYTES)
         .unwrap()
@@ -47,30 +55,36 @@
 }
 
 #[test]
-fn request_head_too_large_is_refused() {
-    let long = format!(
+fn request_head_too_large() {
+    let complete = format!(
         "GET / HTTP/1.1\r\nX: {}\r\n\r\n",
         "a".repeat(MAX_HEAD_BYTES)
     );
-    assert!(matches!(request(&long), Err(Http1Error::HeadTooLarge)));
-    let endless = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD_BYTES));
-    assert!(matches!(request(&endless), Err(Http1Error::HeadTooLarge)));
+    assert!(matches!(
+        parse_request(&complete),
+        Err(Http1Error::HeadTooLarge)
+    ));
+    let incomplete = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD_BYTES));
+    assert!(matches!(
+        parse_request(&incomplete),
+        Err(Http1Error::HeadTooLarge)
+    ));
 }
 
 #[test]
-fn request_head_folded_line_is_refused() {
-    let folded = "GET / HTTP/1.1\r\nHost: h\r\nX: a\r\n b\r\n\r\n";
-    assert!(matches!(request(folded), Err(Http1Error::Malformed(_))));
+fn request_head_folded_line() {
+    let head = "GET / HTTP/1.1\r\nHost: h\r\nX: a\r\n b\r\n\r\n";
+    assert!(matches!(parse_request(head), Err(Http1Error::Malformed(_))));
 }
 
 #[test]
-fn request_head_space_before_colon_is_refused() {
-    let spaced = "GET / HTTP/1.1\r\nHost: h\r\nContent-Length : 4\r\n\r\n";
-    assert!(matches!(request(spaced), Err(Http1Error::Malformed(_))));
+fn request_head_space_before_colon() {
+    let head = "GET / HTTP/1.1\r\nHost: h\r\nContent-Length : 4\r\n\r\n";
+    assert!(matches!(parse_request(head), Err(Http1Error::Malformed(_))));
 }
 
 #[test]
-fn framing_plain_forms() {
+fn framing_valid() {
     assert_eq!(framing("").unwrap(), Framing::None);
     assert_eq!(
         framing("Content-Length: 5\r\n").unwrap(),
@@ -83,7 +97,7 @@
 }
 
 #[test]
-fn framing_ambiguous_is_refused() {
+fn framing_ambiguous() {
     for lines in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 5\r\nContent-Length: 5\r\n",
@@ -97,7 +111,7 @@
     ] {
         assert!(
             matches!(framing(lines), Err(Http1Error::Malformed(_))),
-            "{lines:?} was taken"
+            "{lines:?} was accepted"
         );
     }
 }
@@ -116,17 +130,17 @@
 }
 
 #[test]
-fn decode_chunks_malformed_is_refused() {
+fn decode_malformed_chunks() {
     for text in ["\r\n", "xyz\r\n", "-1\r\n", "3\r\nabcd\r\n", "3\nabc\r\n"] {
         assert!(
             decode(Framing::Chunked, &[text]).is_err(),
-            "{text:?} was taken"
+            "{text:?} was accepted"
         );
     }
 }
 
 #[test]
-fn decode_leaves_surplus_bytes() {
+fn decode_keeps_following_bytes() {
     let mut read_buffer = BytesMut::from("abcHTTP/1.1 200 OK");
     let mut body = Vec::new();
     let mut decoder = BodyDecoder::new(Framing::Length(3));
@@ -136,7 +150,7 @@
 }
 
 #[test]
-fn finish_tells_whole_from_broken() {
+fn finish_at_close_complete_or_not() {
     assert!(
         BodyDecoder::new(Framing::UntilClose)
             .finish_at_close()
@@ -155,7 +169,7 @@
 }
 
 #[test]
-fn response_framing_without_length_ends_with_connection() {
+fn response_framing_without_length() {
     let text = "HTTP/1.1 200 OK\r\nX: y\r\n\r\n";
     let head = ResponseHead::parse_from(&mut BytesMut::from(text), MAX_HEAD_BYTES)
         .unwrap()
