--- a/src/clients/log_client.rs
+++ b/src/clients/log_client.rs
@@ -10,7 +10,7 @@
 /// Timeout of an append.
 const APPEND_TIMEOUT_MS: u64 = 5000;
 
-/// Time a read may take in addition to the wait that it asks for.
+/// Time a read may take in addition to the wait that it requests.
 const READ_MARGIN_MS: u64 = 5000;
 
 /// Record in a stream of the platform's log, as its HTTP interface represents it.
--- a/src/conf/entry_settings.rs
+++ b/src/conf/entry_settings.rs
@@ -70,8 +70,8 @@
     default: 86_400_000,
 };
 
-/// Rounds of gossip that must fit into the retention, so that a checkpoint reaches all
-/// processes before the records it covers are trimmed.
+/// Checkpoints due per retention: the last rank publishes one after a quarter of it, and
+/// a round of gossip must fit into that time.
 const CHECKPOINTS_PER_RETENTION: u64 = 4;
 
 /// Settings of an entry process.
--- a/src/conf/weights_settings.rs
+++ b/src/conf/weights_settings.rs
@@ -54,7 +54,7 @@
     pub down_bytes_per_s: u64,
     /// Share of each link that is reserved for live requests; default 20.
     pub live_share_percent: u64,
-    /// Most peers that are asked for chunks at a time; default 6.
+    /// Most peers from which chunks are requested at a time; default 6.
     pub neighbours: u64,
 }
 
--- a/src/gateway/handlers.rs
+++ b/src/gateway/handlers.rs
@@ -29,7 +29,7 @@
 impl<D: Dialect + 'static> InternalHandler for DirectoryHandler<D> {
     async fn handle(&self, request: InternalRequest) -> InternalResponse {
         if self.dialect.directory_query(&request.head).is_none() {
-            return InternalResponse::status(404);
+            return InternalResponse::without_body(404);
         }
         let state = self.state.borrow();
         let mut addresses: Vec<String> = state
@@ -42,7 +42,7 @@
             addresses.push(state.settings.front.to_string());
         }
         if addresses.is_empty() {
-            return InternalResponse::status(503);
+            return InternalResponse::without_body(503);
         }
         addresses.sort_unstable();
         addresses.truncate(MAX_ADDRESSES);
@@ -67,10 +67,10 @@
 impl<D: Dialect + 'static> InternalHandler for ReadinessHandler<D> {
     async fn handle(&self, request: InternalRequest) -> InternalResponse {
         if !self.dialect.is_readiness_check(&request.head) {
-            return InternalResponse::status(404);
+            return InternalResponse::without_body(404);
         }
         let is_ready = self.state.borrow().is_ready();
-        InternalResponse::status(if is_ready { 200 } else { 503 })
+        InternalResponse::without_body(if is_ready { 200 } else { 503 })
     }
 }
 
@@ -147,6 +147,6 @@
         }
         path.strip_prefix(RECORDS_PATH)
             .and_then(|rest| self.records_reply(rest.strip_prefix('/')?))
-            .unwrap_or_else(|| InternalResponse::status(404))
+            .unwrap_or_else(|| InternalResponse::without_body(404))
     }
 }
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -381,5 +381,5 @@
 
 fn unavailable_reply(error: &ExternalCallError) -> InternalResponse {
     log::debug!("cannot provide weights: {error}");
-    InternalResponse::status(503)
+    InternalResponse::without_body(503)
 }
--- a/src/http1/connection.rs
+++ b/src/http1/connection.rs
@@ -159,7 +159,8 @@
         Ok(sent)
     }
 
-    /// Appends what has arrived to `read_buffer` without waiting and returns its length.
+    /// Appends the bytes that have arrived to `read_buffer` without waiting and returns
+    /// their number; the end of the connection is an error.
     fn try_fill_buffer(&mut self) -> Result<usize, Http1Error> {
         self.read_buffer.reserve(READ_CHUNK_BYTES);
         match self.stream.try_read_buf(&mut self.read_buffer) {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Waits until the peer closes the connection.
+    /// Waits until the peer closes the connection or it fails.
     ///
     /// Pipelined requests that arrive meanwhile are kept in `read_buffer`. Once it is
     /// full nothing more is read, and the wait never ends.
--- a/src/http1/server.rs
+++ b/src/http1/server.rs
@@ -54,7 +54,7 @@
     }
 
     /// Creates a response without a body.
-    pub fn status(status: u16) -> Self {
+    pub fn without_body(status: u16) -> Self {
         Self {
             status,
             content_type: "text/plain",
--- a/src/observe/log_line.rs
+++ b/src/observe/log_line.rs
@@ -12,7 +12,8 @@
 /// Bytes of lines kept between two flushes; further lines are dropped and counted.
 const MAX_PENDING_BYTES: usize = 64 * 1024;
 
-/// Blocks of lines that may be queued while the reader of standard output is slow.
+/// Blocks, each with the lines of one flush, that may be queued while the reader of
+/// standard output is slow.
 const MAX_QUEUED_BLOCKS: usize = 16;
 
 /// Lines of one thread that are not yet handed to the writer thread.
@@ -27,6 +28,7 @@
 }
 
 thread_local! {
+    /// Pending lines of the current thread.
     static PENDING: RefCell<PendingLines> = RefCell::default();
 }
 
--- a/src/staging/piece_handler.rs
+++ b/src/staging/piece_handler.rs
@@ -98,6 +98,6 @@
         } else {
             None
         };
-        reply.unwrap_or_else(|| InternalResponse::status(404))
+        reply.unwrap_or_else(|| InternalResponse::without_body(404))
     }
 }
