--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -16,7 +16,7 @@
     Retries,
     /// Requests that were finished, by `outcome`.
     Requests,
-    /// Bytes of weights that were transferred, by `direction`.
+    /// Bytes of weights that were transferred, by `direction`, which also names the source.
     WeightBytes,
     /// Chunks that were received and dropped, by `reason`.
     ChunksRejected,
