--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -33,7 +33,7 @@
 use crate::contracts::QueueLimits;
 use crate::endpoint::GenerateQueue;
 use crate::endpoint::GenerateServer;
-use crate::endpoint::SLOTS_PER_RESERVED;
+use crate::endpoint::SLOTS_PER_RESERVED_SLOT;
 use crate::entry::EntryState;
 use crate::entry::generate_route;
 use crate::hosts::HostRole;
@@ -178,7 +178,7 @@
         engine.load(&order).await.map_err(io::Error::other)?;
         let queue = GenerateQueue::new(QueueLimits {
             slots: SLOTS,
-            reserved_slots: SLOTS / SLOTS_PER_RESERVED,
+            reserved_slots: SLOTS / SLOTS_PER_RESERVED_SLOT,
             max_waiting_per_branch: BRANCH_WAITING,
             max_waiting: BRANCH_WAITING * BRANCHES.len(),
         });
--- a/src/bench/weights_fleet.rs
+++ b/src/bench/weights_fleet.rs
@@ -17,13 +17,13 @@
 use crate::bench::weights_members::Members;
 use crate::clients::OriginClient;
 use crate::endpoint::StopTransfer;
-use crate::endpoint::Transfer;
 use crate::endpoint::TransferOptions;
 use crate::endpoint::WeightLink;
 use crate::endpoint::WeightLinks;
 use crate::endpoint::WeightsHosts;
-use crate::endpoint::WeightsShare;
-use crate::endpoint::configure_weights;
+use crate::endpoint::WeightsState;
+use crate::endpoint::WeightsTransfer;
+use crate::endpoint::configure_weights_routes;
 use crate::links::HttpClient;
 use crate::observe::Metrics;
 use crate::weights::Digest;
@@ -42,11 +42,11 @@
 
 /// One host of the fleet.
 pub(super) struct FleetHost {
-    pub(super) share: Arc<WeightsShare>,
+    pub(super) share: Arc<WeightsState>,
     pub(super) doomed: bool,
     /// Time from the start of the burst until the host served.
     served_ms: Arc<Mutex<Option<u64>>>,
-    transfer: Arc<Mutex<Option<Addr<Transfer>>>>,
+    transfer: Arc<Mutex<Option<Addr<WeightsTransfer>>>>,
     server: Option<ServerHandle>,
 }
 
@@ -117,7 +117,8 @@
             let transfer = Arc::clone(&host.transfer);
             self.arbiters[index % self.arbiters.len()].spawn_fn(move || {
                 let digest = manifest.digest();
-                let Some(actor) = Transfer::new(Arc::clone(&share), manifest, &view, options)
+                let Some(actor) =
+                    WeightsTransfer::new(Arc::clone(&share), manifest, &view, options)
                 else {
                     return;
                 };
@@ -160,7 +161,7 @@
 
 /// Plays the engine: loads what was verified and reports its digest.
 async fn load(
-    share: Arc<WeightsShare>,
+    share: Arc<WeightsState>,
     digest: Digest,
     served_ms: Arc<Mutex<Option<u64>>>,
     started: Instant,
@@ -206,7 +207,7 @@
     index: usize,
     region: &str,
     crossings: &[(String, Arc<WeightLink>)],
-) -> Arc<WeightsShare> {
+) -> Arc<WeightsState> {
     let mut links = WeightLinks::new(bench.host_bytes_per_s(), bench.host_bytes_per_s(), 0);
     if bench.shared_link {
         links.down = Arc::clone(&links.up);
@@ -216,7 +217,7 @@
         .iter()
         .filter_map(|(pair, link)| Some((pair.strip_prefix(&prefix)?.to_owned(), Arc::clone(link))))
         .collect();
-    WeightsShare::new(
+    WeightsState::new(
         WeightsBench::host_name(index),
         region,
         links,
@@ -248,16 +249,16 @@
     listeners: Vec<TcpListener>,
     addresses: &[SocketAddr],
 ) -> io::Result<ServerHandle> {
-    let staying: Vec<(SocketAddr, Arc<WeightsShare>)> = hosts
+    let staying: Vec<(SocketAddr, Arc<WeightsState>)> = hosts
         .iter()
         .zip(addresses)
         .filter(|(host, _)| !host.doomed)
         .map(|(host, address)| (*address, Arc::clone(&host.share)))
         .collect();
-    let many = WeightsHosts::many(staying, SHARED_KEY);
+    let many = WeightsHosts::multiple(staying, SHARED_KEY);
     let mut server = HttpServer::new(move || {
         let many = many.clone();
-        App::new().configure(move |app| configure_weights(app, many))
+        App::new().configure(move |app| configure_weights_routes(app, many))
     })
     .workers(SERVER_THREADS)
     .disable_signals()
@@ -267,10 +268,10 @@
             server = server.listen(listener)?;
             continue;
         }
-        let one = WeightsHosts::one(Arc::clone(&host.share), SHARED_KEY);
+        let one = WeightsHosts::single(Arc::clone(&host.share), SHARED_KEY);
         let running = HttpServer::new(move || {
             let one = one.clone();
-            App::new().configure(move |app| configure_weights(app, one))
+            App::new().configure(move |app| configure_weights_routes(app, one))
         })
         .workers(1)
         .disable_signals()
--- a/src/endpoint/call_desk.rs
+++ b/src/endpoint/call_registry.rs
@@ -18,7 +18,7 @@
 
 /// Calls of the plain service that run on this endpoint.
 #[derive(Debug)]
-pub struct CallDesk {
+pub struct CallRegistry {
     inner: Mutex<Inner>,
     pauses: PauseDetector,
 }
@@ -33,7 +33,7 @@
     is_down: bool,
 }
 
-impl CallDesk {
+impl CallRegistry {
     /// No calls yet.
     pub fn new(now_ms: u64) -> Self {
         Self {
@@ -125,7 +125,7 @@
 /// Counts an idempotent call while it runs.
 #[derive(Debug)]
 pub(super) struct RepeatableGuard<'a> {
-    desk: &'a CallDesk,
+    desk: &'a CallRegistry,
 }
 
 impl Drop for RepeatableGuard<'_> {
--- a/src/endpoint/call_ticker.rs
+++ b/src/endpoint/call_ticker.rs
@@ -6,7 +6,7 @@
 use actix::Context;
 
 use crate::endpoint::EndpointState;
-use crate::endpoint::call_desk::TICK_MS;
+use crate::endpoint::call_registry::TICK_MS;
 
 /// Turns the epochs of the permit table and notices pauses.
 #[derive(Debug)]
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -9,10 +9,10 @@
 use crate::conf::EndpointSettings;
 use crate::endpoint::EndpointState;
 use crate::endpoint::WeightsHosts;
-use crate::endpoint::WeightsKeeper;
+use crate::endpoint::WeightsManager;
 use crate::endpoint::call;
 use crate::endpoint::call_ticker::CallTicker;
-use crate::endpoint::configure_weights;
+use crate::endpoint::configure_weights_routes;
 use crate::endpoint::generate;
 use crate::endpoint::generate_load::LoadKeeper;
 use crate::links::ServeOptions;
@@ -54,18 +54,18 @@
             .route("/x/generate", web::post().to(generate::generate))
             .route("/x/call", web::post().to(call::call))
             .route("/x/nonce", web::post().to(call::nonce));
-        let hosts = WeightsHosts::one(
+        let hosts = WeightsHosts::single(
             Arc::clone(&shared.weights),
             shared.node.cluster().shared_key.clone(),
         );
-        configure_weights(app, hosts);
+        configure_weights_routes(app, hosts);
         node::routes(app, &shared.node);
     })?;
     CallTicker::new(Arc::clone(&state)).start();
     Watcher::new(Arc::clone(&state.node)).start();
     Reporter::bind(Arc::clone(&state.node))?.start();
     if let Some(engine) = state.engine_address() {
-        WeightsKeeper::new(Arc::clone(&state), engine).start();
+        WeightsManager::new(Arc::clone(&state), engine).start();
         LoadKeeper::new(Arc::clone(&state)).start();
     }
     emit(
--- a/src/endpoint/state.rs
+++ b/src/endpoint/state.rs
@@ -12,13 +12,13 @@
 use crate::endpoint::GenerateQueue;
 use crate::endpoint::GenerateServer;
 use crate::endpoint::WeightLinks;
-use crate::endpoint::WeightsShare;
-use crate::endpoint::call_desk::CallDesk;
+use crate::endpoint::WeightsState;
+use crate::endpoint::call_registry::CallRegistry;
 use crate::node::Node;
 use crate::weights::MemoryBudget;
 
 /// Slots for one slot that a bursting branch leaves to the others.
-pub const SLOTS_PER_RESERVED: u32 = 32;
+pub const SLOTS_PER_RESERVED_SLOT: u32 = 32;
 
 /// Full queues of branches that fit into the whole queue.
 const BRANCHES_WAITING: usize = 4;
@@ -31,9 +31,9 @@
     /// Identity, hosts and configuration.
     pub node: Arc<Node>,
     /// Calls of the plain service that run here.
-    pub calls: CallDesk,
+    pub calls: CallRegistry,
     /// Weights on this host.
-    pub weights: Arc<WeightsShare>,
+    pub weights: Arc<WeightsState>,
     /// Runs requests for tokens; `None` beside a plain service.
     pub generate: Option<GenerateServer>,
     permits: Mutex<PermitTable>,
@@ -54,11 +54,11 @@
         ));
         let now_ms = node.now_ms();
         let permits = PermitTable::new(node.incarnation(), PermitLimits::default(), now_ms);
-        let weights = weights_share(&settings, &node);
+        let weights = weights_state(&settings, &node);
         let generate = engine_address(&settings.backend).map(|address| {
             let queue = GenerateQueue::new(QueueLimits {
                 slots: settings.slots as u32,
-                reserved_slots: settings.slots as u32 / SLOTS_PER_RESERVED,
+                reserved_slots: settings.slots as u32 / SLOTS_PER_RESERVED_SLOT,
                 max_waiting_per_branch: settings.queue_limit as usize,
                 max_waiting: settings.queue_limit as usize * BRANCHES_WAITING,
             });
@@ -67,7 +67,7 @@
         Self {
             settings,
             node,
-            calls: CallDesk::new(now_ms),
+            calls: CallRegistry::new(now_ms),
             generate,
             permits: Mutex::new(permits),
             weights,
@@ -94,14 +94,14 @@
     }
 }
 
-fn weights_share(settings: &EndpointSettings, node: &Node) -> Arc<WeightsShare> {
+fn weights_state(settings: &EndpointSettings, node: &Node) -> Arc<WeightsState> {
     let weights = &settings.weights;
     let links = WeightLinks::new(
         weights.up_bytes_per_s,
         weights.down_bytes_per_s,
         weights.live_share_percent,
     );
-    WeightsShare::new(
+    WeightsState::new(
         node.name(),
         settings.process.region.clone(),
         links,
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use futures_util::stream;
 
-use super::WeightsShare;
+use super::WeightsState;
 use super::WeightsVersion;
 use crate::links::has_key;
 use crate::links::read_rmp;
@@ -35,19 +35,19 @@
 pub struct WeightsHosts {
     shared_key: String,
     /// Hosts by the address they listen on.
-    hosts: Vec<(SocketAddr, Arc<WeightsShare>)>,
+    hosts: Vec<(SocketAddr, Arc<WeightsState>)>,
 }
 
 impl WeightsHosts {
     /// A server of one host, whatever address it listens on.
-    pub fn one(share: Arc<WeightsShare>, shared_key: impl Into<String>) -> Self {
+    pub fn single(share: Arc<WeightsState>, shared_key: impl Into<String>) -> Self {
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
-        Self::many(vec![(unspecified, share)], shared_key)
+        Self::multiple(vec![(unspecified, share)], shared_key)
     }
 
     /// A server of several hosts, each with an address of its own.
-    pub fn many(
-        mut hosts: Vec<(SocketAddr, Arc<WeightsShare>)>,
+    pub fn multiple(
+        mut hosts: Vec<(SocketAddr, Arc<WeightsState>)>,
         shared_key: impl Into<String>,
     ) -> Self {
         hosts.sort_unstable_by_key(|(address, _)| *address);
@@ -57,7 +57,7 @@
         }
     }
 
-    fn share(&self, request: &HttpRequest) -> Option<&Arc<WeightsShare>> {
+    fn share(&self, request: &HttpRequest) -> Option<&Arc<WeightsState>> {
         if let [(_, only)] = self.hosts.as_slice() {
             return Some(only);
         }
@@ -70,7 +70,7 @@
 }
 
 /// Adds the routes of peers and of the engine.
-pub fn configure_weights(app: &mut ServiceConfig, hosts: WeightsHosts) {
+pub fn configure_weights_routes(app: &mut ServiceConfig, hosts: WeightsHosts) {
     app.app_data(web::Data::new(hosts))
         .route("/x/weights/{manifest}/have", web::post().to(answer_have))
         .route(
@@ -107,7 +107,7 @@
     hosts: &WeightsHosts,
     request: &HttpRequest,
     manifest: &str,
-) -> Result<(Arc<WeightsShare>, Arc<WeightsVersion>), Refusal> {
+) -> Result<(Arc<WeightsState>, Arc<WeightsVersion>), Refusal> {
     if !has_key(request, &hosts.shared_key) {
         return Err(Refusal::WrongKey);
     }
--- a/src/endpoint/weights_keeper.rs
+++ b/src/endpoint/weights_manager.rs
@@ -8,11 +8,11 @@
 use actix::WrapFuture;
 
 use super::SetMembers;
-use super::StageName;
 use super::StopTransfer;
 use super::SwarmMember;
-use super::Transfer;
 use super::TransferOptions;
+use super::VersionStageKind;
+use super::WeightsTransfer;
 use crate::clients::EngineClient;
 use crate::clients::OriginClient;
 use crate::clients::OriginError;
@@ -56,19 +56,19 @@
 }
 
 /// Brings the versions that the document wants here, and loads and drops them.
-pub struct WeightsKeeper {
+pub struct WeightsManager {
     state: Arc<EndpointState>,
     engine: SocketAddr,
 }
 
-impl WeightsKeeper {
+impl WeightsManager {
     /// Keeper of the host of `state`, whose engine listens at `engine`.
     pub fn new(state: Arc<EndpointState>, engine: SocketAddr) -> Self {
         Self { state, engine }
     }
 }
 
-impl Actor for WeightsKeeper {
+impl Actor for WeightsManager {
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
@@ -219,11 +219,11 @@
     async fn advance(&mut self, at: usize, want: &Want) {
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
-        match tracked.version.stage_name() {
-            StageName::Announced if tracked.is_due(now_ms) => self.begin(at, want).await,
-            StageName::Fetching => update_members(tracked, want),
-            StageName::Verified if tracked.is_due(now_ms) => self.load(at, want).await,
-            StageName::Held if tracked.is_due(now_ms) => tracked.version.retry(),
+        match tracked.version.stage_kind() {
+            VersionStageKind::Announced if tracked.is_due(now_ms) => self.begin(at, want).await,
+            VersionStageKind::Fetching => update_members(tracked, want),
+            VersionStageKind::Verified if tracked.is_due(now_ms) => self.load(at, want).await,
+            VersionStageKind::Held if tracked.is_due(now_ms) => tracked.version.retry(),
             _ => {}
         }
     }
@@ -257,7 +257,7 @@
         }
         self.tracked[at].base = manifest.base;
         let share = Arc::clone(&self.state.weights);
-        match Transfer::new(share, manifest, &want.members, self.options()) {
+        match WeightsTransfer::new(share, manifest, &want.members, self.options()) {
             Some(transfer) => {
                 let tracked = &mut self.tracked[at];
                 tracked.members.clone_from(&want.members);
@@ -361,7 +361,7 @@
 }
 
 fn take_loaded(tracked: &mut TrackedVersion, whole: Digest, now_ms: u64) {
-    if tracked.version.loaded(whole) != StageName::Loaded {
+    if tracked.version.loaded(whole) != VersionStageKind::Loaded {
         let expected = tracked
             .version
             .manifest()
--- a/src/endpoint/weights_share.rs
+++ b/src/endpoint/weights_state.rs
@@ -16,7 +16,7 @@
 
 /// Everything the HTTP handlers and the transfers of one host share.
 #[derive(Debug)]
-pub struct WeightsShare {
+pub struct WeightsState {
     /// Name of this host.
     pub host: String,
     /// Region of this host.
@@ -31,7 +31,7 @@
     control_bytes: AtomicU64,
 }
 
-impl WeightsShare {
+impl WeightsState {
     /// A host that holds no version yet.
     pub fn new(
         host: impl Into<String>,
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -2,9 +2,9 @@
 
 use actix::Addr;
 
-use super::StageName;
 use super::SwarmMember;
-use super::Transfer;
+use super::VersionStageKind;
+use super::WeightsTransfer;
 use super::WeightsVersion;
 use crate::document::ModelSection;
 use crate::hosts::Progress;
@@ -25,7 +25,7 @@
 pub(super) struct TrackedVersion {
     pub(super) model: ModelSection,
     pub(super) version: Arc<WeightsVersion>,
-    pub(super) transfer: Option<Addr<Transfer>>,
+    pub(super) transfer: Option<Addr<WeightsTransfer>>,
     pub(super) members: Vec<SwarmMember>,
     /// Manifest of the base; adapters only, once known.
     pub(super) base: Option<Digest>,
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn serves(&self) -> bool {
-        self.version.stage_name() == StageName::Serving
+        self.version.stage_kind() == VersionStageKind::Serving
     }
 
     /// Whether the pause after the last failure is over.
@@ -86,10 +86,10 @@
             return None;
         }
         let held = self.version.held().or_else(|| self.waiting.clone());
-        let progress = match (self.version.stage_name(), &held) {
-            (StageName::Serving, _) => Progress::Serving,
+        let progress = match (self.version.stage_kind(), &held) {
+            (VersionStageKind::Serving, _) => Progress::Serving,
             (_, Some(_)) => Progress::Held,
-            (StageName::Verified | StageName::Loaded, None) => Progress::Verified,
+            (VersionStageKind::Verified | VersionStageKind::Loaded, None) => Progress::Verified,
             (_, None) => Progress::Fetching,
         };
         Some(Served {
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -14,9 +14,9 @@
 use actix_web::http::Method;
 use bytes::Bytes;
 
-use super::StageName;
 use super::SwarmMember;
-use super::WeightsShare;
+use super::VersionStageKind;
+use super::WeightsState;
 use super::WeightsVersion;
 use crate::clients::OriginClient;
 use crate::clients::OriginError;
@@ -81,8 +81,8 @@
 }
 
 /// Fetches one version to this host.
-pub struct Transfer {
-    share: Arc<WeightsShare>,
+pub struct WeightsTransfer {
+    share: Arc<WeightsState>,
     version: Arc<WeightsVersion>,
     options: TransferOptions,
     swarm: SwarmState,
@@ -90,19 +90,19 @@
     started: Instant,
 }
 
-impl Transfer {
+impl WeightsTransfer {
     /// A transfer of `manifest` among `members`, which hold this host.
     ///
     /// The version moves on to fetching or, when it doesn't fit, is held.
     pub fn new(
-        share: Arc<WeightsShare>,
+        share: Arc<WeightsState>,
         manifest: Manifest,
         members: &[SwarmMember],
         options: TransferOptions,
     ) -> Option<Self> {
         let digest = manifest.digest();
         let version = share.announce(digest);
-        if version.begin(manifest, &share.budget) != StageName::Fetching {
+        if version.begin(manifest, &share.budget) != VersionStageKind::Fetching {
             return None;
         }
         let have = version.have()?;
@@ -132,7 +132,7 @@
 
     /// Starts what the plan says now.
     fn drive(&mut self, ctx: &mut Context<Self>) {
-        if self.version.stage_name() != StageName::Fetching {
+        if self.version.stage_kind() != VersionStageKind::Fetching {
             ctx.stop();
             return;
         }
@@ -319,14 +319,16 @@
                 }
             }
         }
-        if self.swarm.held_chunks().is_complete() && self.version.verify() == StageName::Verified {
+        if self.swarm.held_chunks().is_complete()
+            && self.version.verify() == VersionStageKind::Verified
+        {
             let digest = self.version.digest();
             emit(Event::WeightsVerified, &[("manifest", &digest.short_hex())]);
         }
     }
 }
 
-impl Actor for Transfer {
+impl Actor for WeightsTransfer {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
@@ -335,7 +337,7 @@
     }
 }
 
-impl Handler<SetMembers> for Transfer {
+impl Handler<SetMembers> for WeightsTransfer {
     type Result = ();
 
     fn handle(&mut self, message: SetMembers, ctx: &mut Self::Context) {
@@ -346,7 +348,7 @@
     }
 }
 
-impl Handler<StopTransfer> for Transfer {
+impl Handler<StopTransfer> for WeightsTransfer {
     type Result = ();
 
     fn handle(&mut self, _: StopTransfer, ctx: &mut Self::Context) {
--- a/src/endpoint/weights_turns.rs
+++ b/src/endpoint/weights_turns.rs
@@ -1,6 +1,6 @@
 use super::SwarmMember;
-use crate::endpoint::weights_keeper::Rounds;
-use crate::endpoint::weights_keeper::Want;
+use crate::endpoint::weights_manager::Rounds;
+use crate::endpoint::weights_manager::Want;
 use crate::endpoint::weights_tracked::TrackedVersion;
 use crate::links::LinkError;
 use crate::weights::ChunkBitmap;
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -30,7 +30,7 @@
 
 /// How far a version has come on this host.
 #[derive(Debug)]
-pub(super) enum Stage {
+pub(super) enum VersionStage {
     Announced(WeightsReplica<Announced>),
     Fetching(WeightsReplica<Fetching>),
     Verified(WeightsReplica<Verified>),
@@ -43,9 +43,9 @@
     Held(HoldReason),
 }
 
-/// Name of a [`Stage`], for reports.
+/// Name of a [`VersionStage`], for reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StageName {
+pub enum VersionStageKind {
     /// Wanted; the manifest is not known yet.
     Announced,
     /// Chunks are arriving.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct WeightsVersion {
     digest: Digest,
-    stage: Mutex<Stage>,
+    stage: Mutex<VersionStage>,
     questions: Mutex<Vec<PeerRequest>>,
     uploads: AtomicU32,
     pub(super) signal: Signal,
@@ -75,7 +75,7 @@
     pub fn announced(digest: Digest) -> Arc<Self> {
         Arc::new(Self {
             digest,
-            stage: Mutex::new(Stage::Announced(WeightsReplica::announced(digest))),
+            stage: Mutex::new(VersionStage::Announced(WeightsReplica::announced(digest))),
             questions: Mutex::default(),
             uploads: AtomicU32::new(0),
             signal: Signal::default(),
@@ -87,26 +87,26 @@
         self.digest
     }
 
-    fn stage(&self) -> MutexGuard<'_, Stage> {
+    fn stage(&self) -> MutexGuard<'_, VersionStage> {
         self.stage.lock().expect("no holder of the stage panics")
     }
 
     /// How far the version has come.
-    pub fn stage_name(&self) -> StageName {
+    pub fn stage_kind(&self) -> VersionStageKind {
         match &*self.stage() {
-            Stage::Announced(_) => StageName::Announced,
-            Stage::Fetching(_) => StageName::Fetching,
-            Stage::Verified(_) => StageName::Verified,
-            Stage::Loaded(_) => StageName::Loaded,
-            Stage::Serving(_) | Stage::Resident { .. } => StageName::Serving,
-            Stage::Held(_) => StageName::Held,
+            VersionStage::Announced(_) => VersionStageKind::Announced,
+            VersionStage::Fetching(_) => VersionStageKind::Fetching,
+            VersionStage::Verified(_) => VersionStageKind::Verified,
+            VersionStage::Loaded(_) => VersionStageKind::Loaded,
+            VersionStage::Serving(_) | VersionStage::Resident { .. } => VersionStageKind::Serving,
+            VersionStage::Held(_) => VersionStageKind::Held,
         }
     }
 
     /// Why the version can't proceed, if so.
     pub fn held(&self) -> Option<HoldReason> {
         match &*self.stage() {
-            Stage::Held(held) => Some(held.clone()),
+            VersionStage::Held(held) => Some(held.clone()),
             _ => None,
         }
     }
@@ -114,19 +114,21 @@
     /// The manifest, once it is known.
     pub fn manifest(&self) -> Option<Arc<Manifest>> {
         match &*self.stage() {
-            Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => Some(replica.manifest().clone()),
-            Stage::Verified(replica) => Some(replica.manifest().clone()),
-            Stage::Loaded(replica) => Some(replica.manifest().clone()),
-            Stage::Serving(replica) => Some(replica.manifest().clone()),
+            VersionStage::Announced(_) | VersionStage::Resident { .. } | VersionStage::Held(_) => {
+                None
+            }
+            VersionStage::Fetching(replica) => Some(replica.manifest().clone()),
+            VersionStage::Verified(replica) => Some(replica.manifest().clone()),
+            VersionStage::Loaded(replica) => Some(replica.manifest().clone()),
+            VersionStage::Serving(replica) => Some(replica.manifest().clone()),
         }
     }
 
     /// Whole digest of the weights that the engine serves; `None` if it does not.
     pub fn serving_whole(&self) -> Option<Digest> {
         match &*self.stage() {
-            Stage::Serving(replica) => Some(replica.manifest().whole),
-            Stage::Resident { whole } => Some(*whole),
+            VersionStage::Serving(replica) => Some(replica.manifest().whole),
+            VersionStage::Resident { whole } => Some(*whole),
             _ => None,
         }
     }
@@ -134,29 +136,33 @@
     /// Chunks held; None before the manifest is known.
     pub fn have(&self) -> Option<ChunkBitmap> {
         match &*self.stage() {
-            Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => Some(replica.held_chunks().clone()),
-            Stage::Verified(replica) => Some(replica.held_chunks().clone()),
-            Stage::Loaded(replica) => Some(replica.held_chunks().clone()),
-            Stage::Serving(replica) => Some(replica.held_chunks().clone()),
+            VersionStage::Announced(_) | VersionStage::Resident { .. } | VersionStage::Held(_) => {
+                None
+            }
+            VersionStage::Fetching(replica) => Some(replica.held_chunks().clone()),
+            VersionStage::Verified(replica) => Some(replica.held_chunks().clone()),
+            VersionStage::Loaded(replica) => Some(replica.held_chunks().clone()),
+            VersionStage::Serving(replica) => Some(replica.held_chunks().clone()),
         }
     }
 
     /// One verified chunk.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
         match &*self.stage() {
-            Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => replica.chunk(index),
-            Stage::Verified(replica) => replica.chunk(index),
-            Stage::Loaded(replica) => replica.chunk(index),
-            Stage::Serving(replica) => replica.chunk(index),
+            VersionStage::Announced(_) | VersionStage::Resident { .. } | VersionStage::Held(_) => {
+                None
+            }
+            VersionStage::Fetching(replica) => replica.chunk(index),
+            VersionStage::Verified(replica) => replica.chunk(index),
+            VersionStage::Loaded(replica) => replica.chunk(index),
+            VersionStage::Serving(replica) => replica.chunk(index),
         }
     }
 
     /// All bytes in order; only while the engine may load them.
     pub fn whole(&self) -> Option<Vec<Bytes>> {
         match &*self.stage() {
-            Stage::Verified(replica) => Some(replica.chunks().collect()),
+            VersionStage::Verified(replica) => Some(replica.chunks().collect()),
             _ => None,
         }
     }
@@ -166,16 +172,16 @@
         Some(PeerStatus {
             have: self.have()?,
             queue: self.uploads.load(Ordering::Relaxed),
-            serving: self.stage_name() == StageName::Serving,
+            serving: self.stage_kind() == VersionStageKind::Serving,
         })
     }
 
     /// Waits until the version is verified or held.
-    pub async fn fetched(&self) -> StageName {
+    pub async fn fetched(&self) -> VersionStageKind {
         loop {
             let generation = self.signal.generation();
-            let stage = self.stage_name();
-            if stage >= StageName::Verified {
+            let stage = self.stage_kind();
+            if stage >= VersionStageKind::Verified {
                 return stage;
             }
             self.signal.changed_since(generation).await;
@@ -183,24 +189,24 @@
     }
 
     /// Starts the transfer.
-    pub(super) fn begin(&self, manifest: Manifest, budget: &Arc<MemoryBudget>) -> StageName {
+    pub(super) fn begin(&self, manifest: Manifest, budget: &Arc<MemoryBudget>) -> VersionStageKind {
         {
             let mut stage = self.stage();
-            if let Stage::Announced(replica) = &*stage {
+            if let VersionStage::Announced(replica) = &*stage {
                 *stage = match replica.start_fetching(Arc::new(manifest), budget) {
-                    Ok(replica) => Stage::Fetching(replica),
-                    Err(held) => Stage::Held(held),
+                    Ok(replica) => VersionStage::Fetching(replica),
+                    Err(held) => VersionStage::Held(held),
                 };
             }
         }
         self.signal.raise();
-        self.stage_name()
+        self.stage_kind()
     }
 
     /// Stores a chunk if it is correct.
     pub(super) fn insert(&self, index: u32, bytes: Bytes) -> InsertOutcome {
         let inserted = match &mut *self.stage() {
-            Stage::Fetching(replica) => replica.insert_chunk(index, bytes),
+            VersionStage::Fetching(replica) => replica.insert_chunk(index, bytes),
             _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
         if inserted == InsertOutcome::Stored {
@@ -210,41 +216,43 @@
     }
 
     /// Checks the whole once every chunk is there.
-    pub(super) fn verify(&self) -> StageName {
+    pub(super) fn verify(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Fetching(replica) => match replica.verify() {
-                Verification::Incomplete(replica) => Stage::Fetching(replica),
-                Verification::Verified(replica) => Stage::Verified(replica),
-                Verification::Held(held) => Stage::Held(held),
+            VersionStage::Fetching(replica) => match replica.verify() {
+                Verification::Incomplete(replica) => VersionStage::Fetching(replica),
+                Verification::Verified(replica) => VersionStage::Verified(replica),
+                Verification::Held(held) => VersionStage::Held(held),
             },
             other => other,
         })
     }
 
     /// Takes the engine's word for what it loaded; on a mismatch nothing moves.
-    pub fn loaded(&self, found: Digest) -> StageName {
+    pub fn loaded(&self, found: Digest) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Verified(replica) => match replica.confirm_loaded(found) {
-                LoadCheck::Loaded(replica) => Stage::Loaded(replica),
-                LoadCheck::Held(replica, _) => Stage::Verified(replica),
+            VersionStage::Verified(replica) => match replica.confirm_loaded(found) {
+                LoadCheck::Loaded(replica) => VersionStage::Loaded(replica),
+                LoadCheck::Held(replica, _) => VersionStage::Verified(replica),
             },
             other => other,
         })
     }
 
     /// Opens a loaded version for requests.
-    pub fn serve(&self) -> StageName {
+    pub fn serve(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Loaded(replica) => Stage::Serving(replica.start_serving()),
+            VersionStage::Loaded(replica) => VersionStage::Serving(replica.start_serving()),
             other => other,
         })
     }
 
     /// Goes back to where the engine must load again, after it lost its state.
-    pub(super) fn reload(&self) -> StageName {
+    pub(super) fn reload(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Serving(replica) => Stage::Verified(replica.require_reload()),
-            Stage::Resident { .. } => Stage::Announced(WeightsReplica::announced(self.digest)),
+            VersionStage::Serving(replica) => VersionStage::Verified(replica.require_reload()),
+            VersionStage::Resident { .. } => {
+                VersionStage::Announced(WeightsReplica::announced(self.digest))
+            }
             other => other,
         })
     }
@@ -252,7 +260,7 @@
     /// Gives up the bytes of a version that the engine serves.
     pub(super) fn release(&self) {
         self.advance(|stage| match stage {
-            Stage::Serving(replica) => Stage::Resident {
+            VersionStage::Serving(replica) => VersionStage::Resident {
                 whole: replica.manifest().whole,
             },
             other => other,
@@ -262,21 +270,23 @@
     /// Starts over after the version was held.
     pub(super) fn retry(&self) {
         self.advance(|stage| match stage {
-            Stage::Held(_) => Stage::Announced(WeightsReplica::announced(self.digest)),
+            VersionStage::Held(_) => {
+                VersionStage::Announced(WeightsReplica::announced(self.digest))
+            }
             other => other,
         });
     }
 
     /// Replaces the stage by what `step` makes of it.
-    fn advance(&self, step: impl FnOnce(Stage) -> Stage) -> StageName {
+    fn advance(&self, step: impl FnOnce(VersionStage) -> VersionStage) -> VersionStageKind {
         {
             let mut stage = self.stage();
-            let placeholder = Stage::Announced(WeightsReplica::announced(self.digest));
+            let placeholder = VersionStage::Announced(WeightsReplica::announced(self.digest));
             let before = std::mem::replace(&mut *stage, placeholder);
             *stage = step(before);
         }
         self.signal.raise();
-        self.stage_name()
+        self.stage_kind()
     }
 
     /// Keeps what a peer told of itself for the transfer.
--- a/tests/weights_transfer/fleet.rs
+++ b/tests/weights_transfer/fleet.rs
@@ -11,15 +11,15 @@
 use serde_json::json;
 
 use bergamotfork::clients::OriginClient;
-use bergamotfork::endpoint::StageName;
 use bergamotfork::endpoint::SwarmMember;
-use bergamotfork::endpoint::Transfer;
 use bergamotfork::endpoint::TransferOptions;
+use bergamotfork::endpoint::VersionStageKind;
 use bergamotfork::endpoint::WeightLinks;
 use bergamotfork::endpoint::WeightsHosts;
-use bergamotfork::endpoint::WeightsShare;
+use bergamotfork::endpoint::WeightsState;
+use bergamotfork::endpoint::WeightsTransfer;
 use bergamotfork::endpoint::WeightsVersion;
-use bergamotfork::endpoint::configure_weights;
+use bergamotfork::endpoint::configure_weights_routes;
 use bergamotfork::links::HttpClient;
 use bergamotfork::links::ServeOptions;
 use bergamotfork::links::serve;
@@ -49,7 +49,7 @@
 
 /// A host that takes part in transfers, with its server for peers.
 pub struct Host {
-    pub share: Arc<WeightsShare>,
+    pub share: Arc<WeightsState>,
     pub server: Handle,
     pub member: SwarmMember,
 }
@@ -116,16 +116,16 @@
 }
 
 pub fn host_at(name: &str, budget_bytes: u64, listen: SocketAddr) -> Host {
-    let share = WeightsShare::new(
+    let share = WeightsState::new(
         name,
         "region",
         WeightLinks::new(0, 0, 0),
         MemoryBudget::new(budget_bytes),
         Arc::new(Metrics::new()),
     );
-    let hosts = WeightsHosts::one(Arc::clone(&share), KEY);
+    let hosts = WeightsHosts::single(Arc::clone(&share), KEY);
     let server = serve(listen, &ServeOptions::default(), move |app| {
-        configure_weights(app, hosts.clone());
+        configure_weights_routes(app, hosts.clone());
     })
     .expect("the address is free");
     let member = member(name, server.address());
@@ -153,7 +153,7 @@
         origin: &Handle,
         manifest: &Manifest,
         members: &[SwarmMember],
-    ) -> Option<Addr<Transfer>> {
+    ) -> Option<Addr<WeightsTransfer>> {
         let options = TransferOptions {
             origin: OriginClient::new(origin.url()),
             origin_region: "region".to_owned(),
@@ -166,7 +166,7 @@
             origin_wait_ms: 5000,
         };
         let share = Arc::clone(&self.share);
-        Transfer::new(share, manifest.clone(), members, options).map(Actor::start)
+        WeightsTransfer::new(share, manifest.clone(), members, options).map(Actor::start)
     }
 
     pub fn version(&self, manifest: &Manifest) -> Arc<WeightsVersion> {
@@ -179,7 +179,12 @@
     pub async fn wait_verified(&self, manifest: &Manifest) {
         let version = self.version(manifest);
         let stage = timeout(TRANSFER_TIMEOUT, version.fetched()).await;
-        assert_eq!(stage.ok(), Some(StageName::Verified), "{}", self.share.host);
+        assert_eq!(
+            stage.ok(),
+            Some(VersionStageKind::Verified),
+            "{}",
+            self.share.host
+        );
     }
 
     /// Whether the counter `name` with the label value `label` is above 0.
