--- a/src/bench/weights_fleet.rs
+++ b/src/bench/weights_fleet.rs
@@ -169,16 +169,16 @@
     let Some(version) = share.version(digest) else {
         return;
     };
-    version.fetched().await;
-    let Some(chunks) = version.whole() else {
+    version.wait_until_fetched().await;
+    let Some(chunks) = version.loadable_chunks() else {
         return;
     };
     let mut hasher = blake3::Hasher::new();
     for chunk in &chunks {
         hasher.update(chunk);
     }
-    version.loaded(hasher.finalize().into());
-    version.serve();
+    version.confirm_loaded(hasher.finalize().into());
+    version.start_serving();
     let elapsed_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
     *served_ms.lock().expect("no holder of the time panics") = Some(elapsed_ms);
 }
@@ -197,8 +197,8 @@
             },
             max_probed_peers: bench.neighbours,
         },
-        peer_wait_ms: 3000,
-        origin_wait_ms: 120_000,
+        peer_timeout_ms: 3000,
+        origin_timeout_ms: 120_000,
     }
 }
 
@@ -213,7 +213,7 @@
         links.down = Arc::clone(&links.up);
     }
     let prefix = format!("{region}>");
-    links.crossings = crossings
+    links.region_links = crossings
         .iter()
         .filter_map(|(pair, link)| Some((pair.strip_prefix(&prefix)?.to_owned(), Arc::clone(link))))
         .collect();
--- a/src/bench/weights_result.rs
+++ b/src/bench/weights_result.rs
@@ -77,12 +77,12 @@
         let crossing_bytes = fleet
             .crossings
             .iter()
-            .map(|(_, link)| link.passed_bytes())
+            .map(|(_, link)| link.transferred_bytes())
             .max();
         let up_bytes = fleet
             .hosts
             .iter()
-            .map(|host| host.share.links.up.passed_bytes())
+            .map(|host| host.share.links.up.transferred_bytes())
             .max();
         let control_bytes: u64 = fleet
             .hosts
--- a/src/bench/weights_trace.rs
+++ b/src/bench/weights_trace.rs
@@ -39,8 +39,8 @@
             return;
         }
         let held = fleet.hosts.iter().map(|host| {
-            let version = host.share.all().into_iter().next();
-            version.and_then(|version| version.note())
+            let version = host.share.all_versions().into_iter().next();
+            version.and_then(|version| version.peer_status())
         });
         let notes: Vec<_> = held.flatten().collect();
         let chunks: u64 = notes
--- a/src/endpoint/generate.rs
+++ b/src/endpoint/generate.rs
@@ -27,7 +27,7 @@
         return server.refuse(RefusalReason::Leaving);
     }
     let version = state.weights.version(call.manifest);
-    let Some(whole) = version.and_then(|version| version.serving_whole()) else {
+    let Some(whole) = version.and_then(|version| version.serving_content_digest()) else {
         return server.refuse(RefusalReason::NotReady);
     };
     refresh_shares(&state, server);
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -115,7 +115,7 @@
     let digest = manifest.parse::<Digest>().ok();
     let version = digest.and_then(|digest| share.version(digest));
     let version = version.ok_or(Refusal::NotTakingPart)?;
-    if version.held().is_some() {
+    if version.hold_reason().is_some() {
         return Err(Refusal::Held);
     }
     Ok((Arc::clone(share), version))
@@ -136,12 +136,12 @@
     };
     let known = question.known;
     let wait = Duration::from_millis(question.wait_ms.min(MAX_WAIT_MS));
-    version.keep_question(question);
+    version.add_peer_request(question);
     // A question that outlives its time is answered with what there is.
     let _ = timeout(wait, wait_for_news(&version, known)).await;
-    match version.note() {
+    match version.peer_status() {
         Some(note) => {
-            share.count_control(control_bytes(&body, &note), "asked");
+            share.record_control_traffic(control_bytes(&body, &note), "asked");
             rmp_response(&note)
         }
         None => not_taking_part(),
@@ -155,10 +155,13 @@
 async fn wait_for_news(version: &WeightsVersion, known: u32) {
     loop {
         let generation = version.signal.generation();
-        if version.have().is_some_and(|have| have.held_count() > known) {
+        if version
+            .held_chunks()
+            .is_some_and(|have| have.held_count() > known)
+        {
             return;
         }
-        version.signal.changed_since(generation).await;
+        version.signal.wait_for_change(generation).await;
     }
 }
 
@@ -177,18 +180,21 @@
         return HttpResponse::BadRequest().body("the question does not decode");
     };
     let region = question.region.clone();
-    version.keep_question(question);
-    share.count_control(body.len() as u64, "asked");
+    version.add_peer_request(question);
+    share.record_control_traffic(body.len() as u64, "asked");
     let Some(chunk) = version.chunk(index) else {
         return frame_response(&version, ReadOutcome::Absent, Bytes::new());
     };
-    if share.links.is_clogged(&region) {
+    if share.links.is_congested(&region) {
         return frame_response(&version, ReadOutcome::Busy, Bytes::new());
     }
     let Some(_upload) = version.start_upload(MAX_UPLOADS) else {
         return frame_response(&version, ReadOutcome::Busy, Bytes::new());
     };
-    share.links.send(chunk.len() as u64, &region).await;
+    share
+        .links
+        .wait_for_upload(chunk.len() as u64, &region)
+        .await;
     share
         .metrics
         .add(Tally::WeightBytes, chunk.len() as u64, "direction", "up");
@@ -196,7 +202,7 @@
 }
 
 fn frame_response(version: &WeightsVersion, outcome: ReadOutcome, chunk: Bytes) -> HttpResponse {
-    let Some(note) = version.note() else {
+    let Some(note) = version.peer_status() else {
         return not_taking_part();
     };
     let Some(head) = ChunkFrame::encode_header(outcome, note) else {
@@ -219,7 +225,7 @@
         .share(&request)
         .zip(manifest.parse::<Digest>().ok())
         .and_then(|(share, digest)| share.version(digest))
-        .and_then(|version| version.whole());
+        .and_then(|version| version.loadable_chunks());
     match whole {
         Some(chunks) if local => {
             let parts = chunks.into_iter().map(Ok::<_, actix_web::Error>);
--- a/src/endpoint/weights_links.rs
+++ b/src/endpoint/weights_links.rs
@@ -22,7 +22,7 @@
     bucket: Mutex<TokenBucket>,
     full_rate_bytes_per_s: u64,
     reduced_rate_bytes_per_s: u64,
-    passed_bytes: AtomicU64,
+    transferred_bytes: AtomicU64,
 }
 
 impl WeightLink {
@@ -37,12 +37,12 @@
             full_rate_bytes_per_s: rate_bytes_per_s,
             reduced_rate_bytes_per_s: (rate_bytes_per_s.saturating_mul(left_percent) / 100)
                 .max(u64::from(rate_bytes_per_s > 0)),
-            passed_bytes: AtomicU64::new(0),
+            transferred_bytes: AtomicU64::new(0),
         })
     }
 
     /// Waits until `bytes` have passed, after all that came before.
-    pub async fn pass(&self, bytes: u64) {
+    pub async fn wait_for_transfer(&self, bytes: u64) {
         let wait_us = self.reserve(bytes);
         if wait_us > 0 {
             sleep(Duration::from_micros(wait_us)).await;
@@ -51,7 +51,7 @@
 
     /// Takes the next `bytes` of the link and returns the time until they have passed.
     pub fn reserve(&self, bytes: u64) -> u64 {
-        self.passed_bytes.fetch_add(bytes, Ordering::Relaxed);
+        self.transferred_bytes.fetch_add(bytes, Ordering::Relaxed);
         let now_us = self.now_us();
         self.bucket
             .lock()
@@ -71,12 +71,12 @@
     }
 
     /// Bytes let through so far.
-    pub fn passed_bytes(&self) -> u64 {
-        self.passed_bytes.load(Ordering::Relaxed)
+    pub fn transferred_bytes(&self) -> u64 {
+        self.transferred_bytes.load(Ordering::Relaxed)
     }
 
     /// Yields to live requests, or takes the whole link again.
-    pub fn set_live(&self, live: bool) {
+    pub fn set_has_live_requests(&self, live: bool) {
         let rate_bytes_per_s = match live {
             true => self.reduced_rate_bytes_per_s,
             false => self.full_rate_bytes_per_s,
@@ -96,7 +96,7 @@
     /// From other hosts and the origin.
     pub down: Arc<WeightLink>,
     /// Towards each other region, by name of the region.
-    pub crossings: Vec<(String, Arc<WeightLink>)>,
+    pub region_links: Vec<(String, Arc<WeightLink>)>,
 }
 
 impl WeightLinks {
@@ -105,19 +105,19 @@
         Self {
             up: WeightLink::new(up_bytes_per_s, live_share_percent),
             down: WeightLink::new(down_bytes_per_s, live_share_percent),
-            crossings: Vec::new(),
+            region_links: Vec::new(),
         }
     }
 
     /// Whether so much waits for `region` that more would only time out.
-    pub fn is_clogged(&self, region: &str) -> bool {
-        let crossing = self.crossings.iter().find(|(name, _)| name == region);
+    pub fn is_congested(&self, region: &str) -> bool {
+        let crossing = self.region_links.iter().find(|(name, _)| name == region);
         crossing.is_some_and(|(_, link)| link.backlog_ms() > MAX_BACKLOG_MS)
     }
 
     /// Waits until `bytes` have left for a host in `region`.
-    pub async fn send(&self, bytes: u64, region: &str) {
-        let crossing = self.crossings.iter().find(|(name, _)| name == region);
+    pub async fn wait_for_upload(&self, bytes: u64, region: &str) {
+        let crossing = self.region_links.iter().find(|(name, _)| name == region);
         let crossing_us = crossing.map_or(0, |(_, link)| link.reserve(bytes));
         let up_us = self.up.reserve(bytes);
         sleep(Duration::from_micros(crossing_us.max(up_us))).await;
--- a/src/endpoint/weights_manager.rs
+++ b/src/endpoint/weights_manager.rs
@@ -109,8 +109,8 @@
     async fn run(&mut self) {
         let wants = self.wants();
         let live = self.state.node.own().load.running > 0;
-        self.state.weights.links.up.set_live(live);
-        self.state.weights.links.down.set_live(live);
+        self.state.weights.links.up.set_has_live_requests(live);
+        self.state.weights.links.down.set_has_live_requests(live);
         self.track(&wants);
         for at in 0..self.tracked.len() {
             let digest = self.tracked[at].digest();
@@ -196,7 +196,7 @@
             {
                 Some(tracked) => tracked.retired_ms = None,
                 None => {
-                    let version = self.state.weights.announce(digest);
+                    let version = self.state.weights.ensure_version(digest);
                     self.tracked
                         .push(TrackedVersion::new(want.model.clone(), version));
                 }
@@ -211,7 +211,7 @@
             if let Some(transfer) = &tracked.transfer {
                 transfer.do_send(StopTransfer);
             }
-            share.forget(tracked.digest());
+            share.remove_version(tracked.digest());
             false
         });
     }
@@ -223,7 +223,7 @@
             VersionStageKind::Announced if tracked.is_due(now_ms) => self.begin(at, want).await,
             VersionStageKind::Fetching => update_members(tracked, want),
             VersionStageKind::Verified if tracked.is_due(now_ms) => self.load(at, want).await,
-            VersionStageKind::Held if tracked.is_due(now_ms) => tracked.version.retry(),
+            VersionStageKind::Held if tracked.is_due(now_ms) => tracked.version.restart(),
             _ => {}
         }
     }
@@ -265,7 +265,7 @@
                 tracked.succeeded();
             }
             None => {
-                let held = self.tracked[at].version.held();
+                let held = self.tracked[at].version.hold_reason();
                 self.release_old(digest);
                 let cause = held.as_ref().map_or_else(String::new, ToString::to_string);
                 emit(
@@ -288,7 +288,7 @@
         };
         for old in &self.tracked {
             if old.digest() != wanted && old.model.name == *name {
-                old.version.release();
+                old.version.release_chunks();
             }
         }
     }
@@ -303,8 +303,8 @@
                 plan: PlanSettings::default(),
                 max_probed_peers: usize::try_from(settings.neighbours).unwrap_or(usize::MAX),
             },
-            peer_wait_ms: PEER_WAIT_MS,
-            origin_wait_ms: ORIGIN_WAIT_MS,
+            peer_timeout_ms: PEER_WAIT_MS,
+            origin_timeout_ms: ORIGIN_WAIT_MS,
         }
     }
 
@@ -354,14 +354,14 @@
                 .iter()
                 .any(|loaded| loaded.manifest == tracked.digest());
             if tracked.serves() && tracked.retired_ms.is_none() && !holds {
-                tracked.version.reload();
+                tracked.version.require_reload();
             }
         }
     }
 }
 
 fn take_loaded(tracked: &mut TrackedVersion, whole: Digest, now_ms: u64) {
-    if tracked.version.loaded(whole) != VersionStageKind::Loaded {
+    if tracked.version.confirm_loaded(whole) != VersionStageKind::Loaded {
         let expected = tracked
             .version
             .manifest()
@@ -373,7 +373,7 @@
         tracked.failed(Some(held), 0, now_ms);
         return;
     }
-    tracked.version.serve();
+    tracked.version.start_serving();
     tracked.succeeded();
     emit(
         Event::WeightsServing,
--- a/src/endpoint/weights_signal.rs
+++ b/src/endpoint/weights_signal.rs
@@ -12,11 +12,11 @@
 
 /// Wakes tasks of any thread when something has changed.
 #[derive(Debug, Default)]
-pub(super) struct Signal {
+pub(super) struct ChangeSignal {
     waiters: Mutex<Waiters>,
 }
 
-impl Signal {
+impl ChangeSignal {
     fn waiters(&self) -> MutexGuard<'_, Waiters> {
         self.waiters
             .lock()
@@ -29,7 +29,7 @@
     }
 
     /// Wakes all that wait.
-    pub(super) fn raise(&self) {
+    pub(super) fn notify(&self) {
         let wakers = {
             let mut waiters = self.waiters();
             waiters.generation += 1;
@@ -41,7 +41,7 @@
     }
 
     /// Waits until there were changes after `generation`.
-    pub(super) async fn changed_since(&self, generation: u64) {
+    pub(super) async fn wait_for_change(&self, generation: u64) {
         poll_fn(|context| {
             let mut waiters = self.waiters();
             if waiters.generation > generation {
--- a/src/endpoint/weights_state.rs
+++ b/src/endpoint/weights_state.rs
@@ -58,7 +58,7 @@
     }
 
     /// Counts one exchange beside the weights themselves.
-    pub(super) fn count_control(&self, body_bytes: u64, direction: &'static str) {
+    pub(super) fn record_control_traffic(&self, body_bytes: u64, direction: &'static str) {
         let bytes = body_bytes + HEADER_BYTES;
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.metrics
@@ -78,12 +78,12 @@
     }
 
     /// Every version on this host.
-    pub fn all(&self) -> Vec<Arc<WeightsVersion>> {
+    pub fn all_versions(&self) -> Vec<Arc<WeightsVersion>> {
         self.versions().clone()
     }
 
     /// The version `manifest`, wanted from now on.
-    pub fn announce(&self, manifest: Digest) -> Arc<WeightsVersion> {
+    pub fn ensure_version(&self, manifest: Digest) -> Arc<WeightsVersion> {
         let mut versions = self.versions();
         match versions.binary_search_by_key(&manifest, |version| version.digest()) {
             Ok(at) => Arc::clone(&versions[at]),
@@ -96,7 +96,7 @@
     }
 
     /// Drops the version `manifest`; its memory is free once nothing uses it.
-    pub fn forget(&self, manifest: Digest) {
+    pub fn remove_version(&self, manifest: Digest) {
         self.versions()
             .retain(|version| version.digest() != manifest);
     }
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -85,7 +85,7 @@
         if self.retired_ms.is_some() {
             return None;
         }
-        let held = self.version.held().or_else(|| self.waiting.clone());
+        let held = self.version.hold_reason().or_else(|| self.waiting.clone());
         let progress = match (self.version.stage_kind(), &held) {
             (VersionStageKind::Serving, _) => Progress::Serving,
             (_, Some(_)) => Progress::Held,
@@ -106,7 +106,7 @@
         if self.serves() {
             return 100;
         }
-        let percent = self.version.have().map_or(0, |have| {
+        let percent = self.version.held_chunks().map_or(0, |have| {
             let steps =
                 u64::from(have.held_count()) * PERCENT_STEPS / u64::from(have.chunk_count().max(1));
             steps * 100 / PERCENT_STEPS
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -58,9 +58,9 @@
     /// Limits.
     pub swarm: SwarmSettings,
     /// Time for one chunk from a peer.
-    pub peer_wait_ms: u64,
+    pub peer_timeout_ms: u64,
     /// Time for one chunk from the origin.
-    pub origin_wait_ms: u64,
+    pub origin_timeout_ms: u64,
 }
 
 /// The list of hosts that want the version has changed.
@@ -101,11 +101,11 @@
         options: TransferOptions,
     ) -> Option<Self> {
         let digest = manifest.digest();
-        let version = share.announce(digest);
-        if version.begin(manifest, &share.budget) != VersionStageKind::Fetching {
+        let version = share.ensure_version(digest);
+        if version.start_fetching(manifest, &share.budget) != VersionStageKind::Fetching {
             return None;
         }
-        let have = version.have()?;
+        let have = version.held_chunks()?;
         let hosts = members.iter().map(|member| member.host.clone()).collect();
         let swarm = SwarmState::new(
             digest,
@@ -136,7 +136,7 @@
             ctx.stop();
             return;
         }
-        for question in self.version.take_questions() {
+        for question in self.version.take_peer_requests() {
             if let Some(peer) = self.swarm.peer_key(&question.host) {
                 self.swarm.record_peer_status(peer, &question.have, 0);
             }
@@ -175,11 +175,11 @@
         match fetch.source {
             ChunkSource::Origin => {
                 let origin = self.options.origin.clone();
-                let wait_ms = self.options.origin_wait_ms;
+                let wait_ms = self.options.origin_timeout_ms;
                 let reading = async move {
                     let result = origin.chunk(digest, fetch.chunk, wait_ms).await;
                     if let Ok(bytes) = &result {
-                        share.links.down.pass(bytes.len() as u64).await;
+                        share.links.down.wait_for_transfer(bytes.len() as u64).await;
                     }
                     ReadResult::Origin(result)
                 };
@@ -199,13 +199,17 @@
                 let url = format!("http://{address}/x/weights/{digest}/{}", fetch.chunk);
                 let question = self.question(0, 0);
                 let http = self.options.http.clone();
-                let wait_ms = self.options.peer_wait_ms;
+                let wait_ms = self.options.peer_timeout_ms;
                 let reading = async move {
                     let result = read_from_peer(&http, &url, &question, wait_ms).await;
                     let body_bytes = question.have.encode().len() as u64;
-                    share.count_control(body_bytes, "asking");
+                    share.record_control_traffic(body_bytes, "asking");
                     if let Ok(frame) = &result {
-                        share.links.down.pass(frame.chunk.len() as u64).await;
+                        share
+                            .links
+                            .down
+                            .wait_for_transfer(frame.chunk.len() as u64)
+                            .await;
                     }
                     ReadResult::Peer(result)
                 };
@@ -233,7 +237,7 @@
         let asking = async move {
             let result = http.ask::<PeerStatus>(&url, &question, wait_ms).await;
             let body_bytes = 2 * question.have.encode().len() as u64;
-            share.count_control(body_bytes, "asking");
+            share.record_control_traffic(body_bytes, "asking");
             result
         };
         ctx.spawn(asking.into_actor(self).map(move |result, act, ctx| {
@@ -294,7 +298,7 @@
         self.share
             .metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
-        match self.version.insert(fetch.chunk, bytes) {
+        match self.version.insert_chunk(fetch.chunk, bytes) {
             InsertOutcome::Stored | InsertOutcome::Duplicate => {
                 self.swarm.chunk_stored(fetch, now_ms)
             }
--- a/src/endpoint/weights_turns.rs
+++ b/src/endpoint/weights_turns.rs
@@ -83,7 +83,7 @@
         }
         for digest in gone {
             if self.giver.unload(&self.state, digest).await.is_ok() {
-                self.state.weights.forget(digest);
+                self.state.weights.remove_version(digest);
                 self.tracked.retain(|tracked| tracked.digest() != digest);
             }
         }
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-use super::weights_signal::Signal;
+use super::weights_signal::ChangeSignal;
 use crate::weights::Announced;
 use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
@@ -67,7 +67,7 @@
     stage: Mutex<VersionStage>,
     questions: Mutex<Vec<PeerRequest>>,
     uploads: AtomicU32,
-    pub(super) signal: Signal,
+    pub(super) signal: ChangeSignal,
 }
 
 impl WeightsVersion {
@@ -78,7 +78,7 @@
             stage: Mutex::new(VersionStage::Announced(WeightsReplica::announced(digest))),
             questions: Mutex::default(),
             uploads: AtomicU32::new(0),
-            signal: Signal::default(),
+            signal: ChangeSignal::default(),
         })
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Why the version can't proceed, if so.
-    pub fn held(&self) -> Option<HoldReason> {
+    pub fn hold_reason(&self) -> Option<HoldReason> {
         match &*self.stage() {
             VersionStage::Held(held) => Some(held.clone()),
             _ => None,
@@ -125,7 +125,7 @@
     }
 
     /// Whole digest of the weights that the engine serves; `None` if it does not.
-    pub fn serving_whole(&self) -> Option<Digest> {
+    pub fn serving_content_digest(&self) -> Option<Digest> {
         match &*self.stage() {
             VersionStage::Serving(replica) => Some(replica.manifest().whole),
             VersionStage::Resident { whole } => Some(*whole),
@@ -134,7 +134,7 @@
     }
 
     /// Chunks held; None before the manifest is known.
-    pub fn have(&self) -> Option<ChunkBitmap> {
+    pub fn held_chunks(&self) -> Option<ChunkBitmap> {
         match &*self.stage() {
             VersionStage::Announced(_) | VersionStage::Resident { .. } | VersionStage::Held(_) => {
                 None
@@ -160,7 +160,7 @@
     }
 
     /// All bytes in order; only while the engine may load them.
-    pub fn whole(&self) -> Option<Vec<Bytes>> {
+    pub fn loadable_chunks(&self) -> Option<Vec<Bytes>> {
         match &*self.stage() {
             VersionStage::Verified(replica) => Some(replica.chunks().collect()),
             _ => None,
@@ -168,28 +168,32 @@
     }
 
     /// What this host tells of itself.
-    pub fn note(&self) -> Option<PeerStatus> {
+    pub fn peer_status(&self) -> Option<PeerStatus> {
         Some(PeerStatus {
-            have: self.have()?,
+            have: self.held_chunks()?,
             queue: self.uploads.load(Ordering::Relaxed),
             serving: self.stage_kind() == VersionStageKind::Serving,
         })
     }
 
     /// Waits until the version is verified or held.
-    pub async fn fetched(&self) -> VersionStageKind {
+    pub async fn wait_until_fetched(&self) -> VersionStageKind {
         loop {
             let generation = self.signal.generation();
             let stage = self.stage_kind();
             if stage >= VersionStageKind::Verified {
                 return stage;
             }
-            self.signal.changed_since(generation).await;
+            self.signal.wait_for_change(generation).await;
         }
     }
 
     /// Starts the transfer.
-    pub(super) fn begin(&self, manifest: Manifest, budget: &Arc<MemoryBudget>) -> VersionStageKind {
+    pub(super) fn start_fetching(
+        &self,
+        manifest: Manifest,
+        budget: &Arc<MemoryBudget>,
+    ) -> VersionStageKind {
         {
             let mut stage = self.stage();
             if let VersionStage::Announced(replica) = &*stage {
@@ -199,18 +203,18 @@
                 };
             }
         }
-        self.signal.raise();
+        self.signal.notify();
         self.stage_kind()
     }
 
     /// Stores a chunk if it is correct.
-    pub(super) fn insert(&self, index: u32, bytes: Bytes) -> InsertOutcome {
+    pub(super) fn insert_chunk(&self, index: u32, bytes: Bytes) -> InsertOutcome {
         let inserted = match &mut *self.stage() {
             VersionStage::Fetching(replica) => replica.insert_chunk(index, bytes),
             _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
         if inserted == InsertOutcome::Stored {
-            self.signal.raise();
+            self.signal.notify();
         }
         inserted
     }
@@ -228,7 +232,7 @@
     }
 
     /// Takes the engine's word for what it loaded; on a mismatch nothing moves.
-    pub fn loaded(&self, found: Digest) -> VersionStageKind {
+    pub fn confirm_loaded(&self, found: Digest) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Verified(replica) => match replica.confirm_loaded(found) {
                 LoadCheck::Loaded(replica) => VersionStage::Loaded(replica),
@@ -239,7 +243,7 @@
     }
 
     /// Opens a loaded version for requests.
-    pub fn serve(&self) -> VersionStageKind {
+    pub fn start_serving(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Loaded(replica) => VersionStage::Serving(replica.start_serving()),
             other => other,
@@ -247,7 +251,7 @@
     }
 
     /// Goes back to where the engine must load again, after it lost its state.
-    pub(super) fn reload(&self) -> VersionStageKind {
+    pub(super) fn require_reload(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Serving(replica) => VersionStage::Verified(replica.require_reload()),
             VersionStage::Resident { .. } => {
@@ -258,7 +262,7 @@
     }
 
     /// Gives up the bytes of a version that the engine serves.
-    pub(super) fn release(&self) {
+    pub(super) fn release_chunks(&self) {
         self.advance(|stage| match stage {
             VersionStage::Serving(replica) => VersionStage::Resident {
                 whole: replica.manifest().whole,
@@ -268,7 +272,7 @@
     }
 
     /// Starts over after the version was held.
-    pub(super) fn retry(&self) {
+    pub(super) fn restart(&self) {
         self.advance(|stage| match stage {
             VersionStage::Held(_) => {
                 VersionStage::Announced(WeightsReplica::announced(self.digest))
@@ -285,12 +289,12 @@
             let before = std::mem::replace(&mut *stage, placeholder);
             *stage = step(before);
         }
-        self.signal.raise();
+        self.signal.notify();
         self.stage_kind()
     }
 
     /// Keeps what a peer told of itself for the transfer.
-    pub(super) fn keep_question(&self, question: PeerRequest) {
+    pub(super) fn add_peer_request(&self, question: PeerRequest) {
         let mut questions = self
             .questions
             .lock()
@@ -301,7 +305,7 @@
     }
 
     /// What peers told since the last call.
-    pub(super) fn take_questions(&self) -> Vec<PeerRequest> {
+    pub(super) fn take_peer_requests(&self) -> Vec<PeerRequest> {
         std::mem::take(
             &mut *self
                 .questions
@@ -311,7 +315,7 @@
     }
 
     /// Claims a place in the queue of uploads; None when `limit` wait.
-    pub(super) fn start_upload(self: &Arc<Self>, limit: u32) -> Option<Upload> {
+    pub(super) fn start_upload(self: &Arc<Self>, limit: u32) -> Option<UploadGuard> {
         let mut waiting = self.uploads.load(Ordering::Relaxed);
         loop {
             if waiting >= limit {
@@ -323,7 +327,7 @@
                 Ordering::Relaxed,
                 Ordering::Relaxed,
             ) {
-                Ok(_) => return Some(Upload(Arc::clone(self))),
+                Ok(_) => return Some(UploadGuard(Arc::clone(self))),
                 Err(found) => waiting = found,
             }
         }
@@ -332,9 +336,9 @@
 
 /// A place in the queue of uploads; given back when dropped.
 #[derive(Debug)]
-pub(super) struct Upload(Arc<WeightsVersion>);
+pub(super) struct UploadGuard(Arc<WeightsVersion>);
 
-impl Drop for Upload {
+impl Drop for UploadGuard {
     fn drop(&mut self) {
         self.0.uploads.fetch_sub(1, Ordering::Relaxed);
     }
--- a/tests/weights_transfer/faults.rs
+++ b/tests/weights_transfer/faults.rs
@@ -70,7 +70,11 @@
     while !host.has_counted("bergamotfork_chunks_rejected", "wrong_length") {
         sleep(Duration::from_millis(10)).await;
     }
-    assert!(host.version(&published.manifest).whole().is_none());
+    assert!(
+        host.version(&published.manifest)
+            .loadable_chunks()
+            .is_none()
+    );
     send(&published.origin, "/fault", json!({})).await;
     host.wait_verified(&published.manifest).await;
 }
@@ -126,7 +130,7 @@
             .is_none()
     );
     assert_eq!(
-        host.version(&published.manifest).held(),
+        host.version(&published.manifest).hold_reason(),
         Some(HoldReason::OverBudget {
             size_bytes: SIZE_BYTES,
             used_bytes: 0,
@@ -147,7 +151,7 @@
         .expect("the version fits into the budget");
     while host
         .version(&published.manifest)
-        .have()
+        .held_chunks()
         .is_none_or(|have| have.holds_none())
     {
         sleep(Duration::from_millis(10)).await;
@@ -155,7 +159,7 @@
     let newer = publish(&published.origin, "v2", 2).await;
     send(&published.origin, "/fault", json!({})).await;
     old.send(StopTransfer).await.expect("the transfer runs");
-    host.share.forget(published.manifest.digest());
+    host.share.remove_version(published.manifest.digest());
     while host.share.budget.used_bytes() > 0 {
         sleep(Duration::from_millis(10)).await;
     }
@@ -164,7 +168,7 @@
     host.wait_verified(&newer).await;
     let whole = host
         .version(&newer)
-        .whole()
+        .loadable_chunks()
         .expect("the version is verified")
         .concat();
     assert_eq!(bergamotfork::weights::Digest::of_bytes(&whole), newer.whole);
@@ -183,7 +187,7 @@
     }
     while hosts[3]
         .version(&published.manifest)
-        .have()
+        .held_chunks()
         .is_none_or(|have| have.held_count() < 4)
     {
         sleep(Duration::from_millis(10)).await;
--- a/tests/weights_transfer/fleet.rs
+++ b/tests/weights_transfer/fleet.rs
@@ -162,8 +162,8 @@
                 plan: PlanSettings::default(),
                 max_probed_peers: 8,
             },
-            peer_wait_ms: 500,
-            origin_wait_ms: 5000,
+            peer_timeout_ms: 500,
+            origin_timeout_ms: 5000,
         };
         let share = Arc::clone(&self.share);
         WeightsTransfer::new(share, manifest.clone(), members, options).map(Actor::start)
@@ -178,7 +178,7 @@
     /// Waits until the host has verified the complete version.
     pub async fn wait_verified(&self, manifest: &Manifest) {
         let version = self.version(manifest);
-        let stage = timeout(TRANSFER_TIMEOUT, version.fetched()).await;
+        let stage = timeout(TRANSFER_TIMEOUT, version.wait_until_fetched()).await;
         assert_eq!(
             stage.ok(),
             Some(VersionStageKind::Verified),
