--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -20,7 +20,7 @@
 use crate::calls::UnknownReason;
 use crate::calls::fingerprint;
 use crate::endpoint::EndpointState;
-use crate::endpoint::call_beats::beating_response;
+use crate::endpoint::call_heartbeats::heartbeat_response;
 use crate::endpoint::call_run::CallRun;
 use crate::links::open_call;
 use crate::weights::Digest;
@@ -36,7 +36,7 @@
         Err(fault) => return fault.response(),
     };
     let deadline = Instant::now() + Duration::from_millis(call.deadline_ms);
-    beating_response(async move {
+    heartbeat_response(async move {
         let request_id = call.request_id.clone();
         let told = match call.permit.clone() {
             Some(permit) => call_once(&state, call, permit, deadline).await,
@@ -57,7 +57,7 @@
             Ok(question) => question,
             Err(fault) => return fault.response(),
         };
-    beating_response(async move {
+    heartbeat_response(async move {
         let asked = ask(&state, &question.permit, question.reason);
         let told = match asked {
             PermitStatus::NotRun(reason) => CallReport::Ended(CallOutcome::not_run(reason)),
@@ -129,13 +129,13 @@
 }
 
 /// A call that may start; holds the slot for suspects where it needs it.
-struct Admitted {
+struct AdmittedCall {
     state: web::Data<EndpointState>,
     request: Digest,
     has_slot: bool,
 }
 
-impl Drop for Admitted {
+impl Drop for AdmittedCall {
     fn drop(&mut self) {
         if self.has_slot {
             self.state
@@ -150,7 +150,7 @@
     state: &web::Data<EndpointState>,
     call: &ServiceCall,
     request: Digest,
-) -> Result<Admitted, RefusalReason> {
+) -> Result<AdmittedCall, RefusalReason> {
     if state.node.is_leaving() {
         return Err(RefusalReason::Leaving);
     }
@@ -173,7 +173,7 @@
         SuspectStatus::Suspect if state.calls.with_slot(|slot| slot.try_acquire(request)) => true,
         SuspectStatus::Suspect => return Err(RefusalReason::SuspectBusy),
     };
-    Ok(Admitted {
+    Ok(AdmittedCall {
         state: state.clone(),
         request,
         has_slot,
@@ -181,7 +181,7 @@
 }
 
 /// Runs a call in a task of its own, so that it outlives the connection.
-fn start(admitted: Admitted, call: ServiceCall, permit: Permit, deadline: Instant) {
+fn start(admitted: AdmittedCall, call: ServiceCall, permit: Permit, deadline: Instant) {
     let nonce = permit.nonce;
     let state = admitted.state.clone();
     let task = actix_rt::spawn(async move {
--- a/src/endpoint/call_beats.rs
+++ b/src/endpoint/call_heartbeats.rs
@@ -12,12 +12,12 @@
 use crate::calls::ServiceReply;
 
 /// Time between two heartbeats of an answer that is not ready.
-const BEAT_PAUSE: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 type Answering = Pin<Box<dyn Future<Output = ServiceReply>>>;
 
 /// Answers with heartbeats until `answering` is done, then with its reply.
-pub(super) fn beating_response(
+pub(super) fn heartbeat_response(
     answering: impl Future<Output = ServiceReply> + 'static,
 ) -> HttpResponse {
     let start: Option<Answering> = Some(Box::pin(answering));
@@ -29,7 +29,7 @@
 
 async fn next_chunk(state: Option<Answering>) -> Option<(Result<Bytes, Error>, Option<Answering>)> {
     let mut answering = state?;
-    match timeout(BEAT_PAUSE, &mut answering).await {
+    match timeout(HEARTBEAT_INTERVAL, &mut answering).await {
         Err(_) => Some((Ok(Bytes::from_static(&[HEARTBEAT_BYTE])), Some(answering))),
         Ok(reply) => {
             let body = rmp_serde::to_vec_named(&reply)
--- a/src/endpoint/call_registry.rs
+++ b/src/endpoint/call_registry.rs
@@ -10,8 +10,8 @@
 use crate::calls::PauseDetector;
 use crate::calls::SuspectSlot;
 
-/// Time between two rounds of housekeeping.
-pub(super) const TICK_MS: u64 = 100;
+/// Time between two reconciler of housekeeping.
+pub(super) const TICK_INTERVAL_MS: u64 = 100;
 
 /// Ends when a call has ended.
 pub(super) type Ended = Shared<BoxFuture<'static, ()>>;
@@ -38,7 +38,7 @@
     pub fn new(now_ms: u64) -> Self {
         Self {
             inner: Mutex::default(),
-            pauses: PauseDetector::new(TICK_MS, now_ms),
+            pauses: PauseDetector::new(TICK_INTERVAL_MS, now_ms),
         }
     }
 
@@ -76,9 +76,9 @@
     }
 
     /// Counts an idempotent call until the guard is dropped.
-    pub(super) fn repeatable(&self) -> RepeatableGuard<'_> {
+    pub(super) fn repeatable(&self) -> IdempotentCallGuard<'_> {
         self.inner().repeatable += 1;
-        RepeatableGuard { desk: self }
+        IdempotentCallGuard { desk: self }
     }
 
     /// The slot for suspects.
@@ -124,11 +124,11 @@
 
 /// Counts an idempotent call while it runs.
 #[derive(Debug)]
-pub(super) struct RepeatableGuard<'a> {
+pub(super) struct IdempotentCallGuard<'a> {
     desk: &'a CallRegistry,
 }
 
-impl Drop for RepeatableGuard<'_> {
+impl Drop for IdempotentCallGuard<'_> {
     fn drop(&mut self) {
         self.desk.inner().repeatable -= 1;
     }
--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -19,10 +19,10 @@
 use crate::weights::Digest;
 
 /// Time a service has to accept a connection that only tests whether it lives.
-const PROBE_WAIT: Duration = Duration::from_millis(500);
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time such a connection must stay open.
-const PROBE_OPEN: Duration = Duration::from_millis(200);
+const PROBE_OPEN_TIME: Duration = Duration::from_millis(200);
 
 /// One call on its way to the service.
 pub(super) struct CallRun<'a> {
@@ -108,8 +108,8 @@
 /// A process that dies closes its sockets one by one, so its listener may
 /// still accept after its other connections have broken.
 pub(super) async fn is_alive(address: &str) -> bool {
-    let Ok(Ok(probe)) = timeout(PROBE_WAIT, TcpStream::connect(address)).await else {
+    let Ok(Ok(probe)) = timeout(PROBE_CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
-    timeout(PROBE_OPEN, probe.readable()).await.is_err()
+    timeout(PROBE_OPEN_TIME, probe.readable()).await.is_err()
 }
--- a/src/endpoint/call_ticker.rs
+++ b/src/endpoint/call_ticker.rs
@@ -6,7 +6,7 @@
 use actix::Context;
 
 use crate::endpoint::EndpointState;
-use crate::endpoint::call_registry::TICK_MS;
+use crate::endpoint::call_registry::TICK_INTERVAL_MS;
 
 /// Turns the epochs of the permit table and notices pauses.
 #[derive(Debug)]
@@ -24,15 +24,15 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        self.state.turn_calls();
-        let pause = Duration::from_millis(TICK_MS);
-        context.run_interval(pause, |this, _| this.state.turn_calls());
+        self.state.run_call_housekeeping();
+        let pause = Duration::from_millis(TICK_INTERVAL_MS);
+        context.run_interval(pause, |this, _| this.state.run_call_housekeeping());
     }
 }
 
 impl EndpointState {
     /// Brings epochs, pauses and suspects up to now.
-    pub(super) fn turn_calls(&self) {
+    pub(super) fn run_call_housekeeping(&self) {
         let now_ms = self.node.now_ms();
         self.calls.pauses().tick(now_ms);
         self.node.suspects().drop_expired(now_ms);
--- a/src/endpoint/engine_watch.rs
+++ b/src/endpoint/engine_health.rs
@@ -6,7 +6,7 @@
 
 /// What an endpoint knows of its engine's crashes, and the slot for suspects of them.
 #[derive(Debug, Default)]
-pub(super) struct EngineWatch {
+pub(super) struct EngineHealth {
     inner: Mutex<Inner>,
 }
 
@@ -17,7 +17,7 @@
     suspects: SuspectSlot,
 }
 
-impl EngineWatch {
+impl EngineHealth {
     /// Notes that the engine made a token.
     pub(super) fn is_up(&self) {
         self.lock().is_down = false;
@@ -50,7 +50,7 @@
 /// The slot for suspects, held by one request.
 #[derive(Debug)]
 pub(super) struct SuspectGuard<'a> {
-    watch: &'a EngineWatch,
+    watch: &'a EngineHealth,
     request: Digest,
 }
 
--- a/src/endpoint/generate_load.rs
+++ b/src/endpoint/generate_load.rs
@@ -12,18 +12,18 @@
 
 /// Copies the load of the queue into what the process says of itself.
 #[derive(Debug)]
-pub struct LoadKeeper {
+pub struct LoadUpdater {
     state: Arc<EndpointState>,
 }
 
-impl LoadKeeper {
+impl LoadUpdater {
     /// Keeper of `state`'s load.
     pub fn new(state: Arc<EndpointState>) -> Self {
         Self { state }
     }
 }
 
-impl Actor for LoadKeeper {
+impl Actor for LoadUpdater {
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
--- a/src/endpoint/generate_queue.rs
+++ b/src/endpoint/generate_queue.rs
@@ -23,7 +23,7 @@
 
 /// A final refusal of the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Refusal {
+pub(super) struct GenerateRefusal {
     pub(super) reason: RefusalReason,
     pub(super) retry_after_ms: u64,
 }
@@ -32,12 +32,12 @@
 #[derive(Debug)]
 pub(super) enum Grant {
     Run(RunSlot),
-    Refused(Refusal),
+    Refused(GenerateRefusal),
 }
 
 /// A request's place in the queue.
 #[derive(Debug)]
-pub(super) struct Place {
+pub(super) struct PendingGrant {
     pub(super) grant: oneshot::Receiver<Grant>,
     /// Time after which the request is given up.
     pub(super) expiry_ms: u64,
@@ -101,7 +101,7 @@
         branch: &str,
         cost_tokens: u64,
         deadline_ms: u64,
-    ) -> Result<Place, Refusal> {
+    ) -> Result<PendingGrant, GenerateRefusal> {
         let now_ms = self.now_ms();
         let (sender, grant) = oneshot::channel();
         let mut queue = self.lock();
@@ -117,13 +117,13 @@
         match pushed {
             PushOutcome::Queued => {
                 self.pump();
-                Ok(Place { grant, expiry_ms })
+                Ok(PendingGrant { grant, expiry_ms })
             }
             PushOutcome::Refused {
                 reason,
                 retry_after_ms,
                 ..
-            } => Err(Refusal {
+            } => Err(GenerateRefusal {
                 reason: reason.into(),
                 retry_after_ms,
             }),
@@ -162,7 +162,7 @@
                 reason,
                 retry_after_ms,
             } => {
-                let refusal = Refusal {
+                let refusal = GenerateRefusal {
                     reason: reason.into(),
                     retry_after_ms,
                 };
--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -10,12 +10,12 @@
 use tokio::sync::mpsc;
 
 use super::call_run::is_alive;
-use super::engine_watch::EngineWatch;
-use super::engine_watch::SuspectGuard;
+use super::engine_health::EngineHealth;
+use super::engine_health::SuspectGuard;
 use super::generate_queue::GenerateQueue;
+use super::generate_queue::GenerateRefusal;
 use super::generate_queue::Grant;
-use super::generate_queue::Place;
-use super::generate_queue::Refusal;
+use super::generate_queue::PendingGrant;
 use super::generate_queue::RunSlot;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
@@ -30,25 +30,25 @@
 use crate::weights::Digest;
 
 /// Interval of heartbeats while a request waits for a slot.
-const BEAT_INTERVAL_MS: u64 = 500;
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
 /// Silence after which the engine's connection is abandoned.
-const ENGINE_SILENCE: Duration = Duration::from_millis(3000);
+const ENGINE_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// Time a full buffer may wait for its reader.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// Time between two looks at the slot for suspects.
-const SUSPECT_PAUSE: Duration = Duration::from_millis(50);
+const SUSPECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The entry has closed the stream.
-struct ReaderGone;
+struct StreamClosed;
 
 /// One request at an endpoint: it waits for a slot, then passes the engine's tokens on.
 pub(super) struct GenerateRun {
     pub(super) queue: Arc<GenerateQueue>,
     pub(super) engine: EngineClient,
-    pub(super) watch: Arc<EngineWatch>,
+    pub(super) watch: Arc<EngineHealth>,
     pub(super) call: GenerateCall,
     /// Whole digest of the weights that were verified here.
     pub(super) whole: Digest,
@@ -84,7 +84,7 @@
     async fn wait_as_suspect(
         &self,
         deadline_ms: u64,
-    ) -> Result<Option<SuspectGuard<'_>>, ReaderGone> {
+    ) -> Result<Option<SuspectGuard<'_>>, StreamClosed> {
         if !self.call.is_suspect {
             return Ok(None);
         }
@@ -94,21 +94,21 @@
             if entered.is_some() || self.queue.now_ms() >= deadline_ms {
                 return Ok(entered);
             }
-            self.unless_gone(sleep(SUSPECT_PAUSE)).await?;
+            self.unless_gone(sleep(SUSPECT_RETRY_INTERVAL)).await?;
             let load = self.queue.load();
             self.send(GenerateFrame::Beat { load }).await?;
         }
     }
 
     /// Waits for the queue's word, with heartbeats.
-    async fn wait(&self, mut place: Place) -> Result<Grant, ReaderGone> {
+    async fn wait(&self, mut place: PendingGrant) -> Result<Grant, StreamClosed> {
         loop {
             let left_ms = place.expiry_ms.saturating_sub(self.queue.now_ms()) + 1;
-            let pause = Duration::from_millis(left_ms.min(BEAT_INTERVAL_MS));
+            let pause = Duration::from_millis(left_ms.min(HEARTBEAT_INTERVAL_MS));
             match self.unless_gone(timeout(pause, &mut place.grant)).await? {
                 Ok(Ok(grant)) => return Ok(grant),
                 // The queue drops no waiting request without a word.
-                Ok(Err(_)) => return Err(ReaderGone),
+                Ok(Err(_)) => return Err(StreamClosed),
                 Err(_) => self.queue.pump(),
             }
             let load = self.queue.load();
@@ -120,12 +120,12 @@
         // A process that was paused finds the deadline passed here.
         let left_ms = deadline_ms.saturating_sub(self.queue.now_ms());
         if left_ms == 0 {
-            return self.refuse(Refusal::deadline_passed()).await;
+            return self.refuse(GenerateRefusal::deadline_passed()).await;
         }
         let streamed = self.stream(&mut slot, left_ms).await;
         let last = match streamed {
             Ok(last) => last,
-            Err(ReaderGone) => {
+            Err(StreamClosed) => {
                 // An engine that does not see the closed connection is told.
                 let _ = self.engine.cancel(&self.call.request_id).await;
                 return;
@@ -136,7 +136,11 @@
     }
 
     /// Passes tokens on and returns the final frame.
-    async fn stream(&self, slot: &mut RunSlot, left_ms: u64) -> Result<GenerateFrame, ReaderGone> {
+    async fn stream(
+        &self,
+        slot: &mut RunSlot,
+        left_ms: u64,
+    ) -> Result<GenerateFrame, StreamClosed> {
         let load = self.queue.load();
         self.send(GenerateFrame::Started { load }).await?;
         let order = self.order(left_ms);
@@ -192,8 +196,8 @@
     async fn next_event(
         &self,
         events: &mut EngineStream,
-    ) -> Result<Result<StreamEvent, StreamFault>, ReaderGone> {
-        let next = timeout(ENGINE_SILENCE, events.next());
+    ) -> Result<Result<StreamEvent, StreamFault>, StreamClosed> {
+        let next = timeout(ENGINE_SILENCE_TIMEOUT, events.next());
         Ok(match self.unless_gone(next).await? {
             Ok(Some(Ok(event))) => Ok(event),
             // The connection ended without its end record.
@@ -233,7 +237,7 @@
         last
     }
 
-    async fn refuse(&self, refusal: Refusal) {
+    async fn refuse(&self, refusal: GenerateRefusal) {
         let frame = GenerateFrame::Refused {
             reason: refusal.reason,
             retry_after_ms: Some(refusal.retry_after_ms),
@@ -243,22 +247,22 @@
     }
 
     /// Sends a frame; a reader that leaves the buffer full for long counts as gone.
-    async fn send(&self, frame: GenerateFrame) -> Result<(), ReaderGone> {
+    async fn send(&self, frame: GenerateFrame) -> Result<(), StreamClosed> {
         match timeout(SLOW_READER_TIMEOUT, self.frames.send(frame)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(ReaderGone),
+            Ok(Err(_)) | Err(_) => Err(StreamClosed),
         }
     }
 
-    async fn unless_gone<T>(&self, work: impl Future<Output = T>) -> Result<T, ReaderGone> {
+    async fn unless_gone<T>(&self, work: impl Future<Output = T>) -> Result<T, StreamClosed> {
         match select(pin!(work), pin!(self.frames.closed())).await {
             Either::Left((done, _)) => Ok(done),
-            Either::Right(_) => Err(ReaderGone),
+            Either::Right(_) => Err(StreamClosed),
         }
     }
 }
 
-impl Refusal {
+impl GenerateRefusal {
     fn deadline_passed() -> Self {
         Self {
             reason: RefusalReason::DeadlinePassed,
--- a/src/endpoint/generate_server.rs
+++ b/src/endpoint/generate_server.rs
@@ -7,7 +7,7 @@
 use futures_util::stream;
 use tokio::sync::mpsc;
 
-use super::engine_watch::EngineWatch;
+use super::engine_health::EngineHealth;
 use super::generate_queue::GenerateQueue;
 use super::generate_run::GenerateRun;
 use crate::calls::GenerateCall;
@@ -24,7 +24,7 @@
 pub struct GenerateServer {
     queue: Arc<GenerateQueue>,
     engine: EngineClient,
-    watch: Arc<EngineWatch>,
+    watch: Arc<EngineHealth>,
 }
 
 impl GenerateServer {
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,11 +1,11 @@
 //! The endpoint role: the only process that gives its engine or service orders or calls.
 
 mod call;
-mod call_beats;
+mod call_heartbeats;
 mod call_registry;
 mod call_run;
 mod call_ticker;
-mod engine_watch;
+mod engine_health;
 mod generate;
 mod generate_load;
 mod generate_queue;
@@ -18,11 +18,11 @@
 mod weights_links;
 mod weights_manager;
 mod weights_member;
+mod weights_rollout;
 mod weights_signal;
 mod weights_state;
 mod weights_tracked;
 mod weights_transfer;
-mod weights_turns;
 mod weights_version;
 
 pub use generate_queue::GenerateQueue;
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -14,7 +14,7 @@
 use crate::endpoint::call_ticker::CallTicker;
 use crate::endpoint::configure_weights_routes;
 use crate::endpoint::generate;
-use crate::endpoint::generate_load::LoadKeeper;
+use crate::endpoint::generate_load::LoadUpdater;
 use crate::links::ServeOptions;
 use crate::links::serve;
 use crate::node;
@@ -66,7 +66,7 @@
     Reporter::bind(Arc::clone(&state.node))?.start();
     if let Some(engine) = state.engine_address() {
         WeightsManager::new(Arc::clone(&state), engine).start();
-        LoadKeeper::new(Arc::clone(&state)).start();
+        LoadUpdater::new(Arc::clone(&state)).start();
     }
     emit(
         Event::ProcessStarted,
--- a/src/endpoint/state.rs
+++ b/src/endpoint/state.rs
@@ -21,7 +21,7 @@
 pub const SLOTS_PER_RESERVED_SLOT: u32 = 32;
 
 /// Full queues of branches that fit into the whole queue.
-const BRANCHES_WAITING: usize = 4;
+const FULL_BRANCH_QUEUES: usize = 4;
 
 /// State shared by the handlers of an endpoint.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
                 slots: settings.slots as u32,
                 reserved_slots: settings.slots as u32 / SLOTS_PER_RESERVED_SLOT,
                 max_waiting_per_branch: settings.queue_limit as usize,
-                max_waiting: settings.queue_limit as usize * BRANCHES_WAITING,
+                max_waiting: settings.queue_limit as usize * FULL_BRANCH_QUEUES,
             });
             GenerateServer::new(queue, EngineClient::new(address))
         });
--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -12,9 +12,9 @@
 
 /// What became of an order to load.
 #[derive(Debug)]
-pub(super) enum Loading {
+pub(super) enum LoadOutcome {
     /// The engine holds bytes of this digest.
-    Holds(Digest),
+    Loaded(Digest),
     /// The engine gave no answer, and its state doesn't show the version.
     Unknown,
     /// The engine refused.
@@ -23,12 +23,12 @@
 
 /// Gives orders to this host's engine; nobody else does.
 #[derive(Debug)]
-pub(super) struct EngineGiver {
+pub(super) struct EngineOrderSender {
     client: EngineClient,
     sequence: u64,
 }
 
-impl EngineGiver {
+impl EngineOrderSender {
     pub(super) fn new(client: EngineClient) -> Self {
         Self {
             client,
@@ -59,13 +59,13 @@
         &mut self,
         state: &EndpointState,
         tracked: &TrackedVersion,
-    ) -> Loading {
+    ) -> LoadOutcome {
         let manifest = tracked.digest();
         match self.state().await {
-            Err(_) => return Loading::Unknown,
+            Err(_) => return LoadOutcome::Unknown,
             Ok(held) => {
                 if let Some(whole) = held_whole(&held, manifest) {
-                    return Loading::Holds(whole);
+                    return LoadOutcome::Loaded(whole);
                 }
             }
         }
@@ -78,11 +78,13 @@
             source_url: format!("http://{}/x/local/{manifest}", state.node.process().listen),
         };
         match self.client.load(&order).await {
-            Ok(answer) => Loading::Holds(answer.whole),
-            Err(EngineError::Refused(fault)) => Loading::Refused(held_by(fault, tracked)),
+            Ok(answer) => LoadOutcome::Loaded(answer.whole),
+            Err(EngineError::Refused(fault)) => LoadOutcome::Refused(held_by(fault, tracked)),
             Err(_) => match self.state().await {
-                Ok(held) => held_whole(&held, manifest).map_or(Loading::Unknown, Loading::Holds),
-                Err(_) => Loading::Unknown,
+                Ok(held) => {
+                    held_whole(&held, manifest).map_or(LoadOutcome::Unknown, LoadOutcome::Loaded)
+                }
+                Err(_) => LoadOutcome::Unknown,
             },
         }
     }
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -80,23 +80,23 @@
         .route("/x/local/{manifest}", web::get().to(answer_whole));
 }
 
-fn not_taking_part() -> HttpResponse {
+fn unknown_version_response() -> HttpResponse {
     HttpResponse::NotFound().body("this host does not hold the version")
 }
 
 /// Why a peer gets no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Refusal {
+enum PeerRefusal {
     WrongKey,
-    NotTakingPart,
+    UnknownVersion,
     Held,
 }
 
-impl Refusal {
+impl PeerRefusal {
     fn response(self) -> HttpResponse {
         match self {
             Self::WrongKey => HttpResponse::Unauthorized().body("wrong shared key"),
-            Self::NotTakingPart => not_taking_part(),
+            Self::UnknownVersion => unknown_version_response(),
             Self::Held => HttpResponse::Gone().body("this host can't proceed with the version"),
         }
     }
@@ -107,16 +107,16 @@
     hosts: &WeightsHosts,
     request: &HttpRequest,
     manifest: &str,
-) -> Result<(Arc<WeightsState>, Arc<WeightsVersion>), Refusal> {
+) -> Result<(Arc<WeightsState>, Arc<WeightsVersion>), PeerRefusal> {
     if !has_key(request, &hosts.shared_key) {
-        return Err(Refusal::WrongKey);
+        return Err(PeerRefusal::WrongKey);
     }
-    let share = hosts.share(request).ok_or(Refusal::NotTakingPart)?;
+    let share = hosts.share(request).ok_or(PeerRefusal::UnknownVersion)?;
     let digest = manifest.parse::<Digest>().ok();
     let version = digest.and_then(|digest| share.version(digest));
-    let version = version.ok_or(Refusal::NotTakingPart)?;
+    let version = version.ok_or(PeerRefusal::UnknownVersion)?;
     if version.hold_reason().is_some() {
-        return Err(Refusal::Held);
+        return Err(PeerRefusal::Held);
     }
     Ok((Arc::clone(share), version))
 }
@@ -144,7 +144,7 @@
             share.record_control_traffic(control_bytes(&body, &note), "asked");
             rmp_response(&note)
         }
-        None => not_taking_part(),
+        None => unknown_version_response(),
     }
 }
 
@@ -203,7 +203,7 @@
 
 fn frame_response(version: &WeightsVersion, outcome: ReadOutcome, chunk: Bytes) -> HttpResponse {
     let Some(note) = version.peer_status() else {
-        return not_taking_part();
+        return unknown_version_response();
     };
     let Some(head) = ChunkFrame::encode_header(outcome, note) else {
         return HttpResponse::InternalServerError().body("the head does not encode");
@@ -232,6 +232,6 @@
             HttpResponse::Ok().body(BodyStream::new(stream::iter(parts)))
         }
         Some(_) => HttpResponse::Forbidden().body("only the engine of this host reads here"),
-        None => not_taking_part(),
+        None => unknown_version_response(),
     }
 }
--- a/src/endpoint/weights_manager.rs
+++ b/src/endpoint/weights_manager.rs
@@ -18,8 +18,8 @@
 use crate::clients::OriginError;
 use crate::document::ModelSection;
 use crate::endpoint::EndpointState;
-use crate::endpoint::weights_engine::EngineGiver;
-use crate::endpoint::weights_engine::Loading;
+use crate::endpoint::weights_engine::EngineOrderSender;
+use crate::endpoint::weights_engine::LoadOutcome;
 use crate::endpoint::weights_tracked::TrackedVersion;
 use crate::hosts::HostRole;
 use crate::observe::Event;
@@ -33,22 +33,22 @@
 use crate::weights::replica_hosts;
 
 /// How often the document is compared with what is here.
-const ROUND: Duration = Duration::from_millis(250);
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A round that comes later than this follows a pause of the process.
-const PAUSED_MS: u64 = 3000;
+const PAUSE_THRESHOLD_MS: u64 = 3000;
 
 /// How often a serving engine is asked whether it still holds its versions.
-const ENGINE_CHECK_MS: u64 = 2000;
+const ENGINE_CHECK_INTERVAL_MS: u64 = 2000;
 
 /// Longest time one chunk from a peer may take.
-const PEER_WAIT_MS: u64 = 10_000;
+const PEER_TIMEOUT_MS: u64 = 10_000;
 
 /// Longest time one chunk from the origin may take.
-const ORIGIN_WAIT_MS: u64 = 120_000;
+const ORIGIN_TIMEOUT_MS: u64 = 120_000;
 
 /// A model this host should serve.
-pub(super) struct Want {
+pub(super) struct WantedModel {
     pub(super) model: ModelSection,
     /// Hosts that should serve it, in the order of a rollout.
     pub(super) members: Vec<SwarmMember>,
@@ -72,40 +72,44 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        let mut rounds = Rounds {
+        let mut reconciler = Reconciler {
             state: Arc::clone(&self.state),
             origin: OriginClient::new(self.state.node.platform().origin_url.clone()),
-            giver: EngineGiver::new(EngineClient::new(self.engine)),
+            orders: EngineOrderSender::new(EngineClient::new(self.engine)),
             tracked: Vec::new(),
             engine_asked_ms: 0,
         };
         let keeping = async move {
-            let mut before_ms = rounds.state.node.now_ms();
+            let mut before_ms = reconciler.state.node.now_ms();
             loop {
-                actix_rt::time::sleep(ROUND).await;
-                let now_ms = rounds.state.node.now_ms();
+                actix_rt::time::sleep(RECONCILE_INTERVAL).await;
+                let now_ms = reconciler.state.node.now_ms();
                 // After a pause hosts and document may be old: the next round decides.
-                let paused = now_ms.saturating_sub(before_ms) > PAUSED_MS;
-                if !paused && rounds.state.node.is_ready() {
-                    rounds.run().await;
+                let paused = now_ms.saturating_sub(before_ms) > PAUSE_THRESHOLD_MS;
+                if !paused && reconciler.state.node.is_ready() {
+                    reconciler.run().await;
                 }
-                before_ms = rounds.state.node.now_ms().min(now_ms + PAUSED_MS);
+                before_ms = reconciler
+                    .state
+                    .node
+                    .now_ms()
+                    .min(now_ms + PAUSE_THRESHOLD_MS);
             }
         };
         context.spawn(keeping.into_actor(self));
     }
 }
 
-/// The state of the keeper between its rounds.
-pub(super) struct Rounds {
+/// The state of the keeper between its reconciler.
+pub(super) struct Reconciler {
     pub(super) state: Arc<EndpointState>,
     origin: OriginClient,
-    pub(super) giver: EngineGiver,
+    pub(super) orders: EngineOrderSender,
     pub(super) tracked: Vec<TrackedVersion>,
     engine_asked_ms: u64,
 }
 
-impl Rounds {
+impl Reconciler {
     async fn run(&mut self) {
         let wants = self.wants();
         let live = self.state.node.own().load.running > 0;
@@ -129,7 +133,7 @@
     }
 
     /// The models that rank this host among those that serve them.
-    fn wants(&self) -> Vec<Want> {
+    fn wants(&self) -> Vec<WantedModel> {
         let node = &self.state.node;
         let members = self.members();
         let mut wants = Vec::new();
@@ -150,7 +154,7 @@
                         .cloned()
                 })
                 .collect();
-            wants.push(Want {
+            wants.push(WantedModel {
                 model,
                 members: ordered,
                 rank,
@@ -186,7 +190,7 @@
     }
 
     /// Starts to track what is new, and gives up transfers that are not wanted.
-    fn track(&mut self, wants: &[Want]) {
+    fn track(&mut self, wants: &[WantedModel]) {
         for want in wants {
             let digest = want.model.manifest;
             match self
@@ -216,7 +220,7 @@
         });
     }
 
-    async fn advance(&mut self, at: usize, want: &Want) {
+    async fn advance(&mut self, at: usize, want: &WantedModel) {
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
         match tracked.version.stage_kind() {
@@ -229,7 +233,7 @@
     }
 
     /// Reads the manifest and starts the transfer.
-    async fn begin(&mut self, at: usize, want: &Want) {
+    async fn begin(&mut self, at: usize, want: &WantedModel) {
         let manifest = self
             .origin
             .manifest(&want.model.name, &want.model.version)
@@ -248,7 +252,7 @@
         }
     }
 
-    fn start_transfer(&mut self, at: usize, manifest: Manifest, want: &Want) {
+    fn start_transfer(&mut self, at: usize, manifest: Manifest, want: &WantedModel) {
         let now_ms = self.state.node.now_ms();
         let digest = self.tracked[at].digest();
         if let Err(error) = manifest.validate_with_digest(digest) {
@@ -303,13 +307,13 @@
                 plan: PlanSettings::default(),
                 max_probed_peers: usize::try_from(settings.neighbours).unwrap_or(usize::MAX),
             },
-            peer_timeout_ms: PEER_WAIT_MS,
-            origin_timeout_ms: ORIGIN_WAIT_MS,
+            peer_timeout_ms: PEER_TIMEOUT_MS,
+            origin_timeout_ms: ORIGIN_TIMEOUT_MS,
         }
     }
 
     /// Loads a verified version when its base is there and its turn has come.
-    async fn load(&mut self, at: usize, want: &Want) {
+    async fn load(&mut self, at: usize, want: &WantedModel) {
         let base = self.tracked[at].base;
         if let Some(base) = base
             && !self
@@ -321,19 +325,19 @@
             self.tracked[at].failed(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
             return;
         }
-        if self.serves_old(want) && !self.is_turn(want).await {
+        if self.serves_other_version(want) && !self.has_load_slot(want).await {
             return;
         }
-        let loading = self.giver.load(&self.state, &self.tracked[at]).await;
+        let loading = self.orders.load(&self.state, &self.tracked[at]).await;
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
         match loading {
-            Loading::Holds(whole) => take_loaded(tracked, whole, now_ms),
-            Loading::Unknown => {
+            LoadOutcome::Loaded(whole) => take_loaded(tracked, whole, now_ms),
+            LoadOutcome::Unknown => {
                 self.state.node.metrics().retried("engine_reply_lost");
                 tracked.failed(None, 0, now_ms);
             }
-            Loading::Refused(held) => tracked.failed(Some(held), 0, now_ms),
+            LoadOutcome::Refused(held) => tracked.failed(Some(held), 0, now_ms),
         }
     }
 
@@ -341,11 +345,11 @@
     async fn check_engine(&mut self) {
         let now_ms = self.state.node.now_ms();
         let serving = self.tracked.iter().any(TrackedVersion::serves);
-        if !serving || now_ms < self.engine_asked_ms + ENGINE_CHECK_MS {
+        if !serving || now_ms < self.engine_asked_ms + ENGINE_CHECK_INTERVAL_MS {
             return;
         }
         self.engine_asked_ms = now_ms;
-        let Ok(held) = self.giver.state().await else {
+        let Ok(held) = self.orders.state().await else {
             return;
         };
         for tracked in &mut self.tracked {
@@ -381,7 +385,7 @@
     );
 }
 
-fn update_members(tracked: &mut TrackedVersion, want: &Want) {
+fn update_members(tracked: &mut TrackedVersion, want: &WantedModel) {
     let same = tracked.members.len() == want.members.len()
         && tracked
             .members
--- a/src/endpoint/weights_turns.rs
+++ b/src/endpoint/weights_rollout.rs
@@ -1,6 +1,6 @@
 use super::SwarmMember;
-use crate::endpoint::weights_manager::Rounds;
-use crate::endpoint::weights_manager::Want;
+use crate::endpoint::weights_manager::Reconciler;
+use crate::endpoint::weights_manager::WantedModel;
 use crate::endpoint::weights_tracked::TrackedVersion;
 use crate::links::LinkError;
 use crate::weights::ChunkBitmap;
@@ -12,13 +12,13 @@
 use crate::weights::replica_hosts;
 
 /// Time between the last report of an old version and the order to drop it.
-const UNLOAD_GRACE_MS: u64 = 5000;
+const UNLOAD_DELAY_MS: u64 = 5000;
 
 /// Longest time a question to a host ahead may take.
-const AHEAD_WAIT_MS: u64 = 1000;
+const PREDECESSOR_TIMEOUT_MS: u64 = 1000;
 
-impl Rounds {
-    pub(super) fn serves_old(&self, want: &Want) -> bool {
+impl Reconciler {
+    pub(super) fn serves_other_version(&self, want: &WantedModel) -> bool {
         let model = &want.model;
         let old = |tracked: &&TrackedVersion| {
             tracked.model.name == model.name && tracked.digest() != model.manifest
@@ -27,13 +27,13 @@
     }
 
     /// Whether the hosts ahead in the order of the rollout have changed.
-    pub(super) async fn is_turn(&self, want: &Want) -> bool {
+    pub(super) async fn has_load_slot(&self, want: &WantedModel) -> bool {
         let step = want.model.step_replicas.max(1) as usize;
         let mut answers = vec![PredecessorState::Skipped; want.rank];
         let mut at = want.rank;
         while let Some(before) = at.checked_sub(step) {
             answers[before] = self
-                .ask_ahead(&want.members[before], want.model.manifest)
+                .request_predecessor_state(&want.members[before], want.model.manifest)
                 .await;
             if answers[before] != PredecessorState::Skipped {
                 break;
@@ -43,7 +43,11 @@
         may_switch_version(want.rank, want.model.step_replicas, |rank| answers[rank])
     }
 
-    async fn ask_ahead(&self, member: &SwarmMember, manifest: Digest) -> PredecessorState {
+    async fn request_predecessor_state(
+        &self,
+        member: &SwarmMember,
+        manifest: Digest,
+    ) -> PredecessorState {
         let url = format!("http://{}/x/weights/{manifest}/have", member.address);
         let question = PeerRequest {
             host: self.state.weights.host.clone(),
@@ -56,7 +60,7 @@
             .state
             .node
             .http()
-            .ask::<PeerStatus>(&url, &question, AHEAD_WAIT_MS)
+            .ask::<PeerStatus>(&url, &question, PREDECESSOR_TIMEOUT_MS)
             .await;
         match answer {
             Ok(note) if note.serving => PredecessorState::Serving,
@@ -66,7 +70,7 @@
     }
 
     /// Drops versions that are served but not wanted, once others took over.
-    pub(super) async fn retire(&mut self, wants: &[Want]) {
+    pub(super) async fn retire(&mut self, wants: &[WantedModel]) {
         let now_ms = self.state.node.now_ms();
         let mut gone = Vec::new();
         for at in 0..self.tracked.len() {
@@ -76,13 +80,13 @@
                 continue;
             }
             match tracked.retired_ms {
-                None if self.has_successor(at).await => self.tracked[at].retired_ms = Some(now_ms),
-                Some(retired_ms) if now_ms >= retired_ms + UNLOAD_GRACE_MS => gone.push(digest),
+                None if self.is_replaced(at).await => self.tracked[at].retired_ms = Some(now_ms),
+                Some(retired_ms) if now_ms >= retired_ms + UNLOAD_DELAY_MS => gone.push(digest),
                 _ => {}
             }
         }
         for digest in gone {
-            if self.giver.unload(&self.state, digest).await.is_ok() {
+            if self.orders.unload(&self.state, digest).await.is_ok() {
                 self.state.weights.remove_version(digest);
                 self.tracked.retain(|tracked| tracked.digest() != digest);
             }
@@ -91,7 +95,7 @@
 
     /// Whether the version at `at` is not needed any more: the new one is served
     /// here or, when this host has none, by all that should.
-    async fn has_successor(&self, at: usize) -> bool {
+    async fn is_replaced(&self, at: usize) -> bool {
         let name = &self.tracked[at].model.name;
         let Some(model) = self.state.node.document().model(name) else {
             return true;
@@ -109,7 +113,9 @@
         for name in replica_hosts(placed_as, model.replicas, names) {
             let member = members.iter().find(|member| member.host.name == name);
             let Some(member) = member else { continue };
-            if self.ask_ahead(member, model.manifest).await != PredecessorState::Serving {
+            if self.request_predecessor_state(member, model.manifest).await
+                != PredecessorState::Serving
+            {
                 return false;
             }
         }
--- a/src/endpoint/weights_state.rs
+++ b/src/endpoint/weights_state.rs
@@ -12,7 +12,7 @@
 use crate::weights::MemoryBudget;
 
 /// Bytes of HTTP headers of a request and its answer between processes.
-const HEADER_BYTES: u64 = 360;
+const HTTP_HEADER_BYTES: u64 = 360;
 
 /// Everything the HTTP handlers and the transfers of one host share.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
 
     /// Counts one exchange beside the weights themselves.
     pub(super) fn record_control_traffic(&self, body_bytes: u64, direction: &'static str) {
-        let bytes = body_bytes + HEADER_BYTES;
+        let bytes = body_bytes + HTTP_HEADER_BYTES;
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.metrics
             .add(Tally::ControlBytes, bytes, "direction", direction);
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -13,13 +13,13 @@
 use crate::weights::HoldReason;
 
 /// First pause after a failure; doubles with each further one.
-const FIRST_PAUSE_MS: u64 = 250;
+const INITIAL_BACKOFF_MS: u64 = 250;
 
 /// Longest pause after failures.
-const MAX_PAUSE_MS: u64 = 10_000;
+const MAX_BACKOFF_MS: u64 = 10_000;
 
 /// Steps in which progress is reported, as each is a report of its own.
-const PERCENT_STEPS: u64 = 10;
+const PROGRESS_STEPS: u64 = 10;
 
 /// One version that this host serves or should serve.
 pub(super) struct TrackedVersion {
@@ -68,8 +68,8 @@
     /// Notes a failure: the next try waits, and at least `wait_ms`.
     pub(super) fn failed(&mut self, cause: Option<HoldReason>, wait_ms: u64, now_ms: u64) {
         self.failures += 1;
-        let own_ms = FIRST_PAUSE_MS << (self.failures - 1).min(8);
-        self.retry_ms = now_ms + own_ms.min(MAX_PAUSE_MS).max(wait_ms);
+        let own_ms = INITIAL_BACKOFF_MS << (self.failures - 1).min(8);
+        self.retry_ms = now_ms + own_ms.min(MAX_BACKOFF_MS).max(wait_ms);
         self.waiting = cause;
     }
 
@@ -107,9 +107,9 @@
             return 100;
         }
         let percent = self.version.held_chunks().map_or(0, |have| {
-            let steps =
-                u64::from(have.held_count()) * PERCENT_STEPS / u64::from(have.chunk_count().max(1));
-            steps * 100 / PERCENT_STEPS
+            let steps = u64::from(have.held_count()) * PROGRESS_STEPS
+                / u64::from(have.chunk_count().max(1));
+            steps * 100 / PROGRESS_STEPS
         });
         u8::try_from(percent).unwrap_or(100)
     }
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -41,10 +41,10 @@
 use crate::weights::SwarmState;
 
 /// Time between two looks at the plan when nothing happens.
-const TICK_MS: u64 = 100;
+const PLAN_INTERVAL_MS: u64 = 100;
 
 /// Time beyond its waiting time after which a question is given up.
-const PROBE_SLACK_MS: u64 = 1500;
+const PROBE_TIMEOUT_MARGIN_MS: u64 = 1500;
 
 /// What a transfer needs beside the share.
 #[derive(Debug, Clone)]
@@ -75,7 +75,7 @@
 
 /// Result of one read.
 #[derive(Debug)]
-enum ReadResult {
+enum FetchResult {
     Peer(Result<ChunkFrame, LinkError>),
     Origin(Result<Bytes, OriginError>),
 }
@@ -181,7 +181,7 @@
                     if let Ok(bytes) = &result {
                         share.links.down.wait_for_transfer(bytes.len() as u64).await;
                     }
-                    ReadResult::Origin(result)
+                    FetchResult::Origin(result)
                 };
                 ctx.spawn(
                     reading
@@ -211,7 +211,7 @@
                             .wait_for_transfer(frame.chunk.len() as u64)
                             .await;
                     }
-                    ReadResult::Peer(result)
+                    FetchResult::Peer(result)
                 };
                 ctx.spawn(
                     reading
@@ -232,7 +232,7 @@
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
         let question = self.question(probe.known_chunks, probe.wait_ms);
         let http = self.options.http.clone();
-        let wait_ms = probe.wait_ms + PROBE_SLACK_MS;
+        let wait_ms = probe.wait_ms + PROBE_TIMEOUT_MARGIN_MS;
         let share = Arc::clone(&self.share);
         let asking = async move {
             let result = http.ask::<PeerStatus>(&url, &question, wait_ms).await;
@@ -253,11 +253,11 @@
         }));
     }
 
-    fn finish(&mut self, fetch: ChunkFetch, result: ReadResult, ctx: &mut Context<Self>) {
+    fn finish(&mut self, fetch: ChunkFetch, result: FetchResult, ctx: &mut Context<Self>) {
         let now_ms = self.now_ms();
         match (result, fetch.source) {
-            (ReadResult::Origin(Ok(bytes)), _) => self.take_chunk(fetch, bytes, "origin"),
-            (ReadResult::Origin(Err(error)), _) => {
+            (FetchResult::Origin(Ok(bytes)), _) => self.take_chunk(fetch, bytes, "origin"),
+            (FetchResult::Origin(Err(error)), _) => {
                 let retry_after_ms = match error {
                     OriginError::Limited { retry_after_ms } => Some(retry_after_ms),
                     _ => None,
@@ -266,7 +266,7 @@
                 self.swarm
                     .origin_fetch_failed(fetch, retry_after_ms, now_ms);
             }
-            (ReadResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
+            (FetchResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
                 self.swarm
                     .record_peer_status(peer, &frame.status.have, frame.status.queue);
                 match frame.outcome {
@@ -278,11 +278,11 @@
                     }
                 }
             }
-            (ReadResult::Peer(Err(error)), _) => {
+            (FetchResult::Peer(Err(error)), _) => {
                 self.share.metrics.retried("peer_unavailable");
                 self.swarm.peer_fetch_failed(fetch, failure(&error), now_ms);
             }
-            (ReadResult::Peer(Ok(_)), ChunkSource::Origin) => {}
+            (FetchResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
         self.drive(ctx);
     }
@@ -337,7 +337,9 @@
 
     fn started(&mut self, ctx: &mut Self::Context) {
         self.drive(ctx);
-        ctx.run_interval(Duration::from_millis(TICK_MS), |act, ctx| act.drive(ctx));
+        ctx.run_interval(Duration::from_millis(PLAN_INTERVAL_MS), |act, ctx| {
+            act.drive(ctx)
+        });
     }
 }
 
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -26,7 +26,7 @@
 use crate::weights::WeightsReplica;
 
 /// Questions kept until the transfer reads them.
-const MAX_QUESTIONS: usize = 64;
+const MAX_PEER_REQUESTS: usize = 64;
 
 /// How far a version has come on this host.
 #[derive(Debug)]
@@ -299,7 +299,7 @@
             .questions
             .lock()
             .expect("no holder of the questions panics");
-        if questions.len() < MAX_QUESTIONS {
+        if questions.len() < MAX_PEER_REQUESTS {
             questions.push(question);
         }
     }
