--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    fn next_order(&mut self, state: &EndpointState) -> OrderNo {
+    fn next_order_no(&mut self, state: &EndpointState) -> OrderNo {
         self.sequence += 1;
         OrderNo {
             offset: state.node.config_mark().offset,
@@ -46,7 +46,7 @@
     }
 
     /// What the engine holds.
-    pub(super) async fn state(&self) -> Result<EngineState, EngineError> {
+    pub(super) async fn engine_state(&self) -> Result<EngineState, EngineError> {
         self.client.state().await
     }
 
@@ -55,22 +55,22 @@
     /// The state is asked before the order and, when the answer is lost, after
     /// it: an order that took effect is not given twice, and an engine that
     /// ignores order numbers is seen to hold what it should.
-    pub(super) async fn load(
+    pub(super) async fn load_version(
         &mut self,
         state: &EndpointState,
         tracked: &TrackedVersion,
     ) -> LoadOutcome {
         let manifest = tracked.digest();
-        match self.state().await {
+        match self.engine_state().await {
             Err(_) => return LoadOutcome::Unknown,
             Ok(held) => {
-                if let Some(whole) = held_whole(&held, manifest) {
-                    return LoadOutcome::Loaded(whole);
+                if let Some(content_digest) = loaded_content_digest(&held, manifest) {
+                    return LoadOutcome::Loaded(content_digest);
                 }
             }
         }
         let order = LoadOrder {
-            order: self.next_order(state),
+            order: self.next_order_no(state),
             model: tracked.model.name.clone(),
             version: tracked.model.version.clone(),
             manifest,
@@ -79,28 +79,27 @@
         };
         match self.client.load(&order).await {
             Ok(answer) => LoadOutcome::Loaded(answer.whole),
-            Err(EngineError::Refused(fault)) => LoadOutcome::Refused(held_by(fault, tracked)),
-            Err(_) => match self.state().await {
-                Ok(held) => {
-                    held_whole(&held, manifest).map_or(LoadOutcome::Unknown, LoadOutcome::Loaded)
-                }
+            Err(EngineError::Refused(fault)) => LoadOutcome::Refused(hold_reason(fault, tracked)),
+            Err(_) => match self.engine_state().await {
+                Ok(held) => loaded_content_digest(&held, manifest)
+                    .map_or(LoadOutcome::Unknown, LoadOutcome::Loaded),
                 Err(_) => LoadOutcome::Unknown,
             },
         }
     }
 
     /// Orders the engine to drop a version.
-    pub(super) async fn unload(
+    pub(super) async fn unload_version(
         &mut self,
         state: &EndpointState,
         manifest: Digest,
     ) -> Result<(), EngineError> {
-        let order = self.next_order(state);
+        let order = self.next_order_no(state);
         self.client.unload(&UnloadOrder { order, manifest }).await
     }
 }
 
-fn held_whole(held: &EngineState, manifest: Digest) -> Option<Digest> {
+fn loaded_content_digest(held: &EngineState, manifest: Digest) -> Option<Digest> {
     let found = held
         .loaded
         .iter()
@@ -108,7 +107,7 @@
     Some(found.whole)
 }
 
-fn held_by(fault: EngineFault, tracked: &TrackedVersion) -> HoldReason {
+fn hold_reason(fault: EngineFault, tracked: &TrackedVersion) -> HoldReason {
     match (fault, tracked.base) {
         (EngineFault::BaseNotLoaded, Some(base)) => HoldReason::BaseNotLoaded { base },
         _ => HoldReason::EngineRefused {
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -28,7 +28,7 @@
 const MAX_UPLOADS: u32 = 4;
 
 /// Longest time a question waits for news.
-const MAX_WAIT_MS: u64 = 5000;
+const MAX_STATUS_WAIT_MS: u64 = 5000;
 
 /// Which hosts a server answers for.
 #[derive(Debug, Clone)]
@@ -40,9 +40,9 @@
 
 impl WeightsHosts {
     /// A server of one host, whatever address it listens on.
-    pub fn single(share: Arc<WeightsState>, shared_key: impl Into<String>) -> Self {
+    pub fn single(weights: Arc<WeightsState>, shared_key: impl Into<String>) -> Self {
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
-        Self::multiple(vec![(unspecified, share)], shared_key)
+        Self::multiple(vec![(unspecified, weights)], shared_key)
     }
 
     /// A server of several hosts, each with an address of its own.
@@ -57,7 +57,7 @@
         }
     }
 
-    fn share(&self, request: &HttpRequest) -> Option<&Arc<WeightsState>> {
+    fn weights_state(&self, request: &HttpRequest) -> Option<&Arc<WeightsState>> {
         if let [(_, only)] = self.hosts.as_slice() {
             return Some(only);
         }
@@ -72,12 +72,12 @@
 /// Adds the routes of peers and of the engine.
 pub fn configure_weights_routes(app: &mut ServiceConfig, hosts: WeightsHosts) {
     app.app_data(web::Data::new(hosts))
-        .route("/x/weights/{manifest}/have", web::post().to(answer_have))
+        .route("/x/weights/{manifest}/have", web::post().to(handle_status))
         .route(
             "/x/weights/{manifest}/{index}",
-            web::post().to(answer_chunk),
+            web::post().to(handle_chunk),
         )
-        .route("/x/local/{manifest}", web::get().to(answer_whole));
+        .route("/x/local/{manifest}", web::get().to(handle_engine_read));
 }
 
 fn unknown_version_response() -> HttpResponse {
@@ -103,7 +103,7 @@
 }
 
 /// The host and version that a peer asks for.
-fn find(
+fn find_version(
     hosts: &WeightsHosts,
     request: &HttpRequest,
     manifest: &str,
@@ -111,48 +111,50 @@
     if !has_key(request, &hosts.shared_key) {
         return Err(PeerRefusal::WrongKey);
     }
-    let share = hosts.share(request).ok_or(PeerRefusal::UnknownVersion)?;
+    let weights = hosts
+        .weights_state(request)
+        .ok_or(PeerRefusal::UnknownVersion)?;
     let digest = manifest.parse::<Digest>().ok();
-    let version = digest.and_then(|digest| share.version(digest));
+    let version = digest.and_then(|digest| weights.version(digest));
     let version = version.ok_or(PeerRefusal::UnknownVersion)?;
     if version.hold_reason().is_some() {
         return Err(PeerRefusal::Held);
     }
-    Ok((Arc::clone(share), version))
+    Ok((Arc::clone(weights), version))
 }
 
-async fn answer_have(
+async fn handle_status(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
     manifest: web::Path<String>,
     body: Bytes,
 ) -> HttpResponse {
-    let (share, version) = match find(&hosts, &request, &manifest) {
+    let (weights, version) = match find_version(&hosts, &request, &manifest) {
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
+    let Ok(peer_request) = read_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
-    let known = question.known;
-    let wait = Duration::from_millis(question.wait_ms.min(MAX_WAIT_MS));
-    version.add_peer_request(question);
+    let known = peer_request.known;
+    let wait = Duration::from_millis(peer_request.wait_ms.min(MAX_STATUS_WAIT_MS));
+    version.add_peer_request(peer_request);
     // A question that outlives its time is answered with what there is.
-    let _ = timeout(wait, wait_for_news(&version, known)).await;
+    let _ = timeout(wait, wait_for_new_chunks(&version, known)).await;
     match version.peer_status() {
-        Some(note) => {
-            share.record_control_traffic(control_bytes(&body, &note), "asked");
-            rmp_response(&note)
+        Some(status) => {
+            weights.record_control_traffic(status_bytes(&body, &status), "asked");
+            rmp_response(&status)
         }
         None => unknown_version_response(),
     }
 }
 
-fn control_bytes(question: &Bytes, note: &PeerStatus) -> u64 {
-    question.len() as u64 + note.have.encode().len() as u64
+fn status_bytes(peer_request: &Bytes, status: &PeerStatus) -> u64 {
+    peer_request.len() as u64 + status.have.encode().len() as u64
 }
 
-async fn wait_for_news(version: &WeightsVersion, known: u32) {
+async fn wait_for_new_chunks(version: &WeightsVersion, known: u32) {
     loop {
         let generation = version.signal.generation();
         if version
@@ -165,69 +167,69 @@
     }
 }
 
-async fn answer_chunk(
+async fn handle_chunk(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
     path: web::Path<(String, u32)>,
     body: Bytes,
 ) -> HttpResponse {
     let (manifest, index) = path.into_inner();
-    let (share, version) = match find(&hosts, &request, &manifest) {
+    let (weights, version) = match find_version(&hosts, &request, &manifest) {
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = read_rmp::<PeerRequest>(&body) else {
+    let Ok(peer_request) = read_rmp::<PeerRequest>(&body) else {
         return HttpResponse::BadRequest().body("the question does not decode");
     };
-    let region = question.region.clone();
-    version.add_peer_request(question);
-    share.record_control_traffic(body.len() as u64, "asked");
+    let region = peer_request.region.clone();
+    version.add_peer_request(peer_request);
+    weights.record_control_traffic(body.len() as u64, "asked");
     let Some(chunk) = version.chunk(index) else {
         return frame_response(&version, ReadOutcome::Absent, Bytes::new());
     };
-    if share.links.is_congested(&region) {
+    if weights.links.is_congested(&region) {
         return frame_response(&version, ReadOutcome::Busy, Bytes::new());
     }
     let Some(_upload) = version.start_upload(MAX_UPLOADS) else {
         return frame_response(&version, ReadOutcome::Busy, Bytes::new());
     };
-    share
+    weights
         .links
         .wait_for_upload(chunk.len() as u64, &region)
         .await;
-    share
+    weights
         .metrics
         .add(Tally::WeightBytes, chunk.len() as u64, "direction", "up");
     frame_response(&version, ReadOutcome::Sent, chunk)
 }
 
 fn frame_response(version: &WeightsVersion, outcome: ReadOutcome, chunk: Bytes) -> HttpResponse {
-    let Some(note) = version.peer_status() else {
+    let Some(status) = version.peer_status() else {
         return unknown_version_response();
     };
-    let Some(head) = ChunkFrame::encode_header(outcome, note) else {
+    let Some(header) = ChunkFrame::encode_header(outcome, status) else {
         return HttpResponse::InternalServerError().body("the head does not encode");
     };
-    let size = (head.len() + chunk.len()) as u64;
-    let parts = [Bytes::from(head), chunk].map(Ok::<_, actix_web::Error>);
+    let size = (header.len() + chunk.len()) as u64;
+    let parts = [Bytes::from(header), chunk].map(Ok::<_, actix_web::Error>);
     HttpResponse::Ok().body(SizedStream::new(size, stream::iter(parts)))
 }
 
-async fn answer_whole(
+async fn handle_engine_read(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
     manifest: web::Path<String>,
 ) -> HttpResponse {
-    let local = request.peer_addr().is_some_and(|peer| {
+    let is_local = request.peer_addr().is_some_and(|peer| {
         peer.ip() == request.app_config().local_addr().ip() || peer.ip().is_loopback()
     });
-    let whole = hosts
-        .share(&request)
+    let chunks = hosts
+        .weights_state(&request)
         .zip(manifest.parse::<Digest>().ok())
-        .and_then(|(share, digest)| share.version(digest))
+        .and_then(|(weights, digest)| weights.version(digest))
         .and_then(|version| version.loadable_chunks());
-    match whole {
-        Some(chunks) if local => {
+    match chunks {
+        Some(chunks) if is_local => {
             let parts = chunks.into_iter().map(Ok::<_, actix_web::Error>);
             HttpResponse::Ok().body(BodyStream::new(stream::iter(parts)))
         }
--- a/src/endpoint/weights_links.rs
+++ b/src/endpoint/weights_links.rs
@@ -30,12 +30,12 @@
     /// live requests while any runs.
     pub fn new(rate_bytes_per_s: u64, live_share_percent: u64) -> Arc<Self> {
         let burst_bytes = rate_bytes_per_s.saturating_mul(BURST_MS) / 1000;
-        let left_percent = 100 - live_share_percent.min(99);
+        let reduced_percent = 100 - live_share_percent.min(99);
         Arc::new(Self {
             started: Instant::now(),
             bucket: Mutex::new(TokenBucket::new(rate_bytes_per_s, burst_bytes)),
             full_rate_bytes_per_s: rate_bytes_per_s,
-            reduced_rate_bytes_per_s: (rate_bytes_per_s.saturating_mul(left_percent) / 100)
+            reduced_rate_bytes_per_s: (rate_bytes_per_s.saturating_mul(reduced_percent) / 100)
                 .max(u64::from(rate_bytes_per_s > 0)),
             transferred_bytes: AtomicU64::new(0),
         })
@@ -76,8 +76,8 @@
     }
 
     /// Yields to live requests, or takes the whole link again.
-    pub fn set_has_live_requests(&self, live: bool) {
-        let rate_bytes_per_s = match live {
+    pub fn set_has_live_requests(&self, has_live_requests: bool) {
+        let rate_bytes_per_s = match has_live_requests {
             true => self.reduced_rate_bytes_per_s,
             false => self.full_rate_bytes_per_s,
         };
@@ -111,15 +111,15 @@
 
     /// Whether so much waits for `region` that more would only time out.
     pub fn is_congested(&self, region: &str) -> bool {
-        let crossing = self.region_links.iter().find(|(name, _)| name == region);
-        crossing.is_some_and(|(_, link)| link.backlog_ms() > MAX_BACKLOG_MS)
+        let region_link = self.region_links.iter().find(|(name, _)| name == region);
+        region_link.is_some_and(|(_, link)| link.backlog_ms() > MAX_BACKLOG_MS)
     }
 
     /// Waits until `bytes` have left for a host in `region`.
     pub async fn wait_for_upload(&self, bytes: u64, region: &str) {
-        let crossing = self.region_links.iter().find(|(name, _)| name == region);
-        let crossing_us = crossing.map_or(0, |(_, link)| link.reserve(bytes));
+        let region_link = self.region_links.iter().find(|(name, _)| name == region);
+        let region_link_us = region_link.map_or(0, |(_, link)| link.reserve(bytes));
         let up_us = self.up.reserve(bytes);
-        sleep(Duration::from_micros(crossing_us.max(up_us))).await;
+        sleep(Duration::from_micros(region_link_us.max(up_us))).await;
     }
 }
--- a/src/endpoint/weights_manager.rs
+++ b/src/endpoint/weights_manager.rs
@@ -55,7 +55,7 @@
     pub(super) rank: usize,
 }
 
-/// Brings the versions that the document wants here, and loads and drops them.
+/// Brings the versions that the document wanted here, and loads and drops them.
 pub struct WeightsManager {
     state: Arc<EndpointState>,
     engine: SocketAddr,
@@ -77,9 +77,9 @@
             origin: OriginClient::new(self.state.node.platform().origin_url.clone()),
             orders: EngineOrderSender::new(EngineClient::new(self.engine)),
             tracked: Vec::new(),
-            engine_asked_ms: 0,
+            engine_checked_ms: 0,
         };
-        let keeping = async move {
+        let reconcile_loop = async move {
             let mut before_ms = reconciler.state.node.now_ms();
             loop {
                 actix_rt::time::sleep(RECONCILE_INTERVAL).await;
@@ -87,7 +87,7 @@
                 // After a pause hosts and document may be old: the next round decides.
                 let paused = now_ms.saturating_sub(before_ms) > PAUSE_THRESHOLD_MS;
                 if !paused && reconciler.state.node.is_ready() {
-                    reconciler.run().await;
+                    reconciler.reconcile().await;
                 }
                 before_ms = reconciler
                     .state
@@ -96,7 +96,7 @@
                     .min(now_ms + PAUSE_THRESHOLD_MS);
             }
         };
-        context.spawn(keeping.into_actor(self));
+        context.spawn(reconcile_loop.into_actor(self));
     }
 }
 
@@ -106,24 +106,24 @@
     origin: OriginClient,
     pub(super) orders: EngineOrderSender,
     pub(super) tracked: Vec<TrackedVersion>,
-    engine_asked_ms: u64,
+    engine_checked_ms: u64,
 }
 
 impl Reconciler {
-    async fn run(&mut self) {
-        let wants = self.wants();
+    async fn reconcile(&mut self) {
+        let wanted = self.wanted_models();
         let live = self.state.node.own().load.running > 0;
         self.state.weights.links.up.set_has_live_requests(live);
         self.state.weights.links.down.set_has_live_requests(live);
-        self.track(&wants);
+        self.update_tracked(&wanted);
         for at in 0..self.tracked.len() {
             let digest = self.tracked[at].digest();
-            if let Some(want) = wants.iter().find(|want| want.model.manifest == digest) {
-                self.advance(at, want).await;
+            if let Some(want) = wanted.iter().find(|want| want.model.manifest == digest) {
+                self.advance_version(at, want).await;
             }
         }
         self.check_engine().await;
-        self.retire(&wants).await;
+        self.retire_versions(&wanted).await;
         let served = self
             .tracked
             .iter()
@@ -133,10 +133,10 @@
     }
 
     /// The models that rank this host among those that serve them.
-    fn wants(&self) -> Vec<WantedModel> {
+    fn wanted_models(&self) -> Vec<WantedModel> {
         let node = &self.state.node;
-        let members = self.members();
-        let mut wants = Vec::new();
+        let members = self.swarm_members();
+        let mut wanted = Vec::new();
         for model in node.document().models() {
             // An adapter is placed as its base, so that they meet.
             let placed_as = model.base.clone().unwrap_or_else(|| model.name.clone());
@@ -154,17 +154,17 @@
                         .cloned()
                 })
                 .collect();
-            wants.push(WantedModel {
+            wanted.push(WantedModel {
                 model,
                 members: ordered,
                 rank,
             });
         }
-        wants
+        wanted
     }
 
     /// Hosts with an engine, this one among them.
-    pub(super) fn members(&self) -> Vec<SwarmMember> {
+    pub(super) fn swarm_members(&self) -> Vec<SwarmMember> {
         let node = &self.state.node;
         let own = SwarmMember {
             host: SwarmHost {
@@ -190,8 +190,8 @@
     }
 
     /// Starts to track what is new, and gives up transfers that are not wanted.
-    fn track(&mut self, wants: &[WantedModel]) {
-        for want in wants {
+    fn update_tracked(&mut self, wanted: &[WantedModel]) {
+        for want in wanted {
             let digest = want.model.manifest;
             match self
                 .tracked
@@ -206,34 +206,38 @@
                 }
             }
         }
-        let wanted = |digest: Digest| wants.iter().any(|want| want.model.manifest == digest);
-        let share = &self.state.weights;
+        let wanted = |digest: Digest| wanted.iter().any(|want| want.model.manifest == digest);
+        let weights = &self.state.weights;
         self.tracked.retain(|tracked| {
-            if tracked.serves() || wanted(tracked.digest()) {
+            if tracked.is_serving() || wanted(tracked.digest()) {
                 return true;
             }
             if let Some(transfer) = &tracked.transfer {
                 transfer.do_send(StopTransfer);
             }
-            share.remove_version(tracked.digest());
+            weights.remove_version(tracked.digest());
             false
         });
     }
 
-    async fn advance(&mut self, at: usize, want: &WantedModel) {
+    async fn advance_version(&mut self, at: usize, want: &WantedModel) {
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
         match tracked.version.stage_kind() {
-            VersionStageKind::Announced if tracked.is_due(now_ms) => self.begin(at, want).await,
+            VersionStageKind::Announced if tracked.is_retry_due(now_ms) => {
+                self.start_version(at, want).await
+            }
             VersionStageKind::Fetching => update_members(tracked, want),
-            VersionStageKind::Verified if tracked.is_due(now_ms) => self.load(at, want).await,
-            VersionStageKind::Held if tracked.is_due(now_ms) => tracked.version.restart(),
+            VersionStageKind::Verified if tracked.is_retry_due(now_ms) => {
+                self.load_version(at, want).await
+            }
+            VersionStageKind::Held if tracked.is_retry_due(now_ms) => tracked.version.restart(),
             _ => {}
         }
     }
 
     /// Reads the manifest and starts the transfer.
-    async fn begin(&mut self, at: usize, want: &WantedModel) {
+    async fn start_version(&mut self, at: usize, want: &WantedModel) {
         let manifest = self
             .origin
             .manifest(&want.model.name, &want.model.version)
@@ -243,12 +247,12 @@
         match manifest {
             Ok(manifest) => self.start_transfer(at, manifest, want),
             Err(OriginError::Missing) => {
-                tracked.failed(Some(HoldReason::ManifestMissing), 0, now_ms)
+                tracked.record_failure(Some(HoldReason::ManifestMissing), 0, now_ms)
             }
             Err(OriginError::Limited { retry_after_ms }) => {
-                tracked.failed(None, retry_after_ms, now_ms)
+                tracked.record_failure(None, retry_after_ms, now_ms)
             }
-            Err(OriginError::Link(_)) => tracked.failed(None, 0, now_ms),
+            Err(OriginError::Link(_)) => tracked.record_failure(None, 0, now_ms),
         }
     }
 
@@ -256,33 +260,33 @@
         let now_ms = self.state.node.now_ms();
         let digest = self.tracked[at].digest();
         if let Err(error) = manifest.validate_with_digest(digest) {
-            self.tracked[at].failed(Some(error.into()), 0, now_ms);
+            self.tracked[at].record_failure(Some(error.into()), 0, now_ms);
             return;
         }
         self.tracked[at].base = manifest.base;
-        let share = Arc::clone(&self.state.weights);
-        match WeightsTransfer::new(share, manifest, &want.members, self.options()) {
+        let weights = Arc::clone(&self.state.weights);
+        match WeightsTransfer::new(weights, manifest, &want.members, self.transfer_options()) {
             Some(transfer) => {
                 let tracked = &mut self.tracked[at];
                 tracked.members.clone_from(&want.members);
                 tracked.transfer = Some(transfer.start());
-                tracked.succeeded();
+                tracked.record_success();
             }
             None => {
                 let held = self.tracked[at].version.hold_reason();
-                self.release_old(digest);
+                self.release_superseded(digest);
                 let cause = held.as_ref().map_or_else(String::new, ToString::to_string);
                 emit(
                     Event::WeightsHeld,
                     &[("manifest", &digest.short_hex()), ("cause", &cause)],
                 );
-                self.tracked[at].failed(held, 0, now_ms);
+                self.tracked[at].record_failure(held, 0, now_ms);
             }
         }
     }
 
-    /// Gives up the bytes of versions that the engine serves but nobody wants.
-    fn release_old(&self, wanted: Digest) {
+    /// Gives up the bytes of versions that the engine serves but nobody wanted.
+    fn release_superseded(&self, wanted: Digest) {
         let model = self
             .tracked
             .iter()
@@ -297,7 +301,7 @@
         }
     }
 
-    fn options(&self) -> TransferOptions {
+    fn transfer_options(&self) -> TransferOptions {
         let settings = &self.state.settings.weights;
         TransferOptions {
             origin: self.origin.clone(),
@@ -313,43 +317,46 @@
     }
 
     /// Loads a verified version when its base is there and its turn has come.
-    async fn load(&mut self, at: usize, want: &WantedModel) {
+    async fn load_version(&mut self, at: usize, want: &WantedModel) {
         let base = self.tracked[at].base;
         if let Some(base) = base
             && !self
                 .tracked
                 .iter()
-                .any(|other| other.digest() == base && other.serves())
+                .any(|other| other.digest() == base && other.is_serving())
         {
             let now_ms = self.state.node.now_ms();
-            self.tracked[at].failed(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
+            self.tracked[at].record_failure(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
             return;
         }
         if self.serves_other_version(want) && !self.has_load_slot(want).await {
             return;
         }
-        let loading = self.orders.load(&self.state, &self.tracked[at]).await;
+        let outcome = self
+            .orders
+            .load_version(&self.state, &self.tracked[at])
+            .await;
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
-        match loading {
-            LoadOutcome::Loaded(whole) => take_loaded(tracked, whole, now_ms),
+        match outcome {
+            LoadOutcome::Loaded(content_digest) => record_loaded(tracked, content_digest, now_ms),
             LoadOutcome::Unknown => {
                 self.state.node.metrics().retried("engine_reply_lost");
-                tracked.failed(None, 0, now_ms);
+                tracked.record_failure(None, 0, now_ms);
             }
-            LoadOutcome::Refused(held) => tracked.failed(Some(held), 0, now_ms),
+            LoadOutcome::Refused(held) => tracked.record_failure(Some(held), 0, now_ms),
         }
     }
 
     /// Notices an engine that lost what it served.
     async fn check_engine(&mut self) {
         let now_ms = self.state.node.now_ms();
-        let serving = self.tracked.iter().any(TrackedVersion::serves);
-        if !serving || now_ms < self.engine_asked_ms + ENGINE_CHECK_INTERVAL_MS {
+        let serving = self.tracked.iter().any(TrackedVersion::is_serving);
+        if !serving || now_ms < self.engine_checked_ms + ENGINE_CHECK_INTERVAL_MS {
             return;
         }
-        self.engine_asked_ms = now_ms;
-        let Ok(held) = self.orders.state().await else {
+        self.engine_checked_ms = now_ms;
+        let Ok(held) = self.orders.engine_state().await else {
             return;
         };
         for tracked in &mut self.tracked {
@@ -357,28 +364,28 @@
                 .loaded
                 .iter()
                 .any(|loaded| loaded.manifest == tracked.digest());
-            if tracked.serves() && tracked.retired_ms.is_none() && !holds {
+            if tracked.is_serving() && tracked.retired_ms.is_none() && !holds {
                 tracked.version.require_reload();
             }
         }
     }
 }
 
-fn take_loaded(tracked: &mut TrackedVersion, whole: Digest, now_ms: u64) {
-    if tracked.version.confirm_loaded(whole) != VersionStageKind::Loaded {
+fn record_loaded(tracked: &mut TrackedVersion, content_digest: Digest, now_ms: u64) {
+    if tracked.version.confirm_loaded(content_digest) != VersionStageKind::Loaded {
         let expected = tracked
             .version
             .manifest()
-            .map_or(whole, |manifest| manifest.whole);
+            .map_or(content_digest, |manifest| manifest.whole);
         let held = HoldReason::EngineMismatch {
             expected,
-            found: whole,
+            found: content_digest,
         };
-        tracked.failed(Some(held), 0, now_ms);
+        tracked.record_failure(Some(held), 0, now_ms);
         return;
     }
     tracked.version.start_serving();
-    tracked.succeeded();
+    tracked.record_success();
     emit(
         Event::WeightsServing,
         &[("manifest", &tracked.digest().short_hex())],
--- a/src/endpoint/weights_rollout.rs
+++ b/src/endpoint/weights_rollout.rs
@@ -14,7 +14,7 @@
 /// Time between the last report of an old version and the order to drop it.
 const UNLOAD_DELAY_MS: u64 = 5000;
 
-/// Longest time a question to a host ahead may take.
+/// Longest time a request to a host ahead may take.
 const PREDECESSOR_TIMEOUT_MS: u64 = 1000;
 
 impl Reconciler {
@@ -23,24 +23,27 @@
         let old = |tracked: &&TrackedVersion| {
             tracked.model.name == model.name && tracked.digest() != model.manifest
         };
-        self.tracked.iter().filter(old).any(TrackedVersion::serves)
+        self.tracked
+            .iter()
+            .filter(old)
+            .any(TrackedVersion::is_serving)
     }
 
     /// Whether the hosts ahead in the order of the rollout have changed.
     pub(super) async fn has_load_slot(&self, want: &WantedModel) -> bool {
         let step = want.model.step_replicas.max(1) as usize;
-        let mut answers = vec![PredecessorState::Skipped; want.rank];
+        let mut states = vec![PredecessorState::Skipped; want.rank];
         let mut at = want.rank;
         while let Some(before) = at.checked_sub(step) {
-            answers[before] = self
+            states[before] = self
                 .request_predecessor_state(&want.members[before], want.model.manifest)
                 .await;
-            if answers[before] != PredecessorState::Skipped {
+            if states[before] != PredecessorState::Skipped {
                 break;
             }
             at = before;
         }
-        may_switch_version(want.rank, want.model.step_replicas, |rank| answers[rank])
+        may_switch_version(want.rank, want.model.step_replicas, |rank| states[rank])
     }
 
     async fn request_predecessor_state(
@@ -49,44 +52,51 @@
         manifest: Digest,
     ) -> PredecessorState {
         let url = format!("http://{}/x/weights/{manifest}/have", member.address);
-        let question = PeerRequest {
+        let request = PeerRequest {
             host: self.state.weights.host.clone(),
             region: self.state.weights.region.clone(),
             have: ChunkBitmap::empty(0),
             known: 0,
             wait_ms: 0,
         };
-        let answer = self
+        let response = self
             .state
             .node
             .http()
-            .ask::<PeerStatus>(&url, &question, PREDECESSOR_TIMEOUT_MS)
+            .ask::<PeerStatus>(&url, &request, PREDECESSOR_TIMEOUT_MS)
             .await;
-        match answer {
-            Ok(note) if note.serving => PredecessorState::Serving,
+        match response {
+            Ok(status) if status.serving => PredecessorState::Serving,
             Ok(_) | Err(LinkError::Status { status: 404, .. }) => PredecessorState::Pending,
             Err(_) => PredecessorState::Skipped,
         }
     }
 
     /// Drops versions that are served but not wanted, once others took over.
-    pub(super) async fn retire(&mut self, wants: &[WantedModel]) {
+    pub(super) async fn retire_versions(&mut self, wanted: &[WantedModel]) {
         let now_ms = self.state.node.now_ms();
-        let mut gone = Vec::new();
+        let mut to_unload = Vec::new();
         for at in 0..self.tracked.len() {
             let tracked = &self.tracked[at];
             let digest = tracked.digest();
-            if !tracked.serves() || wants.iter().any(|want| want.model.manifest == digest) {
+            if !tracked.is_serving() || wanted.iter().any(|want| want.model.manifest == digest) {
                 continue;
             }
             match tracked.retired_ms {
                 None if self.is_replaced(at).await => self.tracked[at].retired_ms = Some(now_ms),
-                Some(retired_ms) if now_ms >= retired_ms + UNLOAD_DELAY_MS => gone.push(digest),
+                Some(retired_ms) if now_ms >= retired_ms + UNLOAD_DELAY_MS => {
+                    to_unload.push(digest)
+                }
                 _ => {}
             }
         }
-        for digest in gone {
-            if self.orders.unload(&self.state, digest).await.is_ok() {
+        for digest in to_unload {
+            if self
+                .orders
+                .unload_version(&self.state, digest)
+                .await
+                .is_ok()
+            {
                 self.state.weights.remove_version(digest);
                 self.tracked.retain(|tracked| tracked.digest() != digest);
             }
@@ -100,14 +110,14 @@
         let Some(model) = self.state.node.document().model(name) else {
             return true;
         };
-        let here = self
+        let successor = self
             .tracked
             .iter()
             .find(|other| other.digest() == model.manifest);
-        if let Some(here) = here {
-            return here.serves();
+        if let Some(successor) = successor {
+            return successor.is_serving();
         }
-        let members = self.members();
+        let members = self.swarm_members();
         let placed_as = model.base.as_ref().unwrap_or(&model.name);
         let names = members.iter().map(|member| member.host.name.as_str());
         for name in replica_hosts(placed_as, model.replicas, names) {
--- a/src/endpoint/weights_signal.rs
+++ b/src/endpoint/weights_signal.rs
@@ -17,7 +17,7 @@
 }
 
 impl ChangeSignal {
-    fn waiters(&self) -> MutexGuard<'_, Waiters> {
+    fn lock_waiters(&self) -> MutexGuard<'_, Waiters> {
         self.waiters
             .lock()
             .expect("no holder of the waiters panics")
@@ -25,13 +25,13 @@
 
     /// Number of changes so far.
     pub(super) fn generation(&self) -> u64 {
-        self.waiters().generation
+        self.lock_waiters().generation
     }
 
     /// Wakes all that wait.
     pub(super) fn notify(&self) {
         let wakers = {
-            let mut waiters = self.waiters();
+            let mut waiters = self.lock_waiters();
             waiters.generation += 1;
             std::mem::take(&mut waiters.wakers)
         };
@@ -43,7 +43,7 @@
     /// Waits until there were changes after `generation`.
     pub(super) async fn wait_for_change(&self, generation: u64) {
         poll_fn(|context| {
-            let mut waiters = self.waiters();
+            let mut waiters = self.lock_waiters();
             if waiters.generation > generation {
                 return Poll::Ready(());
             }
--- a/src/endpoint/weights_state.rs
+++ b/src/endpoint/weights_state.rs
@@ -51,7 +51,7 @@
         })
     }
 
-    fn versions(&self) -> MutexGuard<'_, Vec<Arc<WeightsVersion>>> {
+    fn lock_versions(&self) -> MutexGuard<'_, Vec<Arc<WeightsVersion>>> {
         self.versions
             .lock()
             .expect("no holder of the versions panics")
@@ -72,19 +72,19 @@
 
     /// The version `manifest`, if it is wanted here.
     pub fn version(&self, manifest: Digest) -> Option<Arc<WeightsVersion>> {
-        let versions = self.versions();
+        let versions = self.lock_versions();
         let at = versions.binary_search_by_key(&manifest, |version| version.digest());
         at.ok().map(|at| Arc::clone(&versions[at]))
     }
 
     /// Every version on this host.
     pub fn all_versions(&self) -> Vec<Arc<WeightsVersion>> {
-        self.versions().clone()
+        self.lock_versions().clone()
     }
 
     /// The version `manifest`, wanted from now on.
     pub fn ensure_version(&self, manifest: Digest) -> Arc<WeightsVersion> {
-        let mut versions = self.versions();
+        let mut versions = self.lock_versions();
         match versions.binary_search_by_key(&manifest, |version| version.digest()) {
             Ok(at) => Arc::clone(&versions[at]),
             Err(at) => {
@@ -97,7 +97,7 @@
 
     /// Drops the version `manifest`; its memory is free once nothing uses it.
     pub fn remove_version(&self, manifest: Digest) {
-        self.versions()
+        self.lock_versions()
             .retain(|version| version.digest() != manifest);
     }
 }
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -30,11 +30,11 @@
     /// Manifest of the base; adapters only, once known.
     pub(super) base: Option<Digest>,
     /// Why it waits, though not for good.
-    pub(super) waiting: Option<HoldReason>,
+    pub(super) temporary_hold: Option<HoldReason>,
     /// When it left the report; its engine drops it some time later.
     pub(super) retired_ms: Option<u64>,
     failures: u32,
-    retry_ms: u64,
+    next_attempt_ms: u64,
 }
 
 impl TrackedVersion {
@@ -45,10 +45,10 @@
             transfer: None,
             members: Vec::new(),
             base: None,
-            waiting: None,
+            temporary_hold: None,
             retired_ms: None,
             failures: 0,
-            retry_ms: 0,
+            next_attempt_ms: 0,
         }
     }
 
@@ -56,28 +56,28 @@
         self.version.digest()
     }
 
-    pub(super) fn serves(&self) -> bool {
+    pub(super) fn is_serving(&self) -> bool {
         self.version.stage_kind() == VersionStageKind::Serving
     }
 
     /// Whether the pause after the last failure is over.
-    pub(super) fn is_due(&self, now_ms: u64) -> bool {
-        now_ms >= self.retry_ms
+    pub(super) fn is_retry_due(&self, now_ms: u64) -> bool {
+        now_ms >= self.next_attempt_ms
     }
 
     /// Notes a failure: the next try waits, and at least `wait_ms`.
-    pub(super) fn failed(&mut self, cause: Option<HoldReason>, wait_ms: u64, now_ms: u64) {
+    pub(super) fn record_failure(&mut self, cause: Option<HoldReason>, wait_ms: u64, now_ms: u64) {
         self.failures += 1;
-        let own_ms = INITIAL_BACKOFF_MS << (self.failures - 1).min(8);
-        self.retry_ms = now_ms + own_ms.min(MAX_BACKOFF_MS).max(wait_ms);
-        self.waiting = cause;
+        let backoff_ms = INITIAL_BACKOFF_MS << (self.failures - 1).min(8);
+        self.next_attempt_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS).max(wait_ms);
+        self.temporary_hold = cause;
     }
 
     /// Notes that the last step worked.
-    pub(super) fn succeeded(&mut self) {
+    pub(super) fn record_success(&mut self) {
         self.failures = 0;
-        self.retry_ms = 0;
-        self.waiting = None;
+        self.next_attempt_ms = 0;
+        self.temporary_hold = None;
     }
 
     /// What the reports say of it; None once it is retired.
@@ -85,7 +85,10 @@
         if self.retired_ms.is_some() {
             return None;
         }
-        let held = self.version.hold_reason().or_else(|| self.waiting.clone());
+        let held = self
+            .version
+            .hold_reason()
+            .or_else(|| self.temporary_hold.clone());
         let progress = match (self.version.stage_kind(), &held) {
             (VersionStageKind::Serving, _) => Progress::Serving,
             (_, Some(_)) => Progress::Held,
@@ -103,7 +106,7 @@
     }
 
     fn present_percent(&self) -> u8 {
-        if self.serves() {
+        if self.is_serving() {
             return 100;
         }
         let percent = self.version.held_chunks().map_or(0, |have| {
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -82,7 +82,7 @@
 
 /// Fetches one version to this host.
 pub struct WeightsTransfer {
-    share: Arc<WeightsState>,
+    weights: Arc<WeightsState>,
     version: Arc<WeightsVersion>,
     options: TransferOptions,
     swarm: SwarmState,
@@ -95,14 +95,14 @@
     ///
     /// The version moves on to fetching or, when it doesn't fit, is held.
     pub fn new(
-        share: Arc<WeightsState>,
+        weights: Arc<WeightsState>,
         manifest: Manifest,
         members: &[SwarmMember],
         options: TransferOptions,
     ) -> Option<Self> {
         let digest = manifest.digest();
-        let version = share.ensure_version(digest);
-        if version.start_fetching(manifest, &share.budget) != VersionStageKind::Fetching {
+        let version = weights.ensure_version(digest);
+        if version.start_fetching(manifest, &weights.budget) != VersionStageKind::Fetching {
             return None;
         }
         let have = version.held_chunks()?;
@@ -111,13 +111,13 @@
             digest,
             have,
             hosts,
-            &share.host,
+            &weights.host,
             &options.origin_region,
             options.swarm.clone(),
             0,
         );
         Some(Self {
-            share,
+            weights,
             version,
             options,
             swarm,
@@ -131,14 +131,14 @@
     }
 
     /// Starts what the plan says now.
-    fn drive(&mut self, ctx: &mut Context<Self>) {
+    fn run_next_actions(&mut self, ctx: &mut Context<Self>) {
         if self.version.stage_kind() != VersionStageKind::Fetching {
             ctx.stop();
             return;
         }
-        for question in self.version.take_peer_requests() {
-            if let Some(peer) = self.swarm.peer_key(&question.host) {
-                self.swarm.record_peer_status(peer, &question.have, 0);
+        for request in self.version.take_peer_requests() {
+            if let Some(peer) = self.swarm.peer_key(&request.host) {
+                self.swarm.record_peer_status(peer, &request.have, 0);
             }
         }
         let actions = self.swarm.next_actions(self.now_ms());
@@ -150,7 +150,7 @@
         }
     }
 
-    fn address(&self, peer: PeerKey) -> Option<SocketAddr> {
+    fn peer_address(&self, peer: PeerKey) -> Option<SocketAddr> {
         let name = &self.swarm.host(peer).name;
         let at = self
             .addresses
@@ -159,10 +159,10 @@
         Some(self.addresses[at].1)
     }
 
-    fn question(&self, known: u32, wait_ms: u64) -> PeerRequest {
+    fn peer_request(&self, known: u32, wait_ms: u64) -> PeerRequest {
         PeerRequest {
-            host: self.share.host.clone(),
-            region: self.share.region.clone(),
+            host: self.weights.host.clone(),
+            region: self.weights.region.clone(),
             have: self.swarm.held_chunks().clone(),
             known,
             wait_ms,
@@ -171,41 +171,44 @@
 
     fn start_fetch(&mut self, fetch: ChunkFetch, ctx: &mut Context<Self>) {
         let digest = self.version.digest();
-        let share = Arc::clone(&self.share);
+        let weights = Arc::clone(&self.weights);
         match fetch.source {
             ChunkSource::Origin => {
                 let origin = self.options.origin.clone();
-                let wait_ms = self.options.origin_timeout_ms;
-                let reading = async move {
-                    let result = origin.chunk(digest, fetch.chunk, wait_ms).await;
+                let timeout_ms = self.options.origin_timeout_ms;
+                let read = async move {
+                    let result = origin.chunk(digest, fetch.chunk, timeout_ms).await;
                     if let Ok(bytes) = &result {
-                        share.links.down.wait_for_transfer(bytes.len() as u64).await;
+                        weights
+                            .links
+                            .down
+                            .wait_for_transfer(bytes.len() as u64)
+                            .await;
                     }
                     FetchResult::Origin(result)
                 };
                 ctx.spawn(
-                    reading
-                        .into_actor(self)
-                        .map(move |result, act, ctx| act.finish(fetch, result, ctx)),
+                    read.into_actor(self)
+                        .map(move |result, act, ctx| act.finish_fetch(fetch, result, ctx)),
                 );
             }
             ChunkSource::Peer(peer) => {
-                let Some(address) = self.address(peer) else {
+                let Some(address) = self.peer_address(peer) else {
                     let now_ms = self.now_ms();
                     self.swarm
                         .peer_fetch_failed(fetch, PeerFailure::Unreachable, now_ms);
                     return;
                 };
                 let url = format!("http://{address}/x/weights/{digest}/{}", fetch.chunk);
-                let question = self.question(0, 0);
+                let request = self.peer_request(0, 0);
                 let http = self.options.http.clone();
-                let wait_ms = self.options.peer_timeout_ms;
-                let reading = async move {
-                    let result = read_from_peer(&http, &url, &question, wait_ms).await;
-                    let body_bytes = question.have.encode().len() as u64;
-                    share.record_control_traffic(body_bytes, "asking");
+                let timeout_ms = self.options.peer_timeout_ms;
+                let read = async move {
+                    let result = read_from_peer(&http, &url, &request, timeout_ms).await;
+                    let body_bytes = request.have.encode().len() as u64;
+                    weights.record_control_traffic(body_bytes, "asking");
                     if let Ok(frame) = &result {
-                        share
+                        weights
                             .links
                             .down
                             .wait_for_transfer(frame.chunk.len() as u64)
@@ -214,55 +217,55 @@
                     FetchResult::Peer(result)
                 };
                 ctx.spawn(
-                    reading
-                        .into_actor(self)
-                        .map(move |result, act, ctx| act.finish(fetch, result, ctx)),
+                    read.into_actor(self)
+                        .map(move |result, act, ctx| act.finish_fetch(fetch, result, ctx)),
                 );
             }
         }
     }
 
     fn start_probe(&mut self, probe: PeerProbe, ctx: &mut Context<Self>) {
-        let Some(address) = self.address(probe.peer) else {
+        let Some(address) = self.peer_address(probe.peer) else {
             let now_ms = self.now_ms();
             self.swarm
                 .probe_failed(probe.peer, PeerFailure::Unreachable, now_ms);
             return;
         };
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
-        let question = self.question(probe.known_chunks, probe.wait_ms);
+        let request = self.peer_request(probe.known_chunks, probe.wait_ms);
         let http = self.options.http.clone();
         let wait_ms = probe.wait_ms + PROBE_TIMEOUT_MARGIN_MS;
-        let share = Arc::clone(&self.share);
-        let asking = async move {
-            let result = http.ask::<PeerStatus>(&url, &question, wait_ms).await;
-            let body_bytes = 2 * question.have.encode().len() as u64;
-            share.record_control_traffic(body_bytes, "asking");
+        let weights = Arc::clone(&self.weights);
+        let probing = async move {
+            let result = http.ask::<PeerStatus>(&url, &request, wait_ms).await;
+            let body_bytes = 2 * request.have.encode().len() as u64;
+            weights.record_control_traffic(body_bytes, "asking");
             result
         };
-        ctx.spawn(asking.into_actor(self).map(move |result, act, ctx| {
+        ctx.spawn(probing.into_actor(self).map(move |result, act, ctx| {
             let now_ms = act.now_ms();
             match result {
-                Ok(note) => act.swarm.probe_answered(probe.peer, &note),
+                Ok(status) => act.swarm.probe_answered(probe.peer, &status),
                 Err(error) => {
-                    act.share.metrics.retried(question_label(&error));
-                    act.swarm.probe_failed(probe.peer, failure(&error), now_ms);
+                    act.weights.metrics.retried(probe_error_label(&error));
+                    act.swarm
+                        .probe_failed(probe.peer, peer_failure(&error), now_ms);
                 }
             }
-            act.drive(ctx);
+            act.run_next_actions(ctx);
         }));
     }
 
-    fn finish(&mut self, fetch: ChunkFetch, result: FetchResult, ctx: &mut Context<Self>) {
+    fn finish_fetch(&mut self, fetch: ChunkFetch, result: FetchResult, ctx: &mut Context<Self>) {
         let now_ms = self.now_ms();
         match (result, fetch.source) {
-            (FetchResult::Origin(Ok(bytes)), _) => self.take_chunk(fetch, bytes, "origin"),
+            (FetchResult::Origin(Ok(bytes)), _) => self.store_chunk(fetch, bytes, "origin"),
             (FetchResult::Origin(Err(error)), _) => {
                 let retry_after_ms = match error {
                     OriginError::Limited { retry_after_ms } => Some(retry_after_ms),
                     _ => None,
                 };
-                self.share.metrics.retried(error.label());
+                self.weights.metrics.retried(error.label());
                 self.swarm
                     .origin_fetch_failed(fetch, retry_after_ms, now_ms);
             }
@@ -270,32 +273,33 @@
                 self.swarm
                     .record_peer_status(peer, &frame.status.have, frame.status.queue);
                 match frame.outcome {
-                    ReadOutcome::Sent => self.take_chunk(fetch, frame.chunk, "peer"),
-                    ReadOutcome::Busy => self.defer(fetch, "peer_busy"),
+                    ReadOutcome::Sent => self.store_chunk(fetch, frame.chunk, "peer"),
+                    ReadOutcome::Busy => self.defer_fetch(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
-                        self.share.metrics.retried("peer_lacks_chunk");
+                        self.weights.metrics.retried("peer_lacks_chunk");
                         self.swarm.peer_lacks_chunk(fetch, &frame.status, now_ms);
                     }
                 }
             }
             (FetchResult::Peer(Err(error)), _) => {
-                self.share.metrics.retried("peer_unavailable");
-                self.swarm.peer_fetch_failed(fetch, failure(&error), now_ms);
+                self.weights.metrics.retried("peer_unavailable");
+                self.swarm
+                    .peer_fetch_failed(fetch, peer_failure(&error), now_ms);
             }
             (FetchResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
-        self.drive(ctx);
+        self.run_next_actions(ctx);
     }
 
-    fn defer(&mut self, fetch: ChunkFetch, reason: &'static str) {
-        self.share.metrics.retried(reason);
+    fn defer_fetch(&mut self, fetch: ChunkFetch, reason: &'static str) {
+        self.weights.metrics.retried(reason);
         let now_ms = self.now_ms();
         self.swarm.fetch_deferred(fetch, now_ms);
     }
 
-    fn take_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
+    fn store_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
         let now_ms = self.now_ms();
-        self.share
+        self.weights
             .metrics
             .add(Tally::WeightBytes, bytes.len() as u64, "direction", from);
         match self.version.insert_chunk(fetch.chunk, bytes) {
@@ -303,7 +307,7 @@
                 self.swarm.chunk_stored(fetch, now_ms)
             }
             InsertOutcome::Rejected(reason) => {
-                self.share
+                self.weights
                     .metrics
                     .add(Tally::ChunksRejected, 1, "reason", reason.label());
                 emit(
@@ -336,9 +340,9 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        self.drive(ctx);
+        self.run_next_actions(ctx);
         ctx.run_interval(Duration::from_millis(PLAN_INTERVAL_MS), |act, ctx| {
-            act.drive(ctx)
+            act.run_next_actions(ctx)
         });
     }
 }
@@ -350,7 +354,7 @@
         let hosts: Vec<SwarmHost> = message.0.iter().map(|member| member.host.clone()).collect();
         self.addresses = addresses(&message.0);
         self.swarm.set_hosts(&hosts);
-        self.drive(ctx);
+        self.run_next_actions(ctx);
     }
 }
 
@@ -374,17 +378,17 @@
 async fn read_from_peer(
     http: &HttpClient,
     url: &str,
-    question: &PeerRequest,
+    request: &PeerRequest,
     wait_ms: u64,
 ) -> Result<ChunkFrame, LinkError> {
     let malformed = |cause: &str| LinkError::Malformed(cause.to_owned());
-    let body = rmp_serde::to_vec_named(question).map_err(|error| malformed(&error.to_string()))?;
+    let body = rmp_serde::to_vec_named(request).map_err(|error| malformed(&error.to_string()))?;
     let request = http.request(Method::POST, url);
     let answer = HttpClient::exchange(request, body, wait_ms).await?;
     ChunkFrame::decode(&answer).ok_or_else(|| malformed("not a frame"))
 }
 
-fn failure(error: &LinkError) -> PeerFailure {
+fn peer_failure(error: &LinkError) -> PeerFailure {
     match error {
         LinkError::Status { status: 410, .. } => PeerFailure::Held,
         LinkError::Status { .. } => PeerFailure::Declined,
@@ -395,7 +399,7 @@
 }
 
 /// Label in counters of a question that got no answer.
-fn question_label(error: &LinkError) -> &'static str {
+fn probe_error_label(error: &LinkError) -> &'static str {
     match error {
         LinkError::NotSent(_) => "question_not_sent",
         LinkError::Broken(_) => "question_broken",
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -37,8 +37,8 @@
     Loaded(WeightsReplica<Loaded>),
     Serving(WeightsReplica<Serving>),
     /// The engine serves the version; its bytes were given up here.
-    Resident {
-        whole: Digest,
+    EngineOnly {
+        content_digest: Digest,
     },
     Held(HoldReason),
 }
@@ -65,7 +65,7 @@
 pub struct WeightsVersion {
     digest: Digest,
     stage: Mutex<VersionStage>,
-    questions: Mutex<Vec<PeerRequest>>,
+    peer_requests: Mutex<Vec<PeerRequest>>,
     uploads: AtomicU32,
     pub(super) signal: ChangeSignal,
 }
@@ -76,7 +76,7 @@
         Arc::new(Self {
             digest,
             stage: Mutex::new(VersionStage::Announced(WeightsReplica::announced(digest))),
-            questions: Mutex::default(),
+            peer_requests: Mutex::default(),
             uploads: AtomicU32::new(0),
             signal: ChangeSignal::default(),
         })
@@ -98,7 +98,7 @@
             VersionStage::Fetching(_) => VersionStageKind::Fetching,
             VersionStage::Verified(_) => VersionStageKind::Verified,
             VersionStage::Loaded(_) => VersionStageKind::Loaded,
-            VersionStage::Serving(_) | VersionStage::Resident { .. } => VersionStageKind::Serving,
+            VersionStage::Serving(_) | VersionStage::EngineOnly { .. } => VersionStageKind::Serving,
             VersionStage::Held(_) => VersionStageKind::Held,
         }
     }
@@ -114,9 +114,9 @@
     /// The manifest, once it is known.
     pub fn manifest(&self) -> Option<Arc<Manifest>> {
         match &*self.stage() {
-            VersionStage::Announced(_) | VersionStage::Resident { .. } | VersionStage::Held(_) => {
-                None
-            }
+            VersionStage::Announced(_)
+            | VersionStage::EngineOnly { .. }
+            | VersionStage::Held(_) => None,
             VersionStage::Fetching(replica) => Some(replica.manifest().clone()),
             VersionStage::Verified(replica) => Some(replica.manifest().clone()),
             VersionStage::Loaded(replica) => Some(replica.manifest().clone()),
@@ -128,7 +128,7 @@
     pub fn serving_content_digest(&self) -> Option<Digest> {
         match &*self.stage() {
             VersionStage::Serving(replica) => Some(replica.manifest().whole),
-            VersionStage::Resident { whole } => Some(*whole),
+            VersionStage::EngineOnly { content_digest } => Some(*content_digest),
             _ => None,
         }
     }
@@ -136,9 +136,9 @@
     /// Chunks held; None before the manifest is known.
     pub fn held_chunks(&self) -> Option<ChunkBitmap> {
         match &*self.stage() {
-            VersionStage::Announced(_) | VersionStage::Resident { .. } | VersionStage::Held(_) => {
-                None
-            }
+            VersionStage::Announced(_)
+            | VersionStage::EngineOnly { .. }
+            | VersionStage::Held(_) => None,
             VersionStage::Fetching(replica) => Some(replica.held_chunks().clone()),
             VersionStage::Verified(replica) => Some(replica.held_chunks().clone()),
             VersionStage::Loaded(replica) => Some(replica.held_chunks().clone()),
@@ -149,9 +149,9 @@
     /// One verified chunk.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
         match &*self.stage() {
-            VersionStage::Announced(_) | VersionStage::Resident { .. } | VersionStage::Held(_) => {
-                None
-            }
+            VersionStage::Announced(_)
+            | VersionStage::EngineOnly { .. }
+            | VersionStage::Held(_) => None,
             VersionStage::Fetching(replica) => replica.chunk(index),
             VersionStage::Verified(replica) => replica.chunk(index),
             VersionStage::Loaded(replica) => replica.chunk(index),
@@ -209,14 +209,14 @@
 
     /// Stores a chunk if it is correct.
     pub(super) fn insert_chunk(&self, index: u32, bytes: Bytes) -> InsertOutcome {
-        let inserted = match &mut *self.stage() {
+        let outcome = match &mut *self.stage() {
             VersionStage::Fetching(replica) => replica.insert_chunk(index, bytes),
             _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
-        if inserted == InsertOutcome::Stored {
+        if outcome == InsertOutcome::Stored {
             self.signal.notify();
         }
-        inserted
+        outcome
     }
 
     /// Checks the whole once every chunk is there.
@@ -254,7 +254,7 @@
     pub(super) fn require_reload(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Serving(replica) => VersionStage::Verified(replica.require_reload()),
-            VersionStage::Resident { .. } => {
+            VersionStage::EngineOnly { .. } => {
                 VersionStage::Announced(WeightsReplica::announced(self.digest))
             }
             other => other,
@@ -264,8 +264,8 @@
     /// Gives up the bytes of a version that the engine serves.
     pub(super) fn release_chunks(&self) {
         self.advance(|stage| match stage {
-            VersionStage::Serving(replica) => VersionStage::Resident {
-                whole: replica.manifest().whole,
+            VersionStage::Serving(replica) => VersionStage::EngineOnly {
+                content_digest: replica.manifest().whole,
             },
             other => other,
         });
@@ -294,13 +294,13 @@
     }
 
     /// Keeps what a peer told of itself for the transfer.
-    pub(super) fn add_peer_request(&self, question: PeerRequest) {
-        let mut questions = self
-            .questions
+    pub(super) fn add_peer_request(&self, peer_request: PeerRequest) {
+        let mut peer_requests = self
+            .peer_requests
             .lock()
-            .expect("no holder of the questions panics");
-        if questions.len() < MAX_PEER_REQUESTS {
-            questions.push(question);
+            .expect("no holder of the peer requests panics");
+        if peer_requests.len() < MAX_PEER_REQUESTS {
+            peer_requests.push(peer_request);
         }
     }
 
@@ -308,9 +308,9 @@
     pub(super) fn take_peer_requests(&self) -> Vec<PeerRequest> {
         std::mem::take(
             &mut *self
-                .questions
+                .peer_requests
                 .lock()
-                .expect("no holder of the questions panics"),
+                .expect("no holder of the peer requests panics"),
         )
     }
 
