--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -26,7 +26,7 @@
 use crate::weights::Digest;
 
 /// Takes in a call of the service beside this process.
-pub async fn call(
+pub async fn handle_call(
     state: web::Data<EndpointState>,
     request: HttpRequest,
     body: Bytes,
@@ -38,62 +38,69 @@
     let deadline = Instant::now() + Duration::from_millis(call.deadline_ms);
     heartbeat_response(async move {
         let request_id = call.request_id.clone();
-        let told = match call.permit.clone() {
-            Some(permit) => call_once(&state, call, permit, deadline).await,
-            None => call_repeatable(&state, call, deadline).await,
+        let report = match call.permit.clone() {
+            Some(permit) => run_with_permit(&state, call, permit, deadline).await,
+            None => run_idempotent(&state, call, deadline).await,
         };
-        ServiceReply { request_id, told }
+        ServiceReply {
+            request_id,
+            told: report,
+        }
     })
 }
 
 /// Answers what became of a permit, and waits for a call that runs.
-pub async fn nonce(
+pub async fn handle_permit_status(
     state: web::Data<EndpointState>,
     request: HttpRequest,
     body: Bytes,
 ) -> HttpResponse {
-    let question: PermitStatusQuery =
+    let query: PermitStatusQuery =
         match open_call(&request, &body, &state.node.cluster().shared_key) {
-            Ok(question) => question,
+            Ok(query) => query,
             Err(fault) => return fault.response(),
         };
     heartbeat_response(async move {
-        let asked = ask(&state, &question.permit, question.reason);
-        let told = match asked {
+        let status = permit_status(&state, &query.permit, query.reason);
+        let report = match status {
             PermitStatus::NotRun(reason) => CallReport::Ended(CallOutcome::not_run(reason)),
             PermitStatus::Done(outcome) => CallReport::Ended(outcome),
             PermitStatus::Unknown(reason) => CallReport::NotHere(reason),
-            PermitStatus::Running => CallReport::Ended(end_of(&state, &question.permit).await),
+            PermitStatus::Running => {
+                CallReport::Ended(wait_for_outcome(&state, &query.permit).await)
+            }
         };
         ServiceReply {
-            request_id: question.request_id,
-            told,
+            request_id: query.request_id,
+            told: report,
         }
     })
 }
 
 /// Runs a call that may not be repeated, once, whoever sends it how often.
-async fn call_once(
+async fn run_with_permit(
     state: &web::Data<EndpointState>,
     call: ServiceCall,
     permit: Permit,
     deadline: Instant,
 ) -> CallReport {
-    let request = fingerprint(&call.target(), call.body.as_bytes());
-    let admitted = admit(state, &call, request);
+    let fingerprint = fingerprint(&call.target(), call.body.as_bytes());
+    let admitted = admit_call(state, &call, fingerprint);
     let now_ms = state.node.now_ms();
-    let begun = match &admitted {
-        Ok(_) => state.permits().begin_call(&permit, request, now_ms),
+    let decision = match &admitted {
+        Ok(_) => state.permits().begin_call(&permit, fingerprint, now_ms),
         Err(reason) => state
             .permits()
-            .refuse_call(&permit, request, *reason, now_ms),
+            .refuse_call(&permit, fingerprint, *reason, now_ms),
     };
-    if let (CallDecision::Run, Ok(admitted)) = (&begun, admitted) {
-        start(admitted, call, permit.clone(), deadline);
-        return CallReport::Ended(end_of(state, &permit).await);
+    if let (CallDecision::Run, Ok(admitted)) = (&decision, admitted) {
+        spawn_call(admitted, call, permit.clone(), deadline);
+        return CallReport::Ended(wait_for_outcome(state, &permit).await);
     }
-    match begun {
-        CallDecision::Run | CallDecision::Join => CallReport::Ended(end_of(state, &permit).await),
+    match decision {
+        CallDecision::Run | CallDecision::Join => {
+            CallReport::Ended(wait_for_outcome(state, &permit).await)
+        }
         CallDecision::Done(outcome) => CallReport::Ended(outcome),
         CallDecision::Refused {
             reason,
@@ -110,46 +117,46 @@
 }
 
 /// Runs a call that may be repeated; it ends with the connection it came on.
-async fn call_repeatable(
+async fn run_idempotent(
     state: &web::Data<EndpointState>,
     call: ServiceCall,
     deadline: Instant,
 ) -> CallReport {
-    let request = fingerprint(&call.target(), call.body.as_bytes());
-    let admitted = match admit(state, &call, request) {
+    let fingerprint = fingerprint(&call.target(), call.body.as_bytes());
+    let admitted = match admit_call(state, &call, fingerprint) {
         Ok(admitted) => admitted,
         Err(reason) => {
             state.node.metrics().refused(reason.code());
             return CallReport::Ended(CallOutcome::not_run(reason));
         }
     };
-    let _running = state.calls.repeatable();
-    let run = CallRun::new(&admitted.state, request, deadline);
+    let _running = state.calls.count_idempotent();
+    let run = CallRun::new(&admitted.state, fingerprint, deadline);
     CallReport::Ended(run.execute(call, None).await)
 }
 
 /// A call that may start; holds the slot for suspects where it needs it.
 struct AdmittedCall {
     state: web::Data<EndpointState>,
-    request: Digest,
-    has_slot: bool,
+    fingerprint: Digest,
+    holds_suspect_slot: bool,
 }
 
 impl Drop for AdmittedCall {
     fn drop(&mut self) {
-        if self.has_slot {
+        if self.holds_suspect_slot {
             self.state
                 .calls
-                .with_slot(|slot| slot.release(self.request));
+                .with_suspect_slot(|slot| slot.release(self.fingerprint));
         }
     }
 }
 
 /// Whether a new call may start here, or why not.
-fn admit(
+fn admit_call(
     state: &web::Data<EndpointState>,
     call: &ServiceCall,
-    request: Digest,
+    fingerprint: Digest,
 ) -> Result<AdmittedCall, RefusalReason> {
     if state.node.is_leaving() {
         return Err(RefusalReason::Leaving);
@@ -166,39 +173,45 @@
     if state.calls.running() as u64 >= limit {
         return Err(RefusalReason::Overloaded);
     }
-    let standing = state.node.suspects().request_status(request, now_ms);
-    let has_slot = match standing {
+    let suspect_status = state.node.suspects().request_status(fingerprint, now_ms);
+    let holds_suspect_slot = match suspect_status {
         SuspectStatus::Clear => false,
         SuspectStatus::Refused => return Err(RefusalReason::CrashSuspect),
-        SuspectStatus::Suspect if state.calls.with_slot(|slot| slot.try_acquire(request)) => true,
+        SuspectStatus::Suspect
+            if state
+                .calls
+                .with_suspect_slot(|slot| slot.try_acquire(fingerprint)) =>
+        {
+            true
+        }
         SuspectStatus::Suspect => return Err(RefusalReason::SuspectBusy),
     };
     Ok(AdmittedCall {
         state: state.clone(),
-        request,
-        has_slot,
+        fingerprint,
+        holds_suspect_slot,
     })
 }
 
 /// Runs a call in a task of its own, so that it outlives the connection.
-fn start(admitted: AdmittedCall, call: ServiceCall, permit: Permit, deadline: Instant) {
+fn spawn_call(admitted: AdmittedCall, call: ServiceCall, permit: Permit, deadline: Instant) {
     let nonce = permit.nonce;
     let state = admitted.state.clone();
     let task = actix_rt::spawn(async move {
-        let run = CallRun::new(&admitted.state, admitted.request, deadline);
+        let run = CallRun::new(&admitted.state, admitted.fingerprint, deadline);
         let outcome = run.execute(call, Some(nonce)).await;
         admitted.state.permits().finish_call(&permit, outcome);
-        admitted.state.calls.ended(nonce);
+        admitted.state.calls.remove_running(nonce);
     });
-    state.calls.started(nonce, task.map(|_| ()).boxed());
+    state.calls.add_running(nonce, task.map(|_| ()).boxed());
 }
 
 /// Outcome of a call that was running; it is never "not here".
-async fn end_of(state: &EndpointState, permit: &Permit) -> CallOutcome {
-    if let Some(end) = state.calls.end_of(permit.nonce) {
+async fn wait_for_outcome(state: &EndpointState, permit: &Permit) -> CallOutcome {
+    if let Some(end) = state.calls.call_end(permit.nonce) {
         end.await;
     }
-    match ask(state, permit, RefusalReason::Withdrawn) {
+    match permit_status(state, permit, RefusalReason::Withdrawn) {
         PermitStatus::Done(outcome) => outcome,
         PermitStatus::NotRun(reason) => CallOutcome::not_run(reason),
         PermitStatus::Unknown(reason) => CallOutcome::unknown(reason),
@@ -206,7 +219,7 @@
     }
 }
 
-fn ask(state: &EndpointState, permit: &Permit, reason: RefusalReason) -> PermitStatus {
+fn permit_status(state: &EndpointState, permit: &Permit, reason: RefusalReason) -> PermitStatus {
     let now_ms = state.node.now_ms();
     state.permits().status_or_refuse(permit, reason, now_ms)
 }
--- a/src/endpoint/call_heartbeats.rs
+++ b/src/endpoint/call_heartbeats.rs
@@ -14,23 +14,25 @@
 /// Time between two heartbeats of an answer that is not ready.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-type Answering = Pin<Box<dyn Future<Output = ServiceReply>>>;
+type PendingReply = Pin<Box<dyn Future<Output = ServiceReply>>>;
 
 /// Answers with heartbeats until `answering` is done, then with its reply.
 pub(super) fn heartbeat_response(
-    answering: impl Future<Output = ServiceReply> + 'static,
+    reply: impl Future<Output = ServiceReply> + 'static,
 ) -> HttpResponse {
-    let start: Option<Answering> = Some(Box::pin(answering));
+    let start: Option<PendingReply> = Some(Box::pin(reply));
     let chunks = stream::unfold(start, next_chunk);
     HttpResponse::Ok()
         .content_type("application/msgpack")
         .streaming(chunks)
 }
 
-async fn next_chunk(state: Option<Answering>) -> Option<(Result<Bytes, Error>, Option<Answering>)> {
-    let mut answering = state?;
-    match timeout(HEARTBEAT_INTERVAL, &mut answering).await {
-        Err(_) => Some((Ok(Bytes::from_static(&[HEARTBEAT_BYTE])), Some(answering))),
+async fn next_chunk(
+    state: Option<PendingReply>,
+) -> Option<(Result<Bytes, Error>, Option<PendingReply>)> {
+    let mut pending = state?;
+    match timeout(HEARTBEAT_INTERVAL, &mut pending).await {
+        Err(_) => Some((Ok(Bytes::from_static(&[HEARTBEAT_BYTE])), Some(pending))),
         Ok(reply) => {
             let body = rmp_serde::to_vec_named(&reply)
                 .map(Bytes::from)
--- a/src/endpoint/call_registry.rs
+++ b/src/endpoint/call_registry.rs
@@ -14,7 +14,7 @@
 pub(super) const TICK_INTERVAL_MS: u64 = 100;
 
 /// Ends when a call has ended.
-pub(super) type Ended = Shared<BoxFuture<'static, ()>>;
+pub(super) type CallEnd = Shared<BoxFuture<'static, ()>>;
 
 /// Calls of the plain service that run on this endpoint.
 #[derive(Debug)]
@@ -26,8 +26,8 @@
 #[derive(Debug, Default)]
 struct Inner {
     // Ascending by nonce.
-    running: Vec<(Nonce, Ended)>,
-    repeatable: usize,
+    running: Vec<(Nonce, CallEnd)>,
+    idempotent: usize,
     suspects: SuspectSlot,
     crashes: u32,
     is_down: bool,
@@ -49,26 +49,26 @@
 
     /// Calls that run now.
     pub fn running(&self) -> usize {
-        let inner = self.inner();
-        inner.running.len() + inner.repeatable
+        let inner = self.lock();
+        inner.running.len() + inner.idempotent
     }
 
     /// Notes a call with a permit that runs in a task of its own.
-    pub(super) fn started(&self, nonce: Nonce, task: BoxFuture<'static, ()>) {
-        let running = &mut self.inner().running;
+    pub(super) fn add_running(&self, nonce: Nonce, task: BoxFuture<'static, ()>) {
+        let running = &mut self.lock().running;
         if let Err(at) = running.binary_search_by_key(&nonce, |(known, _)| *known) {
             running.insert(at, (nonce, task.shared()));
         }
     }
 
     /// Notes that a call with a permit has ended.
-    pub(super) fn ended(&self, nonce: Nonce) {
-        self.inner().running.retain(|(known, _)| *known != nonce);
+    pub(super) fn remove_running(&self, nonce: Nonce) {
+        self.lock().running.retain(|(known, _)| *known != nonce);
     }
 
     /// Ends when the call does; `None` if it does not run.
-    pub(super) fn end_of(&self, nonce: Nonce) -> Option<Ended> {
-        let inner = self.inner();
+    pub(super) fn call_end(&self, nonce: Nonce) -> Option<CallEnd> {
+        let inner = self.lock();
         let found = inner
             .running
             .binary_search_by_key(&nonce, |(known, _)| *known);
@@ -76,24 +76,24 @@
     }
 
     /// Counts an idempotent call until the guard is dropped.
-    pub(super) fn repeatable(&self) -> IdempotentCallGuard<'_> {
-        self.inner().repeatable += 1;
-        IdempotentCallGuard { desk: self }
+    pub(super) fn count_idempotent(&self) -> IdempotentCallGuard<'_> {
+        self.lock().idempotent += 1;
+        IdempotentCallGuard { registry: self }
     }
 
     /// The slot for suspects.
-    pub(super) fn with_slot<T>(&self, change: impl FnOnce(&mut SuspectSlot) -> T) -> T {
-        change(&mut self.inner().suspects)
+    pub(super) fn with_suspect_slot<T>(&self, change: impl FnOnce(&mut SuspectSlot) -> T) -> T {
+        change(&mut self.lock().suspects)
     }
 
     /// Notes that the service answers.
-    pub(super) fn service_is_up(&self) {
-        self.inner().is_down = false;
+    pub(super) fn record_service_up(&self) {
+        self.lock().is_down = false;
     }
 
     /// Notes that the service crashed; calls that one crash broke get one number.
-    pub(super) fn service_crashed(&self) -> u32 {
-        let mut inner = self.inner();
+    pub(super) fn record_service_crash(&self) -> u32 {
+        let mut inner = self.lock();
         if !inner.is_down {
             inner.is_down = true;
             inner.crashes += 1;
@@ -102,34 +102,34 @@
     }
 
     /// Ends when no call runs any more.
-    pub(super) async fn drained(&self) {
-        let mut waiting: VecDeque<Ended> = self.ends();
+    pub(super) async fn wait_until_drained(&self) {
+        let mut waiting: VecDeque<CallEnd> = self.call_ends();
         while let Some(end) = waiting.pop_front() {
             end.await;
             if waiting.is_empty() {
-                waiting = self.ends();
+                waiting = self.call_ends();
             }
         }
     }
 
-    fn ends(&self) -> VecDeque<Ended> {
-        let inner = self.inner();
+    fn call_ends(&self) -> VecDeque<CallEnd> {
+        let inner = self.lock();
         inner.running.iter().map(|(_, end)| end.clone()).collect()
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the desk panics")
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().expect("no holder of the registry panics")
     }
 }
 
 /// Counts an idempotent call while it runs.
 #[derive(Debug)]
 pub(super) struct IdempotentCallGuard<'a> {
-    desk: &'a CallRegistry,
+    registry: &'a CallRegistry,
 }
 
 impl Drop for IdempotentCallGuard<'_> {
     fn drop(&mut self) {
-        self.desk.inner().repeatable -= 1;
+        self.registry.lock().idempotent -= 1;
     }
 }
--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -27,34 +27,36 @@
 /// One call on its way to the service.
 pub(super) struct CallRun<'a> {
     state: &'a web::Data<EndpointState>,
-    request: Digest,
+    fingerprint: Digest,
     deadline: Instant,
 }
 
 impl<'a> CallRun<'a> {
     pub(super) fn new(
         state: &'a web::Data<EndpointState>,
-        request: Digest,
+        fingerprint: Digest,
         deadline: Instant,
     ) -> Self {
         Self {
             state,
-            request,
+            fingerprint,
             deadline,
         }
     }
 
     /// Passes the call on and sorts its end.
     pub(super) async fn execute(&self, call: ServiceCall, nonce: Option<Nonce>) -> CallOutcome {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
         // The process may have been paused since it took the call in.
-        if left.is_zero() {
+        if time_left.is_zero() {
             return CallOutcome::not_run(RefusalReason::DeadlinePassed);
         }
-        let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
+        let left_ms = u64::try_from(time_left.as_millis())
+            .unwrap_or(u64::MAX)
+            .max(1);
         let service = self.state.node.document().service(&call.service);
         let timeout_ms = service.map_or(left_ms, |service| service.timeout_ms);
-        let passed_on = clients::ServiceCall {
+        let service_call = clients::ServiceCall {
             path: call.path,
             request_id: call.request_id,
             key: nonce.map(|nonce| nonce.to_string()),
@@ -64,15 +66,15 @@
             wait_ms: nonce.map_or(left_ms.min(timeout_ms), |_| timeout_ms),
         };
         let client = ServiceClient::new(self.state.settings.backend.url());
-        match client.call(passed_on).await {
+        match client.call(service_call).await {
             Ok(answer) => {
-                self.survived();
+                self.record_answered();
                 CallOutcome::Answer(answer)
             }
             Err(LinkError::NotSent(_)) => CallOutcome::not_run(RefusalReason::Unreachable),
             Err(error) => {
                 if matches!(error, LinkError::Broken(_)) {
-                    self.look_for_crash().await;
+                    self.report_crash().await;
                 }
                 CallOutcome::unknown(UnknownReason::ServiceLost)
             }
@@ -80,25 +82,25 @@
     }
 
     /// Clears a suspect whose run ended well.
-    fn survived(&self) {
-        self.state.calls.service_is_up();
-        self.state.node.suspects().clear_request(self.request);
+    fn record_answered(&self) {
+        self.state.calls.record_service_up();
+        self.state.node.suspects().clear_request(self.fingerprint);
     }
 
     /// Tells the entries at once if the service died while this call ran on it.
-    async fn look_for_crash(&self) {
+    async fn report_crash(&self) {
         let url = self.state.settings.backend.url();
-        if is_alive(url.strip_prefix("http://").unwrap_or(url)).await {
+        if is_process_up(url.strip_prefix("http://").unwrap_or(url)).await {
             return;
         }
         let node = &self.state.node;
-        let death = CrashId {
+        let crash = CrashId {
             endpoint: node.name().to_owned(),
             incarnation: node.incarnation(),
-            crash_no: self.state.calls.service_crashed(),
+            crash_no: self.state.calls.record_service_crash(),
         };
         let now_ms = node.now_ms();
-        node.suspects().add_crash(self.request, death, now_ms);
+        node.suspects().add_crash(self.fingerprint, crash, now_ms);
         Reporter::report_now(node).await;
     }
 }
@@ -107,7 +109,7 @@
 ///
 /// A process that dies closes its sockets one by one, so its listener may
 /// still accept after its other connections have broken.
-pub(super) async fn is_alive(address: &str) -> bool {
+pub(super) async fn is_process_up(address: &str) -> bool {
     let Ok(Ok(probe)) = timeout(PROBE_CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
--- a/src/endpoint/engine_health.rs
+++ b/src/endpoint/engine_health.rs
@@ -19,12 +19,12 @@
 
 impl EngineHealth {
     /// Notes that the engine made a token.
-    pub(super) fn is_up(&self) {
+    pub(super) fn record_up(&self) {
         self.lock().is_down = false;
     }
 
     /// Notes that the engine crashed; streams that one crash broke get one number.
-    pub(super) fn crashed(&self) -> u32 {
+    pub(super) fn record_crash(&self) -> u32 {
         let mut inner = self.lock();
         if !inner.is_down {
             inner.is_down = true;
@@ -34,28 +34,30 @@
     }
 
     /// Takes the slot for suspects until the guard is dropped.
-    pub(super) fn enter(&self, request: Digest) -> Option<SuspectGuard<'_>> {
-        let entered = self.lock().suspects.try_acquire(request);
-        entered.then_some(SuspectGuard {
-            watch: self,
-            request,
+    pub(super) fn acquire_suspect_slot(&self, fingerprint: Digest) -> Option<SuspectGuard<'_>> {
+        let acquired = self.lock().suspects.try_acquire(fingerprint);
+        acquired.then_some(SuspectGuard {
+            health: self,
+            fingerprint,
         })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the watch panics")
+        self.inner
+            .lock()
+            .expect("no holder of the engine health panics")
     }
 }
 
 /// The slot for suspects, held by one request.
 #[derive(Debug)]
 pub(super) struct SuspectGuard<'a> {
-    watch: &'a EngineHealth,
-    request: Digest,
+    health: &'a EngineHealth,
+    fingerprint: Digest,
 }
 
 impl Drop for SuspectGuard<'_> {
     fn drop(&mut self) {
-        self.watch.lock().suspects.release(self.request);
+        self.health.lock().suspects.release(self.fingerprint);
     }
 }
--- a/src/endpoint/generate.rs
+++ b/src/endpoint/generate.rs
@@ -11,7 +11,7 @@
 use crate::links::open_call;
 
 /// Runs a request for tokens through the fair queue and streams its frames back.
-pub async fn generate(
+pub async fn handle_generate(
     state: web::Data<EndpointState>,
     request: HttpRequest,
     body: Bytes,
@@ -27,11 +27,11 @@
         return server.refuse(RefusalReason::Leaving);
     }
     let version = state.weights.version(call.manifest);
-    let Some(whole) = version.and_then(|version| version.serving_content_digest()) else {
+    let Some(content_digest) = version.and_then(|version| version.serving_content_digest()) else {
         return server.refuse(RefusalReason::NotReady);
     };
     refresh_shares(&state, server);
-    server.run(call, whole)
+    server.run(call, content_digest)
 }
 
 /// Brings the queue's shares up to the configuration in force.
--- a/src/endpoint/generate_queue.rs
+++ b/src/endpoint/generate_queue.rs
@@ -38,7 +38,7 @@
 /// A request's place in the queue.
 #[derive(Debug)]
 pub(super) struct PendingGrant {
-    pub(super) grant: oneshot::Receiver<Grant>,
+    pub(super) receiver: oneshot::Receiver<Grant>,
     /// Time after which the request is given up.
     pub(super) expiry_ms: u64,
 }
@@ -96,14 +96,14 @@
     }
 
     /// Takes a place for a request that must be whole by `deadline_ms`.
-    pub(super) fn enter(
+    pub(super) fn enqueue(
         self: &Arc<Self>,
         branch: &str,
         cost_tokens: u64,
         deadline_ms: u64,
     ) -> Result<PendingGrant, GenerateRefusal> {
         let now_ms = self.now_ms();
-        let (sender, grant) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let mut queue = self.lock();
         let request = QueuedRequest {
             branch: queue.ensure_branch(branch),
@@ -116,8 +116,11 @@
         drop(queue);
         match pushed {
             PushOutcome::Queued => {
-                self.pump();
-                Ok(PendingGrant { grant, expiry_ms })
+                self.dispatch();
+                Ok(PendingGrant {
+                    receiver,
+                    expiry_ms,
+                })
             }
             PushOutcome::Refused {
                 reason,
@@ -131,7 +134,7 @@
     }
 
     /// Hands out free slots and refuses requests that are given up.
-    pub(super) fn pump(self: &Arc<Self>) {
+    pub(super) fn dispatch(self: &Arc<Self>) {
         while let Some((waiter, grant)) = self.next_grant() {
             // A grant whose request has gone comes back and frees its slot when dropped.
             let _ = waiter.send(grant);
@@ -148,7 +151,7 @@
                 let slot = RunSlot {
                     queue: Arc::clone(self),
                     started_ms: now_ms,
-                    work: FinishedRequest {
+                    finished: FinishedRequest {
                         branch: request.branch,
                         cost_tokens: request.cost_tokens,
                         used_tokens: 0,
@@ -181,25 +184,26 @@
 pub(super) struct RunSlot {
     queue: Arc<GenerateQueue>,
     started_ms: u64,
-    work: FinishedRequest,
+    finished: FinishedRequest,
 }
 
 impl RunSlot {
     /// Counts tokens that were made.
-    pub(super) fn used(&mut self, tokens: u64) {
-        self.work.used_tokens = (self.work.used_tokens + tokens).min(self.work.cost_tokens);
+    pub(super) fn add_used_tokens(&mut self, tokens: u64) {
+        self.finished.used_tokens =
+            (self.finished.used_tokens + tokens).min(self.finished.cost_tokens);
     }
 
     /// Notes that the answer is whole, so that its time is worth learning from.
-    pub(super) fn whole(&mut self) {
-        self.work.held_ms = Some(self.queue.now_ms() - self.started_ms);
+    pub(super) fn record_completion(&mut self) {
+        self.finished.held_ms = Some(self.queue.now_ms() - self.started_ms);
     }
 }
 
 impl Drop for RunSlot {
     fn drop(&mut self) {
-        self.queue.lock().finish(self.work);
-        self.queue.pump();
+        self.queue.lock().finish(self.finished);
+        self.queue.dispatch();
     }
 }
 
--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -9,7 +9,7 @@
 use futures_util::future::select;
 use tokio::sync::mpsc;
 
-use super::call_run::is_alive;
+use super::call_run::is_process_up;
 use super::engine_health::EngineHealth;
 use super::engine_health::SuspectGuard;
 use super::generate_queue::GenerateQueue;
@@ -48,10 +48,10 @@
 pub(super) struct GenerateRun {
     pub(super) queue: Arc<GenerateQueue>,
     pub(super) engine: EngineClient,
-    pub(super) watch: Arc<EngineHealth>,
+    pub(super) health: Arc<EngineHealth>,
     pub(super) call: GenerateCall,
     /// Whole digest of the weights that were verified here.
-    pub(super) whole: Digest,
+    pub(super) content_digest: Digest,
     pub(super) frames: mpsc::Sender<GenerateFrame>,
 }
 
@@ -63,19 +63,19 @@
             return;
         };
         let cost_tokens = self.call.cost_tokens();
-        let place = match self
+        let pending = match self
             .queue
-            .enter(&self.call.branch, cost_tokens, deadline_ms)
+            .enqueue(&self.call.branch, cost_tokens, deadline_ms)
         {
-            Ok(place) => place,
+            Ok(pending) => pending,
             Err(refusal) => return self.refuse(refusal).await,
         };
-        let Ok(grant) = self.wait(place).await else {
-            self.queue.pump();
+        let Ok(grant) = self.wait_for_grant(pending).await else {
+            self.queue.dispatch();
             return;
         };
         match grant {
-            Grant::Run(slot) => self.run_in(slot, deadline_ms).await,
+            Grant::Run(slot) => self.run_in_slot(slot, deadline_ms).await,
             Grant::Refused(refusal) => self.refuse(refusal).await,
         }
     }
@@ -89,42 +89,45 @@
             return Ok(None);
         }
         loop {
-            let entered = self.watch.enter(self.call.fingerprint());
+            let acquired = self.health.acquire_suspect_slot(self.call.fingerprint());
             // Past the deadline the queue refuses the request.
-            if entered.is_some() || self.queue.now_ms() >= deadline_ms {
-                return Ok(entered);
+            if acquired.is_some() || self.queue.now_ms() >= deadline_ms {
+                return Ok(acquired);
             }
-            self.unless_gone(sleep(SUSPECT_RETRY_INTERVAL)).await?;
+            self.unless_closed(sleep(SUSPECT_RETRY_INTERVAL)).await?;
             let load = self.queue.load();
             self.send(GenerateFrame::Beat { load }).await?;
         }
     }
 
     /// Waits for the queue's word, with heartbeats.
-    async fn wait(&self, mut place: PendingGrant) -> Result<Grant, StreamClosed> {
+    async fn wait_for_grant(&self, mut pending: PendingGrant) -> Result<Grant, StreamClosed> {
         loop {
-            let left_ms = place.expiry_ms.saturating_sub(self.queue.now_ms()) + 1;
-            let pause = Duration::from_millis(left_ms.min(HEARTBEAT_INTERVAL_MS));
-            match self.unless_gone(timeout(pause, &mut place.grant)).await? {
+            let left_ms = pending.expiry_ms.saturating_sub(self.queue.now_ms()) + 1;
+            let wait = Duration::from_millis(left_ms.min(HEARTBEAT_INTERVAL_MS));
+            match self
+                .unless_closed(timeout(wait, &mut pending.receiver))
+                .await?
+            {
                 Ok(Ok(grant)) => return Ok(grant),
                 // The queue drops no waiting request without a word.
                 Ok(Err(_)) => return Err(StreamClosed),
-                Err(_) => self.queue.pump(),
+                Err(_) => self.queue.dispatch(),
             }
             let load = self.queue.load();
             self.send(GenerateFrame::Beat { load }).await?;
         }
     }
 
-    async fn run_in(&self, mut slot: RunSlot, deadline_ms: u64) {
+    async fn run_in_slot(&self, mut slot: RunSlot, deadline_ms: u64) {
         // A process that was paused finds the deadline passed here.
         let left_ms = deadline_ms.saturating_sub(self.queue.now_ms());
         if left_ms == 0 {
             return self.refuse(GenerateRefusal::deadline_passed()).await;
         }
-        let streamed = self.stream(&mut slot, left_ms).await;
-        let last = match streamed {
-            Ok(last) => last,
+        let result = self.stream_tokens(&mut slot, left_ms).await;
+        let final_frame = match result {
+            Ok(final_frame) => final_frame,
             Err(StreamClosed) => {
                 // An engine that does not see the closed connection is told.
                 let _ = self.engine.cancel(&self.call.request_id).await;
@@ -132,35 +135,37 @@
             }
         };
         drop(slot);
-        let _ = self.send(self.with_load(last)).await;
+        let _ = self.send(self.with_current_load(final_frame)).await;
     }
 
     /// Passes tokens on and returns the final frame.
-    async fn stream(
+    async fn stream_tokens(
         &self,
         slot: &mut RunSlot,
         left_ms: u64,
     ) -> Result<GenerateFrame, StreamClosed> {
         let load = self.queue.load();
         self.send(GenerateFrame::Started { load }).await?;
-        let order = self.order(left_ms);
-        let mut events = match self.unless_gone(self.engine.generate(&order)).await? {
+        let order = self.generate_order(left_ms);
+        let mut events = match self.unless_closed(self.engine.generate(&order)).await? {
             Ok(events) => events,
             // The engine may have died before it sent the head of its answer.
-            Err(EngineError::Unreachable(_)) => return Ok(failed(self.look_for_crash().await)),
-            Err(error) => return Ok(failed(sort_error(&error))),
+            Err(EngineError::Unreachable(_)) => {
+                return Ok(failed_frame(self.classify_broken_stream().await));
+            }
+            Err(error) => return Ok(failed_frame(error_fault(&error))),
         };
         let mut next_index = self.call.resume_from;
-        slot.used(self.call.prompt_tokens());
+        slot.add_used_tokens(self.call.prompt_tokens());
         loop {
             match self.next_event(&mut events).await? {
                 Ok(StreamEvent::Token { index, text }) if index == next_index => {
                     next_index += 1;
-                    self.watch.is_up();
-                    slot.used(1);
+                    self.health.record_up();
+                    slot.add_used_tokens(1);
                     self.send(GenerateFrame::Token { index, text }).await?;
                 }
-                Ok(StreamEvent::Token { .. }) => return Ok(failed(StreamFault::WrongAnswer)),
+                Ok(StreamEvent::Token { .. }) => return Ok(failed_frame(StreamFault::WrongAnswer)),
                 Ok(StreamEvent::Beat) => {
                     let load = self.queue.load();
                     self.send(GenerateFrame::Beat { load }).await?;
@@ -171,14 +176,14 @@
                     manifest,
                     whole,
                 }) => {
-                    let is_ours = request_id == self.call.request_id
+                    let is_expected = request_id == self.call.request_id
                         && manifest == self.call.manifest
-                        && whole == self.whole
+                        && whole == self.content_digest
                         && tokens == next_index;
-                    if !is_ours {
-                        return Ok(failed(StreamFault::WrongAnswer));
+                    if !is_expected {
+                        return Ok(failed_frame(StreamFault::WrongAnswer));
                     }
-                    slot.whole();
+                    slot.record_completion();
                     return Ok(GenerateFrame::End {
                         request_id,
                         tokens,
@@ -187,8 +192,8 @@
                         load: self.queue.load(),
                     });
                 }
-                Ok(StreamEvent::Error { code, .. }) => return Ok(failed(sort_fault(code))),
-                Err(fault) => return Ok(failed(fault)),
+                Ok(StreamEvent::Error { code, .. }) => return Ok(failed_frame(stream_fault(code))),
+                Err(fault) => return Ok(failed_frame(fault)),
             }
         }
     }
@@ -198,24 +203,24 @@
         events: &mut EngineStream,
     ) -> Result<Result<StreamEvent, StreamFault>, StreamClosed> {
         let next = timeout(ENGINE_SILENCE_TIMEOUT, events.next());
-        Ok(match self.unless_gone(next).await? {
+        Ok(match self.unless_closed(next).await? {
             Ok(Some(Ok(event))) => Ok(event),
             // The connection ended without its end record.
-            Ok(Some(Err(_)) | None) => Err(self.look_for_crash().await),
+            Ok(Some(Err(_)) | None) => Err(self.classify_broken_stream().await),
             Err(_) => Err(StreamFault::EngineFailed),
         })
     }
 
-    async fn look_for_crash(&self) -> StreamFault {
-        match is_alive(self.engine.address()).await {
+    async fn classify_broken_stream(&self) -> StreamFault {
+        match is_process_up(self.engine.address()).await {
             true => StreamFault::EngineFailed,
             false => StreamFault::EngineCrashed {
-                crash_no: self.watch.crashed(),
+                crash_no: self.health.record_crash(),
             },
         }
     }
 
-    fn order(&self, left_ms: u64) -> GenerateOrder {
+    fn generate_order(&self, left_ms: u64) -> GenerateOrder {
         GenerateOrder {
             request_id: self.call.request_id.clone(),
             model: self.call.model.clone(),
@@ -230,11 +235,13 @@
     }
 
     /// The final frame with the load after its slot was freed.
-    fn with_load(&self, mut last: GenerateFrame) -> GenerateFrame {
-        if let GenerateFrame::End { load, .. } | GenerateFrame::Failed { load, .. } = &mut last {
+    fn with_current_load(&self, mut final_frame: GenerateFrame) -> GenerateFrame {
+        if let GenerateFrame::End { load, .. } | GenerateFrame::Failed { load, .. } =
+            &mut final_frame
+        {
             *load = self.queue.load();
         }
-        last
+        final_frame
     }
 
     async fn refuse(&self, refusal: GenerateRefusal) {
@@ -254,7 +261,7 @@
         }
     }
 
-    async fn unless_gone<T>(&self, work: impl Future<Output = T>) -> Result<T, StreamClosed> {
+    async fn unless_closed<T>(&self, work: impl Future<Output = T>) -> Result<T, StreamClosed> {
         match select(pin!(work), pin!(self.frames.closed())).await {
             Either::Left((done, _)) => Ok(done),
             Either::Right(_) => Err(StreamClosed),
@@ -271,16 +278,16 @@
     }
 }
 
-fn failed(fault: StreamFault) -> GenerateFrame {
+fn failed_frame(fault: StreamFault) -> GenerateFrame {
     GenerateFrame::Failed {
         fault,
         load: crate::hosts::Load::default(),
     }
 }
 
-fn sort_error(error: &EngineError) -> StreamFault {
+fn error_fault(error: &EngineError) -> StreamFault {
     match error {
-        EngineError::Refused(fault) => sort_fault(*fault),
+        EngineError::Refused(fault) => stream_fault(*fault),
         EngineError::NotSent(_)
         | EngineError::Unreachable(_)
         | EngineError::Status(_)
@@ -288,7 +295,7 @@
     }
 }
 
-fn sort_fault(fault: EngineFault) -> StreamFault {
+fn stream_fault(fault: EngineFault) -> StreamFault {
     match fault {
         EngineFault::NotLoaded | EngineFault::BaseNotLoaded => StreamFault::NotLoaded,
         EngineFault::DeadlinePassed => StreamFault::DeadlinePassed,
--- a/src/endpoint/generate_server.rs
+++ b/src/endpoint/generate_server.rs
@@ -24,7 +24,7 @@
 pub struct GenerateServer {
     queue: Arc<GenerateQueue>,
     engine: EngineClient,
-    watch: Arc<EngineHealth>,
+    health: Arc<EngineHealth>,
 }
 
 impl GenerateServer {
@@ -33,7 +33,7 @@
         Self {
             queue,
             engine,
-            watch: Arc::default(),
+            health: Arc::default(),
         }
     }
 
@@ -43,14 +43,14 @@
     }
 
     /// Runs a call on weights whose whole digest was verified to be `whole`.
-    pub fn run(&self, call: GenerateCall, whole: Digest) -> HttpResponse {
+    pub fn run(&self, call: GenerateCall, content_digest: Digest) -> HttpResponse {
         let (frames, mut received) = mpsc::channel(BUFFERED_FRAMES);
         let run = GenerateRun {
             queue: Arc::clone(&self.queue),
             engine: self.engine.clone(),
-            watch: Arc::clone(&self.watch),
+            health: Arc::clone(&self.health),
             call,
-            whole,
+            content_digest,
             frames,
         };
         actix_rt::spawn(run.run());
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -51,9 +51,9 @@
     let server = serve(listen, &options, move |app| {
         app.app_data(web::Data::from(Arc::clone(&shared)))
             .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
-            .route("/x/generate", web::post().to(generate::generate))
-            .route("/x/call", web::post().to(call::call))
-            .route("/x/nonce", web::post().to(call::nonce));
+            .route("/x/generate", web::post().to(generate::handle_generate))
+            .route("/x/call", web::post().to(call::handle_call))
+            .route("/x/nonce", web::post().to(call::handle_permit_status));
         let hosts = WeightsHosts::single(
             Arc::clone(&shared.weights),
             shared.node.cluster().shared_key.clone(),
@@ -94,7 +94,7 @@
         Reporter::report_now(node).await;
         let drain = Duration::from_millis(self.state.settings.drain_ms);
         // Calls outlive their connections, which the server alone waits for.
-        let _ = timeout(drain, self.state.calls.drained()).await;
+        let _ = timeout(drain, self.state.calls.wait_until_drained()).await;
         self.server.stop().await;
         emit(Event::ProcessStopped, &[("host", &node.name())]);
     }
