--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -10,18 +10,18 @@
 use crate::weights::Digest;
 use crate::weights::HoldReason;
 
-/// What became of an order to load.
+/// Outcome of an order to load a version.
 #[derive(Debug)]
 pub(super) enum LoadOutcome {
-    /// The engine holds bytes of this digest.
+    /// The engine has loaded the version and reports this content digest.
     Loaded(Digest),
-    /// The engine gave no answer, and its state doesn't show the version.
+    /// The engine did not answer, or its state does not list the version.
     Unknown,
-    /// The engine refused.
+    /// The engine refused the order for this reason.
     Refused(HoldReason),
 }
 
-/// Gives orders to this host's engine; nobody else does.
+/// Sends load and unload orders to the engine of this host; its only sender.
 #[derive(Debug)]
 pub(super) struct EngineOrderSender {
     client: EngineClient,
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Fencing number of the next order, which is above those of all earlier ones.
     fn next_order_no(&mut self, state: &EndpointState) -> OrderNo {
         self.sequence += 1;
         OrderNo {
@@ -45,16 +46,16 @@
         }
     }
 
-    /// What the engine holds.
+    /// State of the engine, with the versions that it has loaded.
     pub(super) async fn engine_state(&self) -> Result<EngineState, EngineError> {
         self.client.state().await
     }
 
-    /// Orders the engine to load a verified version, unless it holds it.
+    /// Orders the engine to load a verified version, unless it has loaded it.
     ///
-    /// The state is asked before the order and, when the answer is lost, after
-    /// it: an order that took effect is not given twice, and an engine that
-    /// ignores order numbers is seen to hold what it should.
+    /// The engine's state is read before the order and, if the answer is lost, after
+    /// it: an order that took effect is not sent twice, and an engine that does not
+    /// check order numbers is still verified to have loaded the version.
     pub(super) async fn load_version(
         &mut self,
         state: &EndpointState,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Orders the engine to drop a version.
+    /// Orders the engine to unload a version.
     pub(super) async fn unload_version(
         &mut self,
         state: &EndpointState,
@@ -99,6 +100,7 @@
     }
 }
 
+/// Content digest that the engine reports for `manifest`; `None` if it is not loaded.
 fn loaded_content_digest(held: &EngineState, manifest: Digest) -> Option<Digest> {
     let found = held
         .loaded
@@ -107,6 +109,7 @@
     Some(found.whole)
 }
 
+/// Hold reason for a refused order to load `tracked`.
 fn hold_reason(fault: EngineFault, tracked: &TrackedVersion) -> HoldReason {
     match (fault, tracked.base) {
         (EngineFault::BaseNotLoaded, Some(base)) => HoldReason::BaseNotLoaded { base },
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -24,28 +24,28 @@
 use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
 
-/// Reads that may wait at a host.
+/// Largest number of chunk reads of one version that a host serves concurrently.
 const MAX_UPLOADS: u32 = 4;
 
-/// Longest time a question waits for news.
+/// Longest time for which a status request waits for new chunks, in milliseconds.
 const MAX_STATUS_WAIT_MS: u64 = 5000;
 
-/// Which hosts a server answers for.
+/// Hosts whose weights a server offers.
 #[derive(Debug, Clone)]
 pub struct WeightsHosts {
     shared_key: String,
-    /// Hosts by the address they listen on.
+    /// State of each host, sorted by the address that it listens on.
     hosts: Vec<(SocketAddr, Arc<WeightsState>)>,
 }
 
 impl WeightsHosts {
-    /// A server of one host, whatever address it listens on.
+    /// A single host, at any address.
     pub fn single(weights: Arc<WeightsState>, shared_key: impl Into<String>) -> Self {
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         Self::multiple(vec![(unspecified, weights)], shared_key)
     }
 
-    /// A server of several hosts, each with an address of its own.
+    /// Several hosts, each with an address of its own.
     pub fn multiple(
         mut hosts: Vec<(SocketAddr, Arc<WeightsState>)>,
         shared_key: impl Into<String>,
@@ -57,6 +57,7 @@
         }
     }
 
+    /// State of the host that the request was sent to.
     fn weights_state(&self, request: &HttpRequest) -> Option<&Arc<WeightsState>> {
         if let [(_, only)] = self.hosts.as_slice() {
             return Some(only);
@@ -69,7 +70,7 @@
     }
 }
 
-/// Adds the routes of peers and of the engine.
+/// Adds the routes that peers and the engine of the host use.
 pub fn configure_weights_routes(app: &mut ServiceConfig, hosts: WeightsHosts) {
     app.app_data(web::Data::new(hosts))
         .route("/x/weights/{manifest}/have", web::post().to(handle_status))
@@ -84,11 +85,14 @@
     HttpResponse::NotFound().body("this host does not hold the version")
 }
 
-/// Why a peer gets no answer.
+/// Why a request of a peer is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeerRefusal {
+    /// The request does not carry the shared key.
     WrongKey,
+    /// This host does not track the version.
     UnknownVersion,
+    /// The version is held on this host.
     Held,
 }
 
@@ -102,7 +106,7 @@
     }
 }
 
-/// The host and version that a peer asks for.
+/// Host and version that a request of a peer is for.
 fn find_version(
     hosts: &WeightsHosts,
     request: &HttpRequest,
@@ -123,6 +127,7 @@
     Ok((Arc::clone(weights), version))
 }
 
+/// Responds with the status of this host; waits for chunks that the peer does not know of.
 async fn handle_status(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
@@ -134,12 +139,12 @@
         Err(refusal) => return refusal.response(),
     };
     let Ok(peer_request) = read_rmp::<PeerRequest>(&body) else {
-        return HttpResponse::BadRequest().body("the question does not decode");
+        return HttpResponse::BadRequest().body("the request body could not be decoded");
     };
     let known = peer_request.known;
     let wait = Duration::from_millis(peer_request.wait_ms.min(MAX_STATUS_WAIT_MS));
     version.add_peer_request(peer_request);
-    // A question that outlives its time is answered with what there is.
+    // After the timeout the current status is sent.
     let _ = timeout(wait, wait_for_new_chunks(&version, known)).await;
     match version.peer_status() {
         Some(status) => {
@@ -150,10 +155,12 @@
     }
 }
 
+/// Size of a status request and its response, in bytes.
 fn status_bytes(peer_request: &Bytes, status: &PeerStatus) -> u64 {
     peer_request.len() as u64 + status.have.encode().len() as u64
 }
 
+/// Waits until the version holds more than `known` chunks.
 async fn wait_for_new_chunks(version: &WeightsVersion, known: u32) {
     loop {
         let generation = version.signal.generation();
@@ -167,6 +174,7 @@
     }
 }
 
+/// Sends one chunk to a peer at the rate of the links, or responds that it is busy.
 async fn handle_chunk(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
@@ -179,7 +187,7 @@
         Err(refusal) => return refusal.response(),
     };
     let Ok(peer_request) = read_rmp::<PeerRequest>(&body) else {
-        return HttpResponse::BadRequest().body("the question does not decode");
+        return HttpResponse::BadRequest().body("the request body could not be decoded");
     };
     let region = peer_request.region.clone();
     version.add_peer_request(peer_request);
@@ -203,18 +211,20 @@
     frame_response(&version, ReadOutcome::Sent, chunk)
 }
 
+/// Response with a chunk frame; `chunk` is empty unless the outcome is `Sent`.
 fn frame_response(version: &WeightsVersion, outcome: ReadOutcome, chunk: Bytes) -> HttpResponse {
     let Some(status) = version.peer_status() else {
         return unknown_version_response();
     };
     let Some(header) = ChunkFrame::encode_header(outcome, status) else {
-        return HttpResponse::InternalServerError().body("the head does not encode");
+        return HttpResponse::InternalServerError().body("the frame header could not be encoded");
     };
     let size = (header.len() + chunk.len()) as u64;
     let parts = [Bytes::from(header), chunk].map(Ok::<_, actix_web::Error>);
     HttpResponse::Ok().body(SizedStream::new(size, stream::iter(parts)))
 }
 
+/// Streams all chunks of a verified version to the engine of this host.
 async fn handle_engine_read(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
@@ -233,7 +243,7 @@
             let parts = chunks.into_iter().map(Ok::<_, actix_web::Error>);
             HttpResponse::Ok().body(BodyStream::new(stream::iter(parts)))
         }
-        Some(_) => HttpResponse::Forbidden().body("only the engine of this host reads here"),
+        Some(_) => HttpResponse::Forbidden().body("only the engine of this host may read here"),
         None => unknown_version_response(),
     }
 }
--- a/src/endpoint/weights_links.rs
+++ b/src/endpoint/weights_links.rs
@@ -9,13 +9,14 @@
 
 use crate::links::TokenBucket;
 
-/// Time a link may have been idle and still be made up for.
+/// Burst that a link lets through after it was idle, as time at its full rate, in
+/// milliseconds.
 const BURST_MS: u64 = 30;
 
-/// Backlog of a link between regions beyond which reads are turned away.
+/// Backlog of a link between regions above which reads are refused as busy, in milliseconds.
 const MAX_BACKLOG_MS: u64 = 1000;
 
-/// A link shared by several transfers.
+/// Rate-limited network link that several transfers share.
 #[derive(Debug)]
 pub struct WeightLink {
     started: Instant,
@@ -26,8 +27,9 @@
 }
 
 impl WeightLink {
-    /// A link of `rate_bytes_per_s`, of which `live_share_percent` is left to
-    /// live requests while any runs.
+    /// Link with a rate of `rate_bytes_per_s`; 0 means no limit.
+    ///
+    /// `live_share_percent` of the rate is left to live requests while any of them run.
     pub fn new(rate_bytes_per_s: u64, live_share_percent: u64) -> Arc<Self> {
         let burst_bytes = rate_bytes_per_s.saturating_mul(BURST_MS) / 1000;
         let reduced_percent = 100 - live_share_percent.min(99);
@@ -41,7 +43,7 @@
         })
     }
 
-    /// Waits until `bytes` have passed, after all that came before.
+    /// Reserves `bytes` and waits until they have been transferred.
     pub async fn wait_for_transfer(&self, bytes: u64) {
         let wait_us = self.reserve(bytes);
         if wait_us > 0 {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Takes the next `bytes` of the link and returns the time until they have passed.
+    /// Reserves the next `bytes` of the link and returns the time until they have been
+    /// transferred, in microseconds.
     pub fn reserve(&self, bytes: u64) -> u64 {
         self.transferred_bytes.fetch_add(bytes, Ordering::Relaxed);
         let now_us = self.now_us();
@@ -59,7 +62,7 @@
             .reserve(now_us, bytes)
     }
 
-    /// Time until what is reserved has passed.
+    /// Time until all reserved bytes have been transferred, in milliseconds.
     pub fn backlog_ms(&self) -> u64 {
         let now_us = self.now_us();
         let bucket = self.bucket.lock().expect("no holder of the bucket panics");
@@ -70,12 +73,12 @@
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Bytes let through so far.
+    /// Bytes reserved so far.
     pub fn transferred_bytes(&self) -> u64 {
         self.transferred_bytes.load(Ordering::Relaxed)
     }
 
-    /// Yields to live requests, or takes the whole link again.
+    /// Reduces the rate while live requests run, and restores it afterwards.
     pub fn set_has_live_requests(&self, has_live_requests: bool) {
         let rate_bytes_per_s = match has_live_requests {
             true => self.reduced_rate_bytes_per_s,
@@ -88,19 +91,19 @@
     }
 }
 
-/// The links of one host.
+/// Network links of one host.
 #[derive(Debug, Clone)]
 pub struct WeightLinks {
-    /// Towards other hosts.
+    /// Link for uploads to other hosts.
     pub up: Arc<WeightLink>,
-    /// From other hosts and the origin.
+    /// Link for downloads from other hosts and the origin.
     pub down: Arc<WeightLink>,
-    /// Towards each other region, by name of the region.
+    /// Links to other regions with a limit of their own, by name of the region.
     pub region_links: Vec<(String, Arc<WeightLink>)>,
 }
 
 impl WeightLinks {
-    /// Links of the given rates, without limits between regions.
+    /// Links with the given rates and no limits between regions.
     pub fn new(up_bytes_per_s: u64, down_bytes_per_s: u64, live_share_percent: u64) -> Self {
         Self {
             up: WeightLink::new(up_bytes_per_s, live_share_percent),
@@ -109,13 +112,13 @@
         }
     }
 
-    /// Whether so much waits for `region` that more would only time out.
+    /// Whether the backlog to `region` is so long that further reads would time out.
     pub fn is_congested(&self, region: &str) -> bool {
         let region_link = self.region_links.iter().find(|(name, _)| name == region);
         region_link.is_some_and(|(_, link)| link.backlog_ms() > MAX_BACKLOG_MS)
     }
 
-    /// Waits until `bytes` have left for a host in `region`.
+    /// Reserves `bytes` for a host in `region` and waits until they have been sent.
     pub async fn wait_for_upload(&self, bytes: u64, region: &str) {
         let region_link = self.region_links.iter().find(|(name, _)| name == region);
         let region_link_us = region_link.map_or(0, |(_, link)| link.reserve(bytes));
--- a/src/endpoint/weights_manager.rs
+++ b/src/endpoint/weights_manager.rs
@@ -32,37 +32,40 @@
 use crate::weights::SwarmSettings;
 use crate::weights::replica_hosts;
 
-/// How often the document is compared with what is here.
+/// Interval at which the versions here are reconciled with the configuration document.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A round that comes later than this follows a pause of the process.
+/// Gap between two passes, in milliseconds, above which the process is taken to have been
+/// paused.
 const PAUSE_THRESHOLD_MS: u64 = 3000;
 
-/// How often a serving engine is asked whether it still holds its versions.
+/// Shortest interval at which a serving engine is checked for its versions, in milliseconds.
 const ENGINE_CHECK_INTERVAL_MS: u64 = 2000;
 
-/// Longest time one chunk from a peer may take.
+/// Timeout for one chunk from a peer, in milliseconds.
 const PEER_TIMEOUT_MS: u64 = 10_000;
 
-/// Longest time one chunk from the origin may take.
+/// Timeout for one chunk from the origin, in milliseconds.
 const ORIGIN_TIMEOUT_MS: u64 = 120_000;
 
-/// A model this host should serve.
+/// A model that this host should serve.
 pub(super) struct WantedModel {
     pub(super) model: ModelSection,
-    /// Hosts that should serve it, in the order of a rollout.
+    /// Hosts that should serve the model, in rollout order.
     pub(super) members: Vec<SwarmMember>,
+    /// Index of this host in `members`.
     pub(super) rank: usize,
 }
 
-/// Brings the versions that the document wanted here, and loads and drops them.
+/// Fetches the versions of models that the configuration places on this host, has the
+/// engine load them, and unloads the ones that are not wanted any more.
 pub struct WeightsManager {
     state: Arc<EndpointState>,
     engine: SocketAddr,
 }
 
 impl WeightsManager {
-    /// Keeper of the host of `state`, whose engine listens at `engine`.
+    /// Manager for the host of `state`, whose engine listens at `engine`.
     pub fn new(state: Arc<EndpointState>, engine: SocketAddr) -> Self {
         Self { state, engine }
     }
@@ -84,11 +87,13 @@
             loop {
                 actix_rt::time::sleep(RECONCILE_INTERVAL).await;
                 let now_ms = reconciler.state.node.now_ms();
-                // After a pause hosts and document may be old: the next round decides.
+                // After a pause the host list and the document may be out of date, so this
+                // pass is skipped.
                 let paused = now_ms.saturating_sub(before_ms) > PAUSE_THRESHOLD_MS;
                 if !paused && reconciler.state.node.is_ready() {
                     reconciler.reconcile().await;
                 }
+                // Capped, so that a pause during the pass is detected too.
                 before_ms = reconciler
                     .state
                     .node
@@ -100,7 +105,7 @@
     }
 }
 
-/// The state of the keeper between its reconciler.
+/// Brings the versions on this host in line with the configuration, pass by pass.
 pub(super) struct Reconciler {
     pub(super) state: Arc<EndpointState>,
     origin: OriginClient,
@@ -110,6 +115,7 @@
 }
 
 impl Reconciler {
+    /// Runs one pass and updates the versions that this host reports.
     async fn reconcile(&mut self) {
         let wanted = self.wanted_models();
         let live = self.state.node.own().load.running > 0;
@@ -132,13 +138,14 @@
         self.state.node.own().served = served;
     }
 
-    /// The models that rank this host among those that serve them.
+    /// Models whose placement includes this host.
     fn wanted_models(&self) -> Vec<WantedModel> {
         let node = &self.state.node;
         let members = self.swarm_members();
         let mut wanted = Vec::new();
         for model in node.document().models() {
-            // An adapter is placed as its base, so that they meet.
+            // An adapter is placed by the name of its base model, which puts both on the
+            // same hosts.
             let placed_as = model.base.clone().unwrap_or_else(|| model.name.clone());
             let names = members.iter().map(|member| member.host.name.as_str());
             let chosen = replica_hosts(&placed_as, model.replicas, names);
@@ -163,7 +170,7 @@
         wanted
     }
 
-    /// Hosts with an engine, this one among them.
+    /// Live hosts that run an engine, including this one.
     pub(super) fn swarm_members(&self) -> Vec<SwarmMember> {
         let node = &self.state.node;
         let own = SwarmMember {
@@ -189,7 +196,7 @@
         others.chain([own]).collect()
     }
 
-    /// Starts to track what is new, and gives up transfers that are not wanted.
+    /// Starts to track new wanted versions and drops unwanted ones that are not serving.
     fn update_tracked(&mut self, wanted: &[WantedModel]) {
         for want in wanted {
             let digest = want.model.manifest;
@@ -220,6 +227,7 @@
         });
     }
 
+    /// Takes the next step of a version, as its stage requires.
     async fn advance_version(&mut self, at: usize, want: &WantedModel) {
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
@@ -236,7 +244,7 @@
         }
     }
 
-    /// Reads the manifest and starts the transfer.
+    /// Reads the manifest from the origin and starts the transfer.
     async fn start_version(&mut self, at: usize, want: &WantedModel) {
         let manifest = self
             .origin
@@ -256,6 +264,7 @@
         }
     }
 
+    /// Starts the transfer, or records why the version is held.
     fn start_transfer(&mut self, at: usize, manifest: Manifest, want: &WantedModel) {
         let now_ms = self.state.node.now_ms();
         let digest = self.tracked[at].digest();
@@ -285,7 +294,7 @@
         }
     }
 
-    /// Gives up the bytes of versions that the engine serves but nobody wanted.
+    /// Releases the chunks of other versions of the same model, to free memory for `wanted`.
     fn release_superseded(&self, wanted: Digest) {
         let model = self
             .tracked
@@ -316,7 +325,7 @@
         }
     }
 
-    /// Loads a verified version when its base is there and its turn has come.
+    /// Loads a verified version once its base is loaded and this host has its load slot.
     async fn load_version(&mut self, at: usize, want: &WantedModel) {
         let base = self.tracked[at].base;
         if let Some(base) = base
@@ -348,7 +357,7 @@
         }
     }
 
-    /// Notices an engine that lost what it served.
+    /// Checks that the engine still has the serving versions; those it lost are loaded again.
     async fn check_engine(&mut self) {
         let now_ms = self.state.node.now_ms();
         let serving = self.tracked.iter().any(TrackedVersion::is_serving);
@@ -371,6 +380,7 @@
     }
 }
 
+/// Starts to serve a loaded version, or holds it when its content digest is wrong.
 fn record_loaded(tracked: &mut TrackedVersion, content_digest: Digest, now_ms: u64) {
     if tracked.version.confirm_loaded(content_digest) != VersionStageKind::Loaded {
         let expected = tracked
@@ -392,6 +402,7 @@
     );
 }
 
+/// Passes changes of the hosts that should serve the model on to the transfer.
 fn update_members(tracked: &mut TrackedVersion, want: &WantedModel) {
     let same = tracked.members.len() == want.members.len()
         && tracked
--- a/src/endpoint/weights_member.rs
+++ b/src/endpoint/weights_member.rs
@@ -2,11 +2,11 @@
 
 use crate::weights::SwarmHost;
 
-/// A host of the swarm and its address.
+/// Host that takes part in the transfer of a version, with its address.
 #[derive(Debug, Clone)]
 pub struct SwarmMember {
-    /// The host as the plan sees it.
+    /// Name, region and presence, from which fetches are planned.
     pub host: SwarmHost,
-    /// Address of its process.
+    /// Address of the host's endpoint process.
     pub address: SocketAddr,
 }
--- a/src/endpoint/weights_rollout.rs
+++ b/src/endpoint/weights_rollout.rs
@@ -11,13 +11,15 @@
 use crate::weights::may_switch_version;
 use crate::weights::replica_hosts;
 
-/// Time between the last report of an old version and the order to drop it.
+/// Time between the last report of a retired version and the order to unload it, in
+/// milliseconds, so that entries stop sending requests for it first.
 const UNLOAD_DELAY_MS: u64 = 5000;
 
-/// Longest time a request to a host ahead may take.
+/// Timeout of a request to a host earlier in the rollout order, in milliseconds.
 const PREDECESSOR_TIMEOUT_MS: u64 = 1000;
 
 impl Reconciler {
+    /// Whether this host serves another version of the wanted model.
     pub(super) fn serves_other_version(&self, want: &WantedModel) -> bool {
         let model = &want.model;
         let old = |tracked: &&TrackedVersion| {
@@ -29,7 +31,8 @@
             .any(TrackedVersion::is_serving)
     }
 
-    /// Whether the hosts ahead in the order of the rollout have changed.
+    /// Whether this host may switch to the new version, going by the hosts before it in the
+    /// rollout order.
     pub(super) async fn has_load_slot(&self, want: &WantedModel) -> bool {
         let step = want.model.step_replicas.max(1) as usize;
         let mut states = vec![PredecessorState::Skipped; want.rank];
@@ -46,6 +49,7 @@
         may_switch_version(want.rank, want.model.step_replicas, |rank| states[rank])
     }
 
+    /// Asks another host whether it serves `manifest`.
     async fn request_predecessor_state(
         &self,
         member: &SwarmMember,
@@ -72,7 +76,8 @@
         }
     }
 
-    /// Drops versions that are served but not wanted, once others took over.
+    /// Retires versions that are served but not wanted once they are replaced, and unloads
+    /// them `UNLOAD_DELAY_MS` later.
     pub(super) async fn retire_versions(&mut self, wanted: &[WantedModel]) {
         let now_ms = self.state.node.now_ms();
         let mut to_unload = Vec::new();
@@ -103,8 +108,8 @@
         }
     }
 
-    /// Whether the version at `at` is not needed any more: the new one is served
-    /// here or, when this host has none, by all that should.
+    /// Whether the version at `at` is no longer needed: the model was removed, or its new
+    /// version is served here or, if it is not tracked here, on every host that should serve it.
     async fn is_replaced(&self, at: usize) -> bool {
         let name = &self.tracked[at].model.name;
         let Some(model) = self.state.node.document().model(name) else {
--- a/src/endpoint/weights_signal.rs
+++ b/src/endpoint/weights_signal.rs
@@ -4,13 +4,15 @@
 use std::task::Poll;
 use std::task::Waker;
 
+/// Tasks that wait for a change.
 #[derive(Debug, Default)]
 struct Waiters {
+    /// Number of changes so far.
     generation: u64,
     wakers: Vec<Waker>,
 }
 
-/// Wakes tasks of any thread when something has changed.
+/// Wakes waiting tasks, on any thread, after a change.
 #[derive(Debug, Default)]
 pub(super) struct ChangeSignal {
     waiters: Mutex<Waiters>,
@@ -28,7 +30,7 @@
         self.lock_waiters().generation
     }
 
-    /// Wakes all that wait.
+    /// Records a change and wakes all waiting tasks.
     pub(super) fn notify(&self) {
         let wakers = {
             let mut waiters = self.lock_waiters();
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Waits until there were changes after `generation`.
+    /// Waits until there is a change after `generation`.
     pub(super) async fn wait_for_change(&self, generation: u64) {
         poll_fn(|context| {
             let mut waiters = self.lock_waiters();
--- a/src/endpoint/weights_state.rs
+++ b/src/endpoint/weights_state.rs
@@ -11,28 +11,29 @@
 use crate::weights::Digest;
 use crate::weights::MemoryBudget;
 
-/// Bytes of HTTP headers of a request and its answer between processes.
+/// Size of the HTTP headers of a request and its response between processes, in bytes.
 const HTTP_HEADER_BYTES: u64 = 360;
 
-/// Everything the HTTP handlers and the transfers of one host share.
+/// Weights on one host, shared by its HTTP handlers and transfers.
 #[derive(Debug)]
 pub struct WeightsState {
     /// Name of this host.
     pub host: String,
     /// Region of this host.
     pub region: String,
-    /// Links for weights.
+    /// Network links that transfers of weights share.
     pub links: WeightLinks,
-    /// Memory for weights.
+    /// Memory budget for weights.
     pub budget: Arc<MemoryBudget>,
     /// Counters of the process.
     pub metrics: Arc<Metrics>,
+    // Sorted by the digest of the manifest.
     versions: Mutex<Vec<Arc<WeightsVersion>>>,
     control_bytes: AtomicU64,
 }
 
 impl WeightsState {
-    /// A host that holds no version yet.
+    /// State of a host without versions.
     pub fn new(
         host: impl Into<String>,
         region: impl Into<String>,
@@ -57,7 +58,7 @@
             .expect("no holder of the versions panics")
     }
 
-    /// Counts one exchange beside the weights themselves.
+    /// Counts a request and its response, headers included, as control traffic.
     pub(super) fn record_control_traffic(&self, body_bytes: u64, direction: &'static str) {
         let bytes = body_bytes + HTTP_HEADER_BYTES;
         self.control_bytes.fetch_add(bytes, Ordering::Relaxed);
@@ -65,24 +66,24 @@
             .add(Tally::ControlBytes, bytes, "direction", direction);
     }
 
-    /// Bytes of control traffic so far, as asker and as asked.
+    /// Bytes of control traffic so far, as client and as server.
     pub fn control_bytes(&self) -> u64 {
         self.control_bytes.load(Ordering::Relaxed)
     }
 
-    /// The version `manifest`, if it is wanted here.
+    /// Version with the digest `manifest`, if this host tracks it.
     pub fn version(&self, manifest: Digest) -> Option<Arc<WeightsVersion>> {
         let versions = self.lock_versions();
         let at = versions.binary_search_by_key(&manifest, |version| version.digest());
         at.ok().map(|at| Arc::clone(&versions[at]))
     }
 
-    /// Every version on this host.
+    /// All versions on this host, sorted by the digest of the manifest.
     pub fn all_versions(&self) -> Vec<Arc<WeightsVersion>> {
         self.lock_versions().clone()
     }
 
-    /// The version `manifest`, wanted from now on.
+    /// Version with the digest `manifest`; added as announced if it is missing.
     pub fn ensure_version(&self, manifest: Digest) -> Arc<WeightsVersion> {
         let mut versions = self.lock_versions();
         match versions.binary_search_by_key(&manifest, |version| version.digest()) {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Drops the version `manifest`; its memory is free once nothing uses it.
+    /// Removes a version; its memory is freed once nothing uses it.
     pub fn remove_version(&self, manifest: Digest) {
         self.lock_versions()
             .retain(|version| version.digest() != manifest);
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -12,13 +12,13 @@
 use crate::weights::Digest;
 use crate::weights::HoldReason;
 
-/// First pause after a failure; doubles with each further one.
+/// Backoff after the first failure, in milliseconds; it doubles with each further one.
 const INITIAL_BACKOFF_MS: u64 = 250;
 
-/// Longest pause after failures.
+/// Longest backoff after repeated failures, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 10_000;
 
-/// Steps in which progress is reported, as each is a report of its own.
+/// Number of steps in which progress is reported; each step causes a report to the entries.
 const PROGRESS_STEPS: u64 = 10;
 
 /// One version that this host serves or should serve.
@@ -27,13 +27,15 @@
     pub(super) version: Arc<WeightsVersion>,
     pub(super) transfer: Option<Addr<WeightsTransfer>>,
     pub(super) members: Vec<SwarmMember>,
-    /// Manifest of the base; adapters only, once known.
+    /// Manifest of the base model; adapters only, once the adapter's manifest is known.
     pub(super) base: Option<Digest>,
-    /// Why it waits, though not for good.
+    /// Why the last step failed, while the version waits for its next attempt.
     pub(super) temporary_hold: Option<HoldReason>,
-    /// When it left the report; its engine drops it some time later.
+    /// When the version was left out of the reports; the engine unloads it some time later.
     pub(super) retired_ms: Option<u64>,
+    /// Failures in a row.
     failures: u32,
+    /// Earliest time of the next attempt.
     next_attempt_ms: u64,
 }
 
@@ -52,20 +54,22 @@
         }
     }
 
+    /// Digest of the manifest.
     pub(super) fn digest(&self) -> Digest {
         self.version.digest()
     }
 
+    /// Whether the engine serves the version.
     pub(super) fn is_serving(&self) -> bool {
         self.version.stage_kind() == VersionStageKind::Serving
     }
 
-    /// Whether the pause after the last failure is over.
+    /// Whether the backoff after the last failure is over.
     pub(super) fn is_retry_due(&self, now_ms: u64) -> bool {
         now_ms >= self.next_attempt_ms
     }
 
-    /// Notes a failure: the next try waits, and at least `wait_ms`.
+    /// Records a failure; the next attempt waits for the backoff and at least `wait_ms`.
     pub(super) fn record_failure(&mut self, cause: Option<HoldReason>, wait_ms: u64, now_ms: u64) {
         self.failures += 1;
         let backoff_ms = INITIAL_BACKOFF_MS << (self.failures - 1).min(8);
@@ -73,14 +77,14 @@
         self.temporary_hold = cause;
     }
 
-    /// Notes that the last step worked.
+    /// Records that the last step succeeded, which ends the backoff.
     pub(super) fn record_success(&mut self) {
         self.failures = 0;
         self.next_attempt_ms = 0;
         self.temporary_hold = None;
     }
 
-    /// What the reports say of it; None once it is retired.
+    /// Status of the version in this host's reports; `None` once it is retired.
     pub(super) fn report(&self) -> Option<Served> {
         if self.retired_ms.is_some() {
             return None;
@@ -105,6 +109,7 @@
         })
     }
 
+    /// Percentage of the chunks held, rounded down to a step.
     fn present_percent(&self) -> u8 {
         if self.is_serving() {
             return 100;
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -40,60 +40,62 @@
 use crate::weights::SwarmSettings;
 use crate::weights::SwarmState;
 
-/// Time between two looks at the plan when nothing happens.
+/// Interval at which fetches are planned when no fetch or probe ends, in milliseconds.
 const PLAN_INTERVAL_MS: u64 = 100;
 
-/// Time beyond its waiting time after which a question is given up.
+/// Time by which the timeout of a probe exceeds the wait at the peer, in milliseconds.
 const PROBE_TIMEOUT_MARGIN_MS: u64 = 1500;
 
-/// What a transfer needs beside the share.
+/// Clients and limits of a transfer.
 #[derive(Debug, Clone)]
 pub struct TransferOptions {
-    /// Where weights come from.
+    /// Client of the origin of the weights.
     pub origin: OriginClient,
     /// Region of the origin.
     pub origin_region: String,
-    /// Client towards peers.
+    /// HTTP client for requests to peers.
     pub http: HttpClient,
-    /// Limits.
+    /// Limits of planning and probing.
     pub swarm: SwarmSettings,
-    /// Time for one chunk from a peer.
+    /// Timeout for one chunk from a peer, in milliseconds.
     pub peer_timeout_ms: u64,
-    /// Time for one chunk from the origin.
+    /// Timeout for one chunk from the origin, in milliseconds.
     pub origin_timeout_ms: u64,
 }
 
-/// The list of hosts that want the version has changed.
+/// Message with the new list of the hosts that fetch the version.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct SetMembers(pub Vec<SwarmMember>);
 
-/// The version is not wanted any more.
+/// Message that ends the transfer, as the version is not wanted any more.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct StopTransfer;
 
-/// Result of one read.
+/// Result of fetching one chunk, by source.
 #[derive(Debug)]
 enum FetchResult {
     Peer(Result<ChunkFrame, LinkError>),
     Origin(Result<Bytes, OriginError>),
 }
 
-/// Fetches one version to this host.
+/// Fetches one version to this host, from peers and the origin.
 pub struct WeightsTransfer {
     weights: Arc<WeightsState>,
     version: Arc<WeightsVersion>,
     options: TransferOptions,
     swarm: SwarmState,
+    // Addresses of the members, sorted by name.
     addresses: Vec<(String, SocketAddr)>,
     started: Instant,
 }
 
 impl WeightsTransfer {
-    /// A transfer of `manifest` among `members`, which hold this host.
+    /// Transfer of the version of `manifest` among `members`, which include this host.
     ///
-    /// The version moves on to fetching or, when it doesn't fit, is held.
+    /// The version moves on to fetching. `None` if it can't, as when it doesn't fit into the
+    /// memory budget; the version is then held.
     pub fn new(
         weights: Arc<WeightsState>,
         manifest: Manifest,
@@ -126,11 +128,12 @@
         })
     }
 
+    /// Time since the transfer started, in milliseconds.
     fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Starts what the plan says now.
+    /// Starts the fetches and probes that are due, or stops once fetching has ended.
     fn run_next_actions(&mut self, ctx: &mut Context<Self>) {
         if self.version.stage_kind() != VersionStageKind::Fetching {
             ctx.stop();
@@ -150,6 +153,7 @@
         }
     }
 
+    /// Address of a peer; `None` if it is not a member any more.
     fn peer_address(&self, peer: PeerKey) -> Option<SocketAddr> {
         let name = &self.swarm.host(peer).name;
         let at = self
@@ -159,6 +163,7 @@
         Some(self.addresses[at].1)
     }
 
+    /// Request to a peer that is known to hold `known` chunks and may wait `wait_ms` for more.
     fn peer_request(&self, known: u32, wait_ms: u64) -> PeerRequest {
         PeerRequest {
             host: self.weights.host.clone(),
@@ -169,6 +174,7 @@
         }
     }
 
+    /// Fetches a chunk in the background.
     fn start_fetch(&mut self, fetch: ChunkFetch, ctx: &mut Context<Self>) {
         let digest = self.version.digest();
         let weights = Arc::clone(&self.weights);
@@ -224,6 +230,7 @@
         }
     }
 
+    /// Requests the status of a peer in the background.
     fn start_probe(&mut self, probe: PeerProbe, ctx: &mut Context<Self>) {
         let Some(address) = self.peer_address(probe.peer) else {
             let now_ms = self.now_ms();
@@ -256,6 +263,7 @@
         }));
     }
 
+    /// Records the result of a fetch and plans further ones.
     fn finish_fetch(&mut self, fetch: ChunkFetch, result: FetchResult, ctx: &mut Context<Self>) {
         let now_ms = self.now_ms();
         match (result, fetch.source) {
@@ -291,12 +299,14 @@
         self.run_next_actions(ctx);
     }
 
+    /// Returns a fetch to the plan for a later attempt; `reason` is its metric label.
     fn defer_fetch(&mut self, fetch: ChunkFetch, reason: &'static str) {
         self.weights.metrics.retried(reason);
         let now_ms = self.now_ms();
         self.swarm.fetch_deferred(fetch, now_ms);
     }
 
+    /// Stores a received chunk or rejects it, and verifies the version after the last one.
     fn store_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
         let now_ms = self.now_ms();
         self.weights
@@ -366,6 +376,7 @@
     }
 }
 
+/// Addresses of the members, sorted by name.
 fn addresses(members: &[SwarmMember]) -> Vec<(String, SocketAddr)> {
     let mut addresses: Vec<(String, SocketAddr)> = members
         .iter()
@@ -375,6 +386,7 @@
     addresses
 }
 
+/// Reads a chunk from a peer.
 async fn read_from_peer(
     http: &HttpClient,
     url: &str,
@@ -385,9 +397,10 @@
     let body = rmp_serde::to_vec_named(request).map_err(|error| malformed(&error.to_string()))?;
     let request = http.request(Method::POST, url);
     let answer = HttpClient::exchange(request, body, wait_ms).await?;
-    ChunkFrame::decode(&answer).ok_or_else(|| malformed("not a frame"))
+    ChunkFrame::decode(&answer).ok_or_else(|| malformed("not a chunk frame"))
 }
 
+/// Kind of failure that an error of a request to a peer stands for.
 fn peer_failure(error: &LinkError) -> PeerFailure {
     match error {
         LinkError::Status { status: 410, .. } => PeerFailure::Held,
@@ -398,7 +411,7 @@
     }
 }
 
-/// Label in counters of a question that got no answer.
+/// Metric label of a failed probe.
 fn probe_error_label(error: &LinkError) -> &'static str {
     match error {
         LinkError::NotSent(_) => "question_not_sent",
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -25,10 +25,10 @@
 use crate::weights::Verified;
 use crate::weights::WeightsReplica;
 
-/// Questions kept until the transfer reads them.
+/// Largest number of peer requests that are kept until the transfer reads them.
 const MAX_PEER_REQUESTS: usize = 64;
 
-/// How far a version has come on this host.
+/// Stage of a version on this host, with its chunks.
 #[derive(Debug)]
 pub(super) enum VersionStage {
     Announced(WeightsReplica<Announced>),
@@ -36,42 +36,45 @@
     Verified(WeightsReplica<Verified>),
     Loaded(WeightsReplica<Loaded>),
     Serving(WeightsReplica<Serving>),
-    /// The engine serves the version; its bytes were given up here.
+    /// The engine serves the version; its chunks were released here.
     EngineOnly {
         content_digest: Digest,
     },
+    /// The version can't proceed for this reason.
     Held(HoldReason),
 }
 
-/// Name of a [`VersionStage`], for reports.
+/// Kind of a [`VersionStage`], without its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VersionStageKind {
-    /// Wanted; the manifest is not known yet.
+    /// The version is wanted; its manifest is not known yet.
     Announced,
-    /// Chunks are arriving.
+    /// Chunks are being fetched.
     Fetching,
-    /// All bytes are here and correct.
+    /// All chunks are held and the content matches the manifest.
     Verified,
-    /// The engine holds the version.
+    /// The engine has loaded the version.
     Loaded,
-    /// The replica answers requests.
+    /// The engine serves requests with the version.
     Serving,
     /// The version can't proceed.
     Held,
 }
 
-/// One version on this host, shared by the transfer and the HTTP handlers.
+/// A version on this host, shared by its transfer and the HTTP handlers.
 #[derive(Debug)]
 pub struct WeightsVersion {
     digest: Digest,
     stage: Mutex<VersionStage>,
     peer_requests: Mutex<Vec<PeerRequest>>,
+    // Number of uploads in progress.
     uploads: AtomicU32,
+    /// Notified after each change of the stage or the chunks.
     pub(super) signal: ChangeSignal,
 }
 
 impl WeightsVersion {
-    /// A version that is wanted here.
+    /// Version that is wanted here and of which only the digest is known.
     pub fn announced(digest: Digest) -> Arc<Self> {
         Arc::new(Self {
             digest,
@@ -91,7 +94,7 @@
         self.stage.lock().expect("no holder of the stage panics")
     }
 
-    /// How far the version has come.
+    /// Kind of the current stage.
     pub fn stage_kind(&self) -> VersionStageKind {
         match &*self.stage() {
             VersionStage::Announced(_) => VersionStageKind::Announced,
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Why the version can't proceed, if so.
+    /// Why the version can't proceed; `None` unless it is held.
     pub fn hold_reason(&self) -> Option<HoldReason> {
         match &*self.stage() {
             VersionStage::Held(held) => Some(held.clone()),
@@ -111,7 +114,7 @@
         }
     }
 
-    /// The manifest, once it is known.
+    /// The manifest; `None` while no chunks are kept.
     pub fn manifest(&self) -> Option<Arc<Manifest>> {
         match &*self.stage() {
             VersionStage::Announced(_)
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Whole digest of the weights that the engine serves; `None` if it does not.
+    /// Digest of the content that the engine serves; `None` if it does not serve the version.
     pub fn serving_content_digest(&self) -> Option<Digest> {
         match &*self.stage() {
             VersionStage::Serving(replica) => Some(replica.manifest().whole),
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Chunks held; None before the manifest is known.
+    /// Set of the chunks held; `None` while no chunks are kept.
     pub fn held_chunks(&self) -> Option<ChunkBitmap> {
         match &*self.stage() {
             VersionStage::Announced(_)
@@ -146,7 +149,7 @@
         }
     }
 
-    /// One verified chunk.
+    /// Chunk `index`; `None` if it is not held.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
         match &*self.stage() {
             VersionStage::Announced(_)
@@ -159,7 +162,7 @@
         }
     }
 
-    /// All bytes in order; only while the engine may load them.
+    /// All chunks in order for the engine to load; `None` unless the version is verified.
     pub fn loadable_chunks(&self) -> Option<Vec<Bytes>> {
         match &*self.stage() {
             VersionStage::Verified(replica) => Some(replica.chunks().collect()),
@@ -167,7 +170,7 @@
         }
     }
 
-    /// What this host tells of itself.
+    /// Status of this host that peers receive; `None` while no chunks are kept.
     pub fn peer_status(&self) -> Option<PeerStatus> {
         Some(PeerStatus {
             have: self.held_chunks()?,
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Starts the transfer.
+    /// Reserves memory and moves an announced version on to fetching, or holds it.
     pub(super) fn start_fetching(
         &self,
         manifest: Manifest,
@@ -219,7 +222,7 @@
         outcome
     }
 
-    /// Checks the whole once every chunk is there.
+    /// Verifies the complete content once every chunk is held.
     pub(super) fn verify(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Fetching(replica) => match replica.verify() {
@@ -231,7 +234,8 @@
         })
     }
 
-    /// Takes the engine's word for what it loaded; on a mismatch nothing moves.
+    /// Compares `found`, the digest that the engine reports, with the manifest; on a
+    /// mismatch the stage stays verified.
     pub fn confirm_loaded(&self, found: Digest) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Verified(replica) => match replica.confirm_loaded(found) {
@@ -242,7 +246,7 @@
         })
     }
 
-    /// Opens a loaded version for requests.
+    /// Opens a loaded version to requests.
     pub fn start_serving(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Loaded(replica) => VersionStage::Serving(replica.start_serving()),
@@ -250,7 +254,8 @@
         })
     }
 
-    /// Goes back to where the engine must load again, after it lost its state.
+    /// Returns to the stage from which the engine loads the version again, after the engine
+    /// lost it: verified, or announced if the chunks were released.
     pub(super) fn require_reload(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
             VersionStage::Serving(replica) => VersionStage::Verified(replica.require_reload()),
@@ -261,7 +266,7 @@
         })
     }
 
-    /// Gives up the bytes of a version that the engine serves.
+    /// Releases the chunks of a version that the engine serves.
     pub(super) fn release_chunks(&self) {
         self.advance(|stage| match stage {
             VersionStage::Serving(replica) => VersionStage::EngineOnly {
@@ -271,7 +276,7 @@
         });
     }
 
-    /// Starts over after the version was held.
+    /// Returns a held version to announced.
     pub(super) fn restart(&self) {
         self.advance(|stage| match stage {
             VersionStage::Held(_) => {
@@ -281,7 +286,7 @@
         });
     }
 
-    /// Replaces the stage by what `step` makes of it.
+    /// Replaces the stage by the result of `step` and wakes waiting tasks.
     fn advance(&self, step: impl FnOnce(VersionStage) -> VersionStage) -> VersionStageKind {
         {
             let mut stage = self.stage();
@@ -293,7 +298,7 @@
         self.stage_kind()
     }
 
-    /// Keeps what a peer told of itself for the transfer.
+    /// Keeps a request of a peer, whose chunks it lists, for the transfer.
     pub(super) fn add_peer_request(&self, peer_request: PeerRequest) {
         let mut peer_requests = self
             .peer_requests
@@ -304,7 +309,7 @@
         }
     }
 
-    /// What peers told since the last call.
+    /// Takes the requests that peers sent since the last call.
     pub(super) fn take_peer_requests(&self) -> Vec<PeerRequest> {
         std::mem::take(
             &mut *self
@@ -314,7 +319,7 @@
         )
     }
 
-    /// Claims a place in the queue of uploads; None when `limit` wait.
+    /// Counts an upload until the guard is dropped; `None` when `limit` are in progress.
     pub(super) fn start_upload(self: &Arc<Self>, limit: u32) -> Option<UploadGuard> {
         let mut waiting = self.uploads.load(Ordering::Relaxed);
         loop {
@@ -334,7 +339,7 @@
     }
 }
 
-/// A place in the queue of uploads; given back when dropped.
+/// Counts an upload while it is in progress.
 #[derive(Debug)]
 pub(super) struct UploadGuard(Arc<WeightsVersion>);
 
