--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -25,7 +25,7 @@
 use crate::links::open_call;
 use crate::weights::Digest;
 
-/// Takes in a call of the service beside this process.
+/// Handles a call of the plain service beside this process.
 pub async fn handle_call(
     state: web::Data<EndpointState>,
     request: HttpRequest,
@@ -49,7 +49,7 @@
     })
 }
 
-/// Answers what became of a permit, and waits for a call that runs.
+/// Handles a query for the status of a permit; waits for the call if it is running.
 pub async fn handle_permit_status(
     state: web::Data<EndpointState>,
     request: HttpRequest,
@@ -77,7 +77,7 @@
     })
 }
 
-/// Runs a call that may not be repeated, once, whoever sends it how often.
+/// Runs a call with a permit at most once, however often it is received.
 async fn run_with_permit(
     state: &web::Data<EndpointState>,
     call: ServiceCall,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Runs a call that may be repeated; it ends with the connection it came on.
+/// Runs an idempotent call, which is cancelled when its connection closes.
 async fn run_idempotent(
     state: &web::Data<EndpointState>,
     call: ServiceCall,
@@ -135,7 +135,7 @@
     CallReport::Ended(run.execute(call, None).await)
 }
 
-/// A call that may start; holds the slot for suspects where it needs it.
+/// A call that may start; holds the slot for crash suspects if it needs it.
 struct AdmittedCall {
     state: web::Data<EndpointState>,
     fingerprint: Digest,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Whether a new call may start here, or why not.
+/// Admits a new call, or returns why it is refused.
 fn admit_call(
     state: &web::Data<EndpointState>,
     call: &ServiceCall,
@@ -165,7 +165,7 @@
         return Err(RefusalReason::DeadlinePassed);
     }
     let now_ms = state.node.now_ms();
-    // The call may have waited unread while the process was paused.
+    // The call may have waited to be read while the process was paused.
     if state.calls.pauses().pause_ms(now_ms) >= call.deadline_ms {
         return Err(RefusalReason::Paused);
     }
@@ -193,7 +193,7 @@
     })
 }
 
-/// Runs a call in a task of its own, so that it outlives the connection.
+/// Runs a call with a permit in a task of its own, so that it outlives the connection.
 fn spawn_call(admitted: AdmittedCall, call: ServiceCall, permit: Permit, deadline: Instant) {
     let nonce = permit.nonce;
     let state = admitted.state.clone();
@@ -206,7 +206,10 @@
     state.calls.add_running(nonce, task.map(|_| ()).boxed());
 }
 
-/// Outcome of a call that was running; it is never "not here".
+/// Waits until a call that was started here has ended and returns its outcome.
+///
+/// If its record was dropped meanwhile, the outcome is unknown, and not
+/// [`CallReport::NotHere`], which would mean that nothing was run.
 async fn wait_for_outcome(state: &EndpointState, permit: &Permit) -> CallOutcome {
     if let Some(end) = state.calls.call_end(permit.nonce) {
         end.await;
@@ -219,6 +222,7 @@
     }
 }
 
+/// Status of a permit; one that is not known is refused for `reason` from now on.
 fn permit_status(state: &EndpointState, permit: &Permit, reason: RefusalReason) -> PermitStatus {
     let now_ms = state.node.now_ms();
     state.permits().status_or_refuse(permit, reason, now_ms)
--- a/src/endpoint/call_heartbeats.rs
+++ b/src/endpoint/call_heartbeats.rs
@@ -11,12 +11,13 @@
 use crate::calls::HEARTBEAT_BYTE;
 use crate::calls::ServiceReply;
 
-/// Time between two heartbeats of an answer that is not ready.
+/// Interval of the heartbeats that are sent until the reply is ready.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Reply that is not ready yet.
 type PendingReply = Pin<Box<dyn Future<Output = ServiceReply>>>;
 
-/// Answers with heartbeats until `answering` is done, then with its reply.
+/// Response that streams heartbeats until `reply` is ready, then the encoded reply.
 pub(super) fn heartbeat_response(
     reply: impl Future<Output = ServiceReply> + 'static,
 ) -> HttpResponse {
@@ -27,6 +28,7 @@
         .streaming(chunks)
 }
 
+/// Next chunk of the response body; `None` after the reply.
 async fn next_chunk(
     state: Option<PendingReply>,
 ) -> Option<(Result<Bytes, Error>, Option<PendingReply>)> {
--- a/src/endpoint/call_registry.rs
+++ b/src/endpoint/call_registry.rs
@@ -10,31 +10,35 @@
 use crate::calls::PauseDetector;
 use crate::calls::SuspectSlot;
 
-/// Time between two reconciler of housekeeping.
+/// Interval of the housekeeping of calls, in milliseconds.
 pub(super) const TICK_INTERVAL_MS: u64 = 100;
 
-/// Ends when a call has ended.
+/// Future that completes when a call has ended.
 pub(super) type CallEnd = Shared<BoxFuture<'static, ()>>;
 
-/// Calls of the plain service that run on this endpoint.
+/// Running calls of the plain service of this endpoint, and the crashes of the service.
 #[derive(Debug)]
 pub struct CallRegistry {
     inner: Mutex<Inner>,
     pauses: PauseDetector,
 }
 
+/// Content of [`CallRegistry`], behind its lock.
 #[derive(Debug, Default)]
 struct Inner {
-    // Ascending by nonce.
+    // Calls with a permit, ascending by nonce.
     running: Vec<(Nonce, CallEnd)>,
+    // Number of running idempotent calls.
     idempotent: usize,
     suspects: SuspectSlot,
+    // Crashes of the service so far.
     crashes: u32,
+    // Whether the service has crashed and not answered since.
     is_down: bool,
 }
 
 impl CallRegistry {
-    /// No calls yet.
+    /// Registry without calls.
     pub fn new(now_ms: u64) -> Self {
         Self {
             inner: Mutex::default(),
@@ -42,18 +46,18 @@
         }
     }
 
-    /// Notices pauses of the process.
+    /// Detector of pauses of the process.
     pub fn pauses(&self) -> &PauseDetector {
         &self.pauses
     }
 
-    /// Calls that run now.
+    /// Number of running calls.
     pub fn running(&self) -> usize {
         let inner = self.lock();
         inner.running.len() + inner.idempotent
     }
 
-    /// Notes a call with a permit that runs in a task of its own.
+    /// Adds a call with a permit, which runs in a task of its own.
     pub(super) fn add_running(&self, nonce: Nonce, task: BoxFuture<'static, ()>) {
         let running = &mut self.lock().running;
         if let Err(at) = running.binary_search_by_key(&nonce, |(known, _)| *known) {
@@ -61,12 +65,12 @@
         }
     }
 
-    /// Notes that a call with a permit has ended.
+    /// Removes a call with a permit that has ended.
     pub(super) fn remove_running(&self, nonce: Nonce) {
         self.lock().running.retain(|(known, _)| *known != nonce);
     }
 
-    /// Ends when the call does; `None` if it does not run.
+    /// Future that completes when the call has ended; `None` if it is not running.
     pub(super) fn call_end(&self, nonce: Nonce) -> Option<CallEnd> {
         let inner = self.lock();
         let found = inner
@@ -81,17 +85,19 @@
         IdempotentCallGuard { registry: self }
     }
 
-    /// The slot for suspects.
+    /// Calls `change` with the slot for crash suspects.
     pub(super) fn with_suspect_slot<T>(&self, change: impl FnOnce(&mut SuspectSlot) -> T) -> T {
         change(&mut self.lock().suspects)
     }
 
-    /// Notes that the service answers.
+    /// Records that the service answers.
     pub(super) fn record_service_up(&self) {
         self.lock().is_down = false;
     }
 
-    /// Notes that the service crashed; calls that one crash broke get one number.
+    /// Records a broken call of a crashed service and returns the number of the crash.
+    ///
+    /// Calls that the same crash broke get the same number.
     pub(super) fn record_service_crash(&self) -> u32 {
         let mut inner = self.lock();
         if !inner.is_down {
@@ -101,7 +107,7 @@
         inner.crashes
     }
 
-    /// Ends when no call runs any more.
+    /// Waits until no call with a permit is running.
     pub(super) async fn wait_until_drained(&self) {
         let mut waiting: VecDeque<CallEnd> = self.call_ends();
         while let Some(end) = waiting.pop_front() {
@@ -112,6 +118,7 @@
         }
     }
 
+    /// Ends of all running calls with a permit.
     fn call_ends(&self) -> VecDeque<CallEnd> {
         let inner = self.lock();
         inner.running.iter().map(|(_, end)| end.clone()).collect()
--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -18,15 +18,16 @@
 use crate::node::Reporter;
 use crate::weights::Digest;
 
-/// Time a service has to accept a connection that only tests whether it lives.
+/// Time within which a process must accept a connection that probes whether it is up.
 const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time such a connection must stay open.
+/// Time for which the probing connection must stay open.
 const PROBE_OPEN_TIME: Duration = Duration::from_millis(200);
 
-/// One call on its way to the service.
+/// A call that is forwarded to the service.
 pub(super) struct CallRun<'a> {
     state: &'a web::Data<EndpointState>,
+    /// Digest that identifies the request among crash suspects.
     fingerprint: Digest,
     deadline: Instant,
 }
@@ -44,10 +45,10 @@
         }
     }
 
-    /// Passes the call on and sorts its end.
+    /// Forwards the call and returns its outcome; `nonce` is that of its permit.
     pub(super) async fn execute(&self, call: ServiceCall, nonce: Option<Nonce>) -> CallOutcome {
         let time_left = self.deadline.saturating_duration_since(Instant::now());
-        // The process may have been paused since it took the call in.
+        // The process may have been paused since it received the call.
         if time_left.is_zero() {
             return CallOutcome::not_run(RefusalReason::DeadlinePassed);
         }
@@ -61,8 +62,8 @@
             request_id: call.request_id,
             key: nonce.map(|nonce| nonce.to_string()),
             body: call.body.into(),
-            // A call that may not be repeated goes on past its caller's deadline,
-            // so that the next send of its permit finds the answer.
+            // A call with a permit continues after its caller's deadline, so that
+            // a retry with the same permit gets its answer.
             wait_ms: nonce.map_or(left_ms.min(timeout_ms), |_| timeout_ms),
         };
         let client = ServiceClient::new(self.state.settings.backend.url());
@@ -74,21 +75,21 @@
             Err(LinkError::NotSent(_)) => CallOutcome::not_run(RefusalReason::Unreachable),
             Err(error) => {
                 if matches!(error, LinkError::Broken(_)) {
-                    self.report_crash().await;
+                    self.report_if_crashed().await;
                 }
                 CallOutcome::unknown(UnknownReason::ServiceLost)
             }
         }
     }
 
-    /// Clears a suspect whose run ended well.
+    /// Records that the service answered, which clears the request as a crash suspect.
     fn record_answered(&self) {
         self.state.calls.record_service_up();
         self.state.node.suspects().clear_request(self.fingerprint);
     }
 
-    /// Tells the entries at once if the service died while this call ran on it.
-    async fn report_crash(&self) {
+    /// Reports the request to the entries as a crash suspect if the service has crashed.
+    async fn report_if_crashed(&self) {
         let url = self.state.settings.backend.url();
         if is_process_up(url.strip_prefix("http://").unwrap_or(url)).await {
             return;
@@ -107,8 +108,8 @@
 
 /// Whether the process at `address` accepts a connection and keeps it open.
 ///
-/// A process that dies closes its sockets one by one, so its listener may
-/// still accept after its other connections have broken.
+/// A process that ends closes its sockets one by one, so its listener may still
+/// accept connections after its other ones have broken.
 pub(super) async fn is_process_up(address: &str) -> bool {
     let Ok(Ok(probe)) = timeout(PROBE_CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
--- a/src/endpoint/call_ticker.rs
+++ b/src/endpoint/call_ticker.rs
@@ -8,7 +8,7 @@
 use crate::endpoint::EndpointState;
 use crate::endpoint::call_registry::TICK_INTERVAL_MS;
 
-/// Turns the epochs of the permit table and notices pauses.
+/// Runs the periodic housekeeping of calls.
 #[derive(Debug)]
 pub(super) struct CallTicker {
     state: Arc<EndpointState>,
@@ -31,7 +31,7 @@
 }
 
 impl EndpointState {
-    /// Brings epochs, pauses and suspects up to now.
+    /// Detects pauses of the process, drops expired suspects and advances the permit epoch.
     pub(super) fn run_call_housekeeping(&self) {
         let now_ms = self.node.now_ms();
         self.calls.pauses().tick(now_ms);
--- a/src/endpoint/engine_health.rs
+++ b/src/endpoint/engine_health.rs
@@ -4,26 +4,31 @@
 use crate::calls::SuspectSlot;
 use crate::weights::Digest;
 
-/// What an endpoint knows of its engine's crashes, and the slot for suspects of them.
+/// Crashes of the engine of an endpoint, and the slot for crash suspects.
 #[derive(Debug, Default)]
 pub(super) struct EngineHealth {
     inner: Mutex<Inner>,
 }
 
+/// Content of [`EngineHealth`], behind its lock.
 #[derive(Debug, Default)]
 struct Inner {
+    /// Crashes so far.
     crashes: u32,
+    /// Whether the engine has crashed and sent no token since.
     is_down: bool,
     suspects: SuspectSlot,
 }
 
 impl EngineHealth {
-    /// Notes that the engine made a token.
+    /// Records that the engine sent a token.
     pub(super) fn record_up(&self) {
         self.lock().is_down = false;
     }
 
-    /// Notes that the engine crashed; streams that one crash broke get one number.
+    /// Records a broken stream of a crashed engine and returns the number of the crash.
+    ///
+    /// Streams that the same crash broke get the same number.
     pub(super) fn record_crash(&self) -> u32 {
         let mut inner = self.lock();
         if !inner.is_down {
@@ -33,7 +38,8 @@
         inner.crashes
     }
 
-    /// Takes the slot for suspects until the guard is dropped.
+    /// Takes the slot for crash suspects until the guard is dropped; `None` if another
+    /// request holds it.
     pub(super) fn acquire_suspect_slot(&self, fingerprint: Digest) -> Option<SuspectGuard<'_>> {
         let acquired = self.lock().suspects.try_acquire(fingerprint);
         acquired.then_some(SuspectGuard {
@@ -49,7 +55,7 @@
     }
 }
 
-/// The slot for suspects, held by one request.
+/// Holds the slot for crash suspects for one request.
 #[derive(Debug)]
 pub(super) struct SuspectGuard<'a> {
     health: &'a EngineHealth,
--- a/src/endpoint/generate.rs
+++ b/src/endpoint/generate.rs
@@ -10,7 +10,9 @@
 use crate::endpoint::GenerateServer;
 use crate::links::open_call;
 
-/// Runs a request for tokens through the fair queue and streams its frames back.
+/// Handles a generate request of an entry: queues it and streams its frames back.
+///
+/// It is refused while the process is leaving or the version is not serving.
 pub async fn handle_generate(
     state: web::Data<EndpointState>,
     request: HttpRequest,
@@ -34,7 +36,7 @@
     server.run(call, content_digest)
 }
 
-/// Brings the queue's shares up to the configuration in force.
+/// Sets the queue's shares from the current configuration if it has changed.
 fn refresh_shares(state: &EndpointState, server: &GenerateServer) {
     let follower = state.node.follower();
     let offset = follower.fold().head();
--- a/src/endpoint/generate_load.rs
+++ b/src/endpoint/generate_load.rs
@@ -7,17 +7,17 @@
 
 use crate::endpoint::EndpointState;
 
-/// How often the load in the reports is brought up to date.
+/// Interval at which the reported load is updated.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Copies the load of the queue into what the process says of itself.
+/// Copies the load of the queue into the state that the process reports.
 #[derive(Debug)]
 pub struct LoadUpdater {
     state: Arc<EndpointState>,
 }
 
 impl LoadUpdater {
-    /// Keeper of `state`'s load.
+    /// Updater for the load of `state`.
     pub fn new(state: Arc<EndpointState>) -> Self {
         Self { state }
     }
--- a/src/endpoint/generate_queue.rs
+++ b/src/endpoint/generate_queue.rs
@@ -18,42 +18,48 @@
 use crate::contracts::QueuedRequest;
 use crate::hosts::Load;
 
-/// Offset that stands for no configuration yet.
+/// Value of `shares_offset` before the first configuration.
 const NO_OFFSET: u64 = u64::MAX;
 
-/// A final refusal of the queue.
+/// Final refusal of a request by the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct GenerateRefusal {
     pub(super) reason: RefusalReason,
+    /// Suggested wait before a retry, in milliseconds.
     pub(super) retry_after_ms: u64,
 }
 
-/// What the queue tells a request that waits.
+/// Decision of the queue on a waiting request.
 #[derive(Debug)]
 pub(super) enum Grant {
+    /// The request runs now, in this slot.
     Run(RunSlot),
+    /// The request is refused.
     Refused(GenerateRefusal),
 }
 
-/// A request's place in the queue.
+/// A request that waits in the queue for its grant.
 #[derive(Debug)]
 pub(super) struct PendingGrant {
+    /// Receives the decision of the queue.
     pub(super) receiver: oneshot::Receiver<Grant>,
-    /// Time after which the request is given up.
+    /// Time after which the queue refuses the request, in milliseconds of its clock.
     pub(super) expiry_ms: u64,
 }
 
-/// The fair queue of an endpoint, shared by the requests in it.
+/// Fair queue in front of the engine of an endpoint, shared by its requests.
 #[derive(Debug)]
 pub struct GenerateQueue {
     slots: u32,
+    /// Start of the queue's clock.
     started: Instant,
+    /// Configuration offset of the shares, or [`NO_OFFSET`].
     shares_offset: AtomicU64,
     queue: Mutex<FairQueue<oneshot::Sender<Grant>>>,
 }
 
 impl GenerateQueue {
-    /// Empty queue with `limits`.
+    /// Empty queue with the given limits.
     pub fn new(limits: QueueLimits) -> Arc<Self> {
         Arc::new(Self {
             slots: limits.slots,
@@ -71,7 +77,7 @@
         }
     }
 
-    /// Sets the shares of the branches, as of a configuration offset.
+    /// Sets the shares of the branches from the configuration at `offset`.
     pub fn set_shares(&self, offset: u64, shares: impl IntoIterator<Item = BranchShare>) {
         self.shares_offset.store(offset, Ordering::Relaxed);
         let mut queue = self.lock();
@@ -80,7 +86,7 @@
         }
     }
 
-    /// How busy the endpoint is.
+    /// Number of running and waiting requests and of slots.
     pub fn load(&self) -> Load {
         let queue = self.lock();
         Load {
@@ -90,12 +96,12 @@
         }
     }
 
-    /// Time since the queue was made.
+    /// Time since the queue was created, in milliseconds.
     pub(super) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Takes a place for a request that must be whole by `deadline_ms`.
+    /// Queues a request whose answer must be complete by `deadline_ms` of the queue's clock.
     pub(super) fn enqueue(
         self: &Arc<Self>,
         branch: &str,
@@ -133,14 +139,16 @@
         }
     }
 
-    /// Hands out free slots and refuses requests that are given up.
+    /// Grants free slots to waiting requests and refuses those that have expired.
     pub(super) fn dispatch(self: &Arc<Self>) {
         while let Some((waiter, grant)) = self.next_grant() {
-            // A grant whose request has gone comes back and frees its slot when dropped.
+            // If the request was dropped, `send` returns the grant, which frees its slot
+            // when it is dropped.
             let _ = waiter.send(grant);
         }
     }
 
+    /// Next decision with its receiver; `None` when no request can run or be refused now.
     fn next_grant(self: &Arc<Self>) -> Option<(oneshot::Sender<Grant>, Grant)> {
         let now_ms = self.now_ms();
         let mut queue = self.lock();
@@ -179,22 +187,24 @@
     }
 }
 
-/// A slot of the engine, freed when dropped.
+/// Slot of the engine, held by a running request and freed when dropped.
 #[derive(Debug)]
 pub(super) struct RunSlot {
     queue: Arc<GenerateQueue>,
     started_ms: u64,
+    /// Usage of the request, passed to the queue when the slot is freed.
     finished: FinishedRequest,
 }
 
 impl RunSlot {
-    /// Counts tokens that were made.
+    /// Adds tokens that the request used, up to its estimated cost.
     pub(super) fn add_used_tokens(&mut self, tokens: u64) {
         self.finished.used_tokens =
             (self.finished.used_tokens + tokens).min(self.finished.cost_tokens);
     }
 
-    /// Notes that the answer is whole, so that its time is worth learning from.
+    /// Records that the answer is complete, so that its duration enters the averages from
+    /// which the queue estimates waits.
     pub(super) fn record_completion(&mut self) {
         self.finished.held_ms = Some(self.queue.now_ms() - self.started_ms);
     }
--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -29,34 +29,35 @@
 use crate::clients::StreamEvent;
 use crate::weights::Digest;
 
-/// Interval of heartbeats while a request waits for a slot.
+/// Interval of heartbeats while a request waits for a slot, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// Silence after which the engine's connection is abandoned.
+/// Time without an event after which the engine counts as failed.
 const ENGINE_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Time a full buffer may wait for its reader.
+/// Time for which a full buffer waits for its reader.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Time between two looks at the slot for suspects.
+/// Interval at which a crash suspect tries to take the slot for suspects.
 const SUSPECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The entry has closed the stream.
+/// Error: the entry has closed the stream or stopped reading it.
 struct StreamClosed;
 
-/// One request at an endpoint: it waits for a slot, then passes the engine's tokens on.
+/// A generate request at an endpoint: waits for a slot, then forwards the engine's tokens.
 pub(super) struct GenerateRun {
     pub(super) queue: Arc<GenerateQueue>,
     pub(super) engine: EngineClient,
     pub(super) health: Arc<EngineHealth>,
     pub(super) call: GenerateCall,
-    /// Whole digest of the weights that were verified here.
+    /// Digest of the verified content of the weights, which the answer must name.
     pub(super) content_digest: Digest,
+    /// Sends frames to the entry.
     pub(super) frames: mpsc::Sender<GenerateFrame>,
 }
 
 impl GenerateRun {
-    /// Runs the request to its final frame, or until the reader has gone.
+    /// Runs the request until its final frame is sent or the stream is closed.
     pub(super) async fn run(self) {
         let deadline_ms = self.queue.now_ms() + self.call.deadline_ms;
         let Ok(_suspect) = self.wait_as_suspect(deadline_ms).await else {
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Waits until no other suspect runs here, if the request is one.
+    /// Takes the slot for crash suspects if the request is one, with heartbeats while
+    /// another suspect holds it.
     async fn wait_as_suspect(
         &self,
         deadline_ms: u64,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Waits for the queue's word, with heartbeats.
+    /// Waits for the decision of the queue, with heartbeats.
     async fn wait_for_grant(&self, mut pending: PendingGrant) -> Result<Grant, StreamClosed> {
         loop {
             let left_ms = pending.expiry_ms.saturating_sub(self.queue.now_ms()) + 1;
@@ -110,7 +112,7 @@
                 .await?
             {
                 Ok(Ok(grant)) => return Ok(grant),
-                // The queue drops no waiting request without a word.
+                // Does not happen, as the queue sends a decision on every waiting request.
                 Ok(Err(_)) => return Err(StreamClosed),
                 Err(_) => self.queue.dispatch(),
             }
@@ -119,8 +121,9 @@
         }
     }
 
+    /// Runs the request in its slot and sends the final frame once the slot is free.
     async fn run_in_slot(&self, mut slot: RunSlot, deadline_ms: u64) {
-        // A process that was paused finds the deadline passed here.
+        // The deadline may have passed while the process was paused.
         let left_ms = deadline_ms.saturating_sub(self.queue.now_ms());
         if left_ms == 0 {
             return self.refuse(GenerateRefusal::deadline_passed()).await;
@@ -129,7 +132,7 @@
         let final_frame = match result {
             Ok(final_frame) => final_frame,
             Err(StreamClosed) => {
-                // An engine that does not see the closed connection is told.
+                // The engine may not notice the closed connection, so it is told to cancel.
                 let _ = self.engine.cancel(&self.call.request_id).await;
                 return;
             }
@@ -138,7 +141,7 @@
         let _ = self.send(self.with_current_load(final_frame)).await;
     }
 
-    /// Passes tokens on and returns the final frame.
+    /// Forwards the engine's tokens and returns the final frame.
     async fn stream_tokens(
         &self,
         slot: &mut RunSlot,
@@ -149,7 +152,7 @@
         let order = self.generate_order(left_ms);
         let mut events = match self.unless_closed(self.engine.generate(&order)).await? {
             Ok(events) => events,
-            // The engine may have died before it sent the head of its answer.
+            // The engine may have crashed before it sent the head of its response.
             Err(EngineError::Unreachable(_)) => {
                 return Ok(failed_frame(self.classify_broken_stream().await));
             }
@@ -198,6 +201,7 @@
         }
     }
 
+    /// Next event of the engine, or why the stream failed.
     async fn next_event(
         &self,
         events: &mut EngineStream,
@@ -205,12 +209,13 @@
         let next = timeout(ENGINE_SILENCE_TIMEOUT, events.next());
         Ok(match self.unless_closed(next).await? {
             Ok(Some(Ok(event))) => Ok(event),
-            // The connection ended without its end record.
+            // The connection ended before the end event.
             Ok(Some(Err(_)) | None) => Err(self.classify_broken_stream().await),
             Err(_) => Err(StreamFault::EngineFailed),
         })
     }
 
+    /// Fault of a broken connection to the engine: a crash if the engine is down.
     async fn classify_broken_stream(&self) -> StreamFault {
         match is_process_up(self.engine.address()).await {
             true => StreamFault::EngineFailed,
@@ -220,6 +225,7 @@
         }
     }
 
+    /// Order to the engine; `left_ms` is the time left for the answer.
     fn generate_order(&self, left_ms: u64) -> GenerateOrder {
         GenerateOrder {
             request_id: self.call.request_id.clone(),
@@ -234,7 +240,7 @@
         }
     }
 
-    /// The final frame with the load after its slot was freed.
+    /// The final frame with the load after the slot was freed.
     fn with_current_load(&self, mut final_frame: GenerateFrame) -> GenerateFrame {
         if let GenerateFrame::End { load, .. } | GenerateFrame::Failed { load, .. } =
             &mut final_frame
@@ -244,6 +250,7 @@
         final_frame
     }
 
+    /// Sends a refusal as the final frame.
     async fn refuse(&self, refusal: GenerateRefusal) {
         let frame = GenerateFrame::Refused {
             reason: refusal.reason,
@@ -253,7 +260,7 @@
         let _ = self.send(frame).await;
     }
 
-    /// Sends a frame; a reader that leaves the buffer full for long counts as gone.
+    /// Sends a frame; the stream counts as closed when the buffer stays full for too long.
     async fn send(&self, frame: GenerateFrame) -> Result<(), StreamClosed> {
         match timeout(SLOW_READER_TIMEOUT, self.frames.send(frame)).await {
             Ok(Ok(())) => Ok(()),
@@ -261,6 +268,7 @@
         }
     }
 
+    /// Result of `work`, unless the entry closes the stream first.
     async fn unless_closed<T>(&self, work: impl Future<Output = T>) -> Result<T, StreamClosed> {
         match select(pin!(work), pin!(self.frames.closed())).await {
             Either::Left((done, _)) => Ok(done),
@@ -270,6 +278,7 @@
 }
 
 impl GenerateRefusal {
+    /// Refusal of a request whose deadline has passed.
     fn deadline_passed() -> Self {
         Self {
             reason: RefusalReason::DeadlinePassed,
@@ -278,6 +287,7 @@
     }
 }
 
+/// Final frame of a failed stream; its load is filled in by `with_current_load`.
 fn failed_frame(fault: StreamFault) -> GenerateFrame {
     GenerateFrame::Failed {
         fault,
@@ -285,6 +295,7 @@
     }
 }
 
+/// Stream fault that an engine error stands for.
 fn error_fault(error: &EngineError) -> StreamFault {
     match error {
         EngineError::Refused(fault) => stream_fault(*fault),
@@ -295,6 +306,7 @@
     }
 }
 
+/// Stream fault that a fault reported by the engine stands for.
 fn stream_fault(fault: EngineFault) -> StreamFault {
     match fault {
         EngineFault::NotLoaded | EngineFault::BaseNotLoaded => StreamFault::NotLoaded,
--- a/src/endpoint/generate_server.rs
+++ b/src/endpoint/generate_server.rs
@@ -16,10 +16,10 @@
 use crate::clients::EngineClient;
 use crate::weights::Digest;
 
-/// Frames that wait for a slow reader.
+/// Number of frames that are buffered for a slow reader.
 const BUFFERED_FRAMES: usize = 256;
 
-/// Runs requests for tokens on the engine of this host, through the fair queue.
+/// Runs generate requests on the engine of this host, in the order of the fair queue.
 #[derive(Debug)]
 pub struct GenerateServer {
     queue: Arc<GenerateQueue>,
@@ -28,7 +28,7 @@
 }
 
 impl GenerateServer {
-    /// Server in front of `engine`.
+    /// Server for requests to `engine`, queued in `queue`.
     pub fn new(queue: Arc<GenerateQueue>, engine: EngineClient) -> Self {
         Self {
             queue,
@@ -42,7 +42,8 @@
         &self.queue
     }
 
-    /// Runs a call on weights whose whole digest was verified to be `whole`.
+    /// Queues a call and streams its frames; `content_digest` is the verified digest of
+    /// the weights it must run on.
     pub fn run(&self, call: GenerateCall, content_digest: Digest) -> HttpResponse {
         let (frames, mut received) = mpsc::channel(BUFFERED_FRAMES);
         let run = GenerateRun {
@@ -57,7 +58,7 @@
         respond(stream::poll_fn(move |context| received.poll_recv(context)))
     }
 
-    /// Refuses a call before it reaches the queue.
+    /// Refuses a call without queuing it.
     pub fn refuse(&self, reason: RefusalReason) -> HttpResponse {
         let frame = GenerateFrame::Refused {
             reason,
@@ -68,6 +69,7 @@
     }
 }
 
+/// Response that streams the encoded frames.
 fn respond(frames: impl Stream<Item = GenerateFrame> + 'static) -> HttpResponse {
     let bodies = frames.map(|frame| Ok::<_, actix_web::Error>(Bytes::from(frame.to_bytes())));
     HttpResponse::Ok()
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,4 +1,7 @@
-//! The endpoint role: the only process that gives its engine or service orders or calls.
+//! Endpoint role: the process in front of one engine or plain service.
+//!
+//! Every order to the engine and every call of the service passes through it.
+//! Beside an engine it also fetches model weights and has the engine load them.
 
 mod call;
 mod call_heartbeats;
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -25,21 +25,21 @@
 use crate::observe::emit;
 use crate::standin::Handle;
 
-/// Largest body of a call from an entry.
+/// Largest body of a request from an entry or a peer, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A running endpoint.
+/// Handle of a running endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHandle {
     server: Handle,
     state: Arc<EndpointState>,
 }
 
-/// Starts an endpoint.
+/// Starts an endpoint: its HTTP server, its reports and its housekeeping.
 ///
 /// # Errors
 ///
-/// The I/O error when the address cannot be bound.
+/// Returns the I/O error when its address can't be bound.
 pub async fn start(settings: EndpointSettings) -> io::Result<EndpointHandle> {
     let options = ServeOptions {
         drain_ms: settings.drain_ms,
@@ -76,24 +76,25 @@
 }
 
 impl EndpointHandle {
-    /// Identity, hosts and configuration of the endpoint.
+    /// Identity of the endpoint, known hosts and configuration.
     pub fn node(&self) -> &Arc<Node> {
         &self.state.node
     }
 
-    /// Stops at once; requests in progress are cut.
+    /// Stops at once; requests in progress are aborted.
     pub async fn kill(&self) {
         self.server.kill().await;
     }
 
-    /// Leaves: tells the entries, then finishes the requests in progress.
+    /// Stops in order: notifies the entries, then drains the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit(Event::ProcessStopping, &[("host", &node.name())]);
         node.leave();
         Reporter::report_now(node).await;
         let drain = Duration::from_millis(self.state.settings.drain_ms);
-        // Calls outlive their connections, which the server alone waits for.
+        // Stopping the server waits for connections only, and a call may outlive its
+        // connection.
         let _ = timeout(drain, self.state.calls.wait_until_drained()).await;
         self.server.stop().await;
         emit(Event::ProcessStopped, &[("host", &node.name())]);
--- a/src/endpoint/state.rs
+++ b/src/endpoint/state.rs
@@ -17,10 +17,10 @@
 use crate::node::Node;
 use crate::weights::MemoryBudget;
 
-/// Slots for one slot that a bursting branch leaves to the others.
+/// Number of engine slots for each slot that is reserved for branches below their share.
 pub const SLOTS_PER_RESERVED_SLOT: u32 = 32;
 
-/// Full queues of branches that fit into the whole queue.
+/// Number of full branch queues that fit into the queue of the endpoint.
 const FULL_BRANCH_QUEUES: usize = 4;
 
 /// State shared by the handlers of an endpoint.
@@ -28,19 +28,19 @@
 pub struct EndpointState {
     /// Settings of the process.
     pub settings: EndpointSettings,
-    /// Identity, hosts and configuration.
+    /// Identity of the process, known hosts and configuration.
     pub node: Arc<Node>,
-    /// Calls of the plain service that run here.
+    /// Running calls of the plain service.
     pub calls: CallRegistry,
     /// Weights on this host.
     pub weights: Arc<WeightsState>,
-    /// Runs requests for tokens; `None` beside a plain service.
+    /// Server of generate requests; `None` beside a plain service.
     pub generate: Option<GenerateServer>,
     permits: Mutex<PermitTable>,
 }
 
 impl EndpointState {
-    /// State of a fresh process.
+    /// State of a process that starts with these settings.
     pub fn new(settings: EndpointSettings) -> Self {
         let service = match &settings.backend {
             BackendSettings::Engine { .. } => None,
@@ -74,19 +74,20 @@
         }
     }
 
-    /// Permits that ran, run or were refused here.
+    /// Permits that have run, are running or were refused here.
     pub fn permits(&self) -> MutexGuard<'_, PermitTable> {
         self.permits
             .lock()
             .expect("no holder of the permit table panics")
     }
 
-    /// Address of the engine, unless a plain service is beside this process.
+    /// Address of the engine; `None` beside a plain service.
     pub fn engine_address(&self) -> Option<SocketAddr> {
         engine_address(&self.settings.backend)
     }
 }
 
+/// Address of the engine in the settings; `None` beside a plain service.
 fn engine_address(backend: &BackendSettings) -> Option<SocketAddr> {
     match backend {
         BackendSettings::Engine { url, .. } => url.strip_prefix("http://")?.parse().ok(),
@@ -94,6 +95,7 @@
     }
 }
 
+/// State for weights with the links and the memory budget of the settings.
 fn weights_state(settings: &EndpointSettings, node: &Node) -> Arc<WeightsState> {
     let weights = &settings.weights;
     let links = WeightLinks::new(
