--- a/tests/generate_engine/fixture.rs
+++ b/tests/generate_engine/fixture.rs
@@ -22,28 +22,33 @@
 use bergamotfork::standin::engine::EngineOptions;
 use bergamotfork::weights::Digest;
 
+/// Content of the only version, which the engine loads.
 const WEIGHTS: &[u8] = b"weights of a small model";
+/// Deadline of requests, and longest wait for a state of the engine.
 const DEADLINE: Duration = Duration::from_secs(20);
 
+/// Last octet of the next loopback address.
 static NEXT_HOST: AtomicU32 = AtomicU32::new(1);
 
-/// A loopback address that no other test process uses.
-fn address() -> SocketAddr {
+/// Loopback address on a free port, different for each test process and call.
+fn unused_address() -> SocketAddr {
     let process = std::process::id();
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let ip = Ipv4Addr::new(127, (process >> 8) as u8 | 1, process as u8, host as u8);
     SocketAddr::new(ip.into(), 0)
 }
 
-/// An engine stand-in beside a source of weights.
+/// An engine stand-in and a server that it loads weights from.
 pub struct Fixture {
+    /// Client of the engine.
     pub engine: EngineClient,
     source_url: String,
 }
 
 impl Fixture {
+    /// Starts a fast engine, with its options changed by `adjust`.
     pub async fn start(adjust: impl Fn(&mut EngineOptions)) -> Self {
-        let mut options = EngineOptions::new(address());
+        let mut options = EngineOptions::new(unused_address());
         options.first_token_ms = 5;
         options.token_ms = 1;
         adjust(&mut options);
@@ -51,7 +56,7 @@
         let source = HttpServer::new(|| App::new().default_service(web::to(|| async { WEIGHTS })))
             .workers(1)
             .disable_signals()
-            .bind(address())
+            .bind(unused_address())
             .expect("the address is free");
         let source_url = format!("http://{}/", source.addrs()[0]);
         actix_rt::spawn(source.run());
@@ -61,14 +66,17 @@
         }
     }
 
-    pub fn whole(&self) -> Digest {
+    /// Digest of the content of the weights.
+    pub fn content_digest(&self) -> Digest {
         Digest::of_bytes(WEIGHTS)
     }
 
+    /// Digest that stands for the manifest of the weights.
     pub fn manifest(&self) -> Digest {
         Digest::of_bytes(b"manifest")
     }
 
+    /// Orders the engine to load the weights, with an order of configuration offset `offset`.
     pub async fn load(&self, offset: u64) -> Result<LoadAnswer, EngineError> {
         let order = LoadOrder {
             order: OrderNo {
@@ -85,6 +93,7 @@
         self.engine.load(&order).await
     }
 
+    /// Order to generate `max_tokens` tokens, with an identifier made from the prompt.
     pub fn order(&self, prompt: &str, max_tokens: u32) -> GenerateOrder {
         GenerateOrder {
             request_id: format!("r-{prompt}"),
@@ -99,24 +108,25 @@
         }
     }
 
-    pub async fn open(&self, order: &GenerateOrder) -> EngineStream {
+    /// Starts a token stream.
+    pub async fn start_stream(&self, order: &GenerateOrder) -> EngineStream {
         let stream = self.engine.generate(order).await;
         stream.expect("the weights are loaded")
     }
 
-    /// All events of a stream but heartbeats.
+    /// Generates a complete answer and returns its events without heartbeats.
     pub async fn generate(&self, order: &GenerateOrder) -> Vec<StreamEvent> {
-        let mut stream = self.open(order).await;
+        let mut stream = self.start_stream(order).await;
         let mut events = Vec::new();
         while let Some(event) = stream.next().await {
-            events.push(event.expect("the stream is whole"));
+            events.push(event.expect("the stream is intact"));
         }
         events.retain(|event| *event != StreamEvent::Beat);
         events
     }
 
-    /// Waits until `count` streams run.
-    pub async fn running(&self, count: u32) {
+    /// Waits until exactly `count` streams are running.
+    pub async fn wait_until_running(&self, count: u32) {
         let give_up_at = Instant::now() + DEADLINE;
         loop {
             let state = self.engine.state().await.expect("the engine runs");
@@ -129,18 +139,20 @@
     }
 }
 
+/// Reads a stream to its end and returns the last event.
 pub async fn last_event(stream: &mut EngineStream) -> StreamEvent {
     let mut last = StreamEvent::Beat;
     while let Some(event) = stream.next().await {
-        last = event.expect("the stream is whole");
+        last = event.expect("the stream is intact");
     }
     last
 }
 
+/// Returns the first event of a stream that is not a heartbeat.
 pub async fn first_token(stream: &mut EngineStream) -> StreamEvent {
     loop {
         let event = stream.next().await.expect("the stream is open");
-        let event = event.expect("the stream is whole");
+        let event = event.expect("the stream is intact");
         if event != StreamEvent::Beat {
             return event;
         }
--- a/tests/generate_engine/main.rs
+++ b/tests/generate_engine/main.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in and its client.
+//! Tests of the engine stand-in through the engine client.
 
 mod fixture;
 
@@ -9,16 +9,16 @@
 use bergamotfork::standin::engine::token_text;
 
 #[actix_rt::test]
-async fn load_recomputes_whole_digest() {
+async fn load_returns_content_digest() {
     let fixture = Fixture::start(|_| {}).await;
     let answer = fixture.load(1).await.expect("the order is fresh");
-    assert_eq!(answer.whole, fixture.whole());
+    assert_eq!(answer.whole, fixture.content_digest());
     let state = fixture.engine.state().await.expect("the engine runs");
-    assert_eq!(state.loaded[0].whole, fixture.whole());
+    assert_eq!(state.loaded[0].whole, fixture.content_digest());
 }
 
 #[actix_rt::test]
-async fn load_stale_order_is_refused() {
+async fn load_stale_order() {
     let fixture = Fixture::start(|_| {}).await;
     fixture.load(5).await.expect("the order is fresh");
     let refused = fixture.load(4).await.expect_err("the order is stale");
@@ -26,33 +26,33 @@
 }
 
 #[actix_rt::test]
-async fn load_stale_order_passes_unchecked() {
+async fn load_stale_order_unchecked() {
     let fixture = Fixture::start(|options| options.checks_orders = false).await;
     fixture.load(5).await.expect("the order is fresh");
     fixture.load(4).await.expect("orders are not checked");
 }
 
 #[actix_rt::test]
-async fn generate_streams_whole_answer() {
+async fn generate_complete_answer() {
     let fixture = Fixture::start(|_| {}).await;
     fixture.load(1).await.expect("the order is fresh");
     let events = fixture.generate(&fixture.order("hello", 4)).await;
-    let whole = fixture.whole();
+    let content_digest = fixture.content_digest();
     for index in 0..4 {
-        let text = token_text(&whole, "hello", 7, index);
+        let text = token_text(&content_digest, "hello", 7, index);
         assert_eq!(events[index as usize], StreamEvent::Token { index, text });
     }
     let end = StreamEvent::End {
         request_id: "r-hello".to_owned(),
         tokens: 4,
         manifest: fixture.manifest(),
-        whole,
+        whole: content_digest,
     };
     assert_eq!(events[4..], [end]);
 }
 
 #[actix_rt::test]
-async fn generate_resumes_from_index() {
+async fn generate_resume_from_index() {
     let fixture = Fixture::start(|_| {}).await;
     fixture.load(1).await.expect("the order is fresh");
     let mut order = fixture.order("hello", 4);
@@ -62,7 +62,7 @@
 }
 
 #[actix_rt::test]
-async fn generate_unloaded_is_refused() {
+async fn generate_weights_not_loaded() {
     let fixture = Fixture::start(|_| {}).await;
     let refused = fixture.engine.generate(&fixture.order("x", 1)).await;
     let error = refused.expect_err("nothing is loaded");
@@ -70,22 +70,26 @@
 }
 
 #[actix_rt::test]
-async fn generate_beats_while_queued() {
+async fn generate_heartbeat_while_queued() {
     let fixture = Fixture::start(|options| options.slots = 1).await;
     fixture.load(1).await.expect("the order is fresh");
-    let _running = fixture.open(&fixture.order("long", 10_000)).await;
-    fixture.running(1).await;
-    let mut queued = fixture.open(&fixture.order("queued", 1)).await;
+    let _running = fixture.start_stream(&fixture.order("long", 10_000)).await;
+    fixture.wait_until_running(1).await;
+    let mut queued = fixture.start_stream(&fixture.order("queued", 1)).await;
     let first = queued.next().await.expect("the stream is open");
     assert_eq!(first, Ok(StreamEvent::Beat));
 }
 
 #[actix_rt::test]
-async fn generate_cancel_ends_stream() {
+async fn generate_cancelled() {
     let fixture = Fixture::start(|_| {}).await;
     fixture.load(1).await.expect("the order is fresh");
-    let mut stream = fixture.open(&fixture.order("long", 10_000)).await;
-    fixture.engine.cancel("r-long").await.expect("it runs");
+    let mut stream = fixture.start_stream(&fixture.order("long", 10_000)).await;
+    fixture
+        .engine
+        .cancel("r-long")
+        .await
+        .expect("the stream is running");
     let last = fixture::last_event(&mut stream).await;
     let cancelled =
         matches!(last, StreamEvent::Error { code, .. } if code == EngineFault::Cancelled);
@@ -93,25 +97,25 @@
 }
 
 #[actix_rt::test]
-async fn generate_dropped_connection_frees_slot() {
+async fn generate_dropped_connection() {
     let fixture = Fixture::start(|_| {}).await;
     fixture.load(1).await.expect("the order is fresh");
-    let stream = fixture.open(&fixture.order("long", 10_000)).await;
-    fixture.running(1).await;
+    let stream = fixture.start_stream(&fixture.order("long", 10_000)).await;
+    fixture.wait_until_running(1).await;
     drop(stream);
-    fixture.running(0).await;
+    fixture.wait_until_running(0).await;
 }
 
 #[actix_rt::test]
-async fn generate_priority_goes_first() {
+async fn generate_higher_priority_first() {
     let fixture = Fixture::start(|options| options.slots = 1).await;
     fixture.load(1).await.expect("the order is fresh");
-    let running = fixture.open(&fixture.order("long", 10_000)).await;
-    fixture.running(1).await;
-    let mut low = fixture.open(&fixture.order("low", 10_000)).await;
+    let running = fixture.start_stream(&fixture.order("long", 10_000)).await;
+    fixture.wait_until_running(1).await;
+    let mut low = fixture.start_stream(&fixture.order("low", 10_000)).await;
     let mut urgent = fixture.order("urgent", 1);
     urgent.priority = 9;
-    let mut urgent = fixture.open(&urgent).await;
+    let mut urgent = fixture.start_stream(&urgent).await;
     drop(running);
     let ended = fixture::last_event(&mut urgent).await;
     assert!(matches!(ended, StreamEvent::End { .. }), "{ended:?}");
--- a/tests/rollout_history/command.rs
+++ b/tests/rollout_history/command.rs
@@ -3,7 +3,8 @@
 
 use super::*;
 
-fn model(entry: &str, args: &[&str]) -> Output {
+/// Runs `bergamotfork model` with `args` against an entry.
+fn run_model(entry: &str, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_bergamotfork"))
         .arg("model")
         .args(args)
@@ -14,7 +15,7 @@
 }
 
 #[actix_rt::test]
-async fn rollout_command_watch() {
+async fn model_rollout_watch() {
     let mut cluster = Cluster::new().await;
     let entry = cluster.entry("entry-1", "or-north", "").await;
     cluster.engine("engine-1", "or-north", &[]).await;
@@ -23,20 +24,20 @@
     let body = format!("version = v1\nmanifest = {first}\nreplicas = 1\n");
     cluster.edit("model chat", 0, &body).await;
     until("the replica serves v1", 60, async || {
-        (serving(&cluster, &entry, &first).await? == 1).then_some(())
+        (serving_count(&cluster, &entry, &first).await? == 1).then_some(())
     })
     .await;
     let rollout = ["rollout", "chat", "--version", "v2", "--manifest", &second];
-    let output = model(&entry, &[&rollout[..], &["--watch"]].concat());
+    let output = run_model(&entry, &[&rollout[..], &["--watch"]].concat());
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{output:?}");
     assert!(text.contains("chat v2: 1 of 1 serving"), "{text}");
-    let listed = model(&entry, &["list"]);
+    let listed = run_model(&entry, &["list"]);
     let text = String::from_utf8_lossy(&listed.stdout).into_owned();
     assert!(text.starts_with("chat\tv2\t"), "{text}");
-    let missing = model(
+    let unknown = run_model(
         &entry,
         &["rollout", "no", "--version", "v2", "--manifest", &second],
     );
-    assert_eq!(missing.status.code(), Some(1), "{missing:?}");
+    assert_eq!(unknown.status.code(), Some(1), "{unknown:?}");
 }
--- a/tests/rollout_history/main.rs
+++ b/tests/rollout_history/main.rs
@@ -1,4 +1,4 @@
-//! Rollouts forwards and back under load: every answer is made with one version.
+//! Rollout of a new version and back under load: each answer is made with one version only.
 
 mod command;
 #[path = "../support/mod.rs"]
@@ -21,18 +21,22 @@
 use support::TOKEN;
 use support::until;
 
-const CALLERS: usize = 4;
+/// Number of concurrent clients.
+const CLIENTS: usize = 4;
 
+/// Length of each answer, in tokens.
 const TOKENS: u32 = 12;
 
+/// Seed of every request.
 const SEED: u64 = 11;
 
-/// One answer as its caller received it.
+/// Response to one request, as its client received it.
 struct Answer {
     prompt: String,
     result: Result<Bytes, LinkError>,
 }
 
+/// Decodes a body with one event a line.
 fn events(body: &[u8]) -> Vec<StreamEvent> {
     body.split(|byte| *byte == b'\n')
         .filter(|line| !line.is_empty())
@@ -40,12 +44,11 @@
         .collect()
 }
 
-/// Manifest an answer was made with; panics unless all of it is of one version.
-fn check(answer: &Answer) -> String {
-    let body = answer
-        .result
-        .as_ref()
-        .expect("live requests keep their answers");
+/// Returns the manifest that an answer was made with.
+///
+/// Panics unless the answer is complete and all its tokens are of that version.
+fn check_answer(answer: &Answer) -> String {
+    let body = answer.result.as_ref().expect("every request is answered");
     let events = events(body);
     let Some(StreamEvent::End {
         tokens,
@@ -54,7 +57,7 @@
         ..
     }) = events.last()
     else {
-        panic!("no end record: {events:?}");
+        panic!("no end event: {events:?}");
     };
     assert_eq!(*tokens, TOKENS);
     let texts: Vec<(u32, String)> = events
@@ -67,11 +70,12 @@
     let expected: Vec<(u32, String)> = (0..TOKENS)
         .map(|index| (index, token_text(whole, &answer.prompt, SEED, index)))
         .collect();
-    assert_eq!(texts, expected, "an answer of mixed weights");
+    assert_eq!(texts, expected, "the answer mixes versions");
     manifest.to_string()
 }
 
-async fn ask(cluster: &Cluster, entry: &str, prompt: String) -> Answer {
+/// Sends a generate request to an entry.
+async fn generate(cluster: &Cluster, entry: &str, prompt: String) -> Answer {
     let request = json!({
         "branch": "seaside", "model": "chat", "prompt": prompt, "max_tokens": TOKENS, "seed": SEED,
     });
@@ -80,25 +84,27 @@
     Answer { prompt, result }
 }
 
-/// Digests of the versions that are serving somewhere, as the entry sees it.
-async fn serving(cluster: &Cluster, entry: &str, manifest: &str) -> Option<usize> {
+/// Number of replicas that serve `manifest`, from the status of an entry; `None` if the
+/// status can't be read.
+async fn serving_count(cluster: &Cluster, entry: &str, manifest: &str) -> Option<usize> {
     let url = format!("{entry}/v1/status");
     let body = cluster.call(Method::GET, &url, None).await.ok()?;
     let status: Value = serde_json::from_slice(&body).ok()?;
-    Some(count(&status, manifest))
+    Some(count_serving(&status, manifest))
 }
 
-/// Objects below `value` that say that `manifest` is serving.
-fn count(value: &Value, manifest: &str) -> usize {
+/// Number of JSON objects in `value` that report `manifest` as serving.
+fn count_serving(value: &Value, manifest: &str) -> usize {
     match value {
-        Value::Array(items) => items.iter().map(|item| count(item, manifest)).sum(),
+        Value::Array(items) => items.iter().map(|item| count_serving(item, manifest)).sum(),
         Value::Object(fields) => {
-            let says =
+            let has_field =
                 |key: &str, text: &str| fields.get(key).and_then(Value::as_str) == Some(text);
-            let own = usize::from(says("manifest", manifest) && says("progress", "serving"));
+            let own =
+                usize::from(has_field("manifest", manifest) && has_field("progress", "serving"));
             own + fields
                 .values()
-                .map(|field| count(field, manifest))
+                .map(|field| count_serving(field, manifest))
                 .sum::<usize>()
         }
         _ => 0,
@@ -106,7 +112,7 @@
 }
 
 #[actix_rt::test]
-async fn rollout_forwards_and_back_under_load() {
+async fn rollout_and_rollback_under_load() {
     let mut cluster = Cluster::new().await;
     let entry = cluster.entry("entry-1", "or-north", "").await;
     let pace = ["--first-token-ms", "5", "--token-ms", "5"];
@@ -125,22 +131,22 @@
     let branch = format!("token_digest = {digest}\nshare_percent = 50\nmodels = chat\n");
     cluster.edit("branch seaside", 0, &branch).await;
     until("all replicas serve v1", 60, async || {
-        (serving(&cluster, &entry, &first).await? == 3).then_some(())
+        (serving_count(&cluster, &entry, &first).await? == 3).then_some(())
     })
     .await;
 
     let cluster = Arc::new(cluster);
-    let ended = Arc::new(AtomicBool::new(false));
-    let callers: Vec<_> = (0..CALLERS)
-        .map(|caller| {
+    let stopped = Arc::new(AtomicBool::new(false));
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|client| {
             let cluster = Arc::clone(&cluster);
-            let ended = Arc::clone(&ended);
+            let stopped = Arc::clone(&stopped);
             let entry = entry.clone();
             actix_rt::spawn(async move {
                 let mut answers = Vec::new();
-                while !ended.load(Ordering::Acquire) {
-                    let prompt = format!("{caller} asks {}", answers.len());
-                    answers.push(ask(&cluster, &entry, prompt).await);
+                while !stopped.load(Ordering::Acquire) {
+                    let prompt = format!("{client} asks {}", answers.len());
+                    answers.push(generate(&cluster, &entry, prompt).await);
                 }
                 answers
             })
@@ -151,40 +157,43 @@
             .edit("model chat", offset + 1, &model(version, manifest))
             .await;
         until(&format!("all replicas serve {version}"), 90, async || {
-            (serving(&cluster, &entry, manifest).await? == 3).then_some(())
+            (serving_count(&cluster, &entry, manifest).await? == 3).then_some(())
         })
         .await;
     }
-    ended.store(true, Ordering::Release);
-    let mut made_with = [0, 0];
-    for caller in callers {
-        for answer in caller.await.expect("a caller ends") {
-            let manifest = check(&answer);
-            made_with[usize::from(manifest == second)] += 1;
+    stopped.store(true, Ordering::Release);
+    let mut answer_counts = [0, 0];
+    for client in clients {
+        for answer in client.await.expect("a client task ends") {
+            let manifest = check_answer(&answer);
+            answer_counts[usize::from(manifest == second)] += 1;
         }
     }
-    println!("answers made with v1 and v2: {made_with:?}");
-    assert!(made_with.iter().all(|count| *count > 0), "{made_with:?}");
+    println!("answers made with v1 and v2: {answer_counts:?}");
+    assert!(
+        answer_counts.iter().all(|count| *count > 0),
+        "{answer_counts:?}"
+    );
 }
 
 #[test]
-#[should_panic(expected = "an answer of mixed weights")]
-fn check_finds_mixed_weights() {
-    let wholes = [Digest::of_bytes(b"v1"), Digest::of_bytes(b"v2")];
+#[should_panic(expected = "the answer mixes versions")]
+fn check_answer_mixed_versions() {
+    let content_digests = [Digest::of_bytes(b"v1"), Digest::of_bytes(b"v2")];
     let mut body = Vec::new();
     for index in 0..TOKENS {
-        let whole = &wholes[usize::from(index >= TOKENS / 2)];
+        let whole = &content_digests[usize::from(index >= TOKENS / 2)];
         let text = token_text(whole, "mixed", SEED, index);
         body.extend(StreamEvent::Token { index, text }.to_line());
     }
     let end = StreamEvent::End {
         request_id: "1".to_owned(),
         tokens: TOKENS,
-        manifest: wholes[1],
-        whole: wholes[1],
+        manifest: content_digests[1],
+        whole: content_digests[1],
     };
     body.extend(end.to_line());
-    check(&Answer {
+    check_answer(&Answer {
         prompt: "mixed".to_owned(),
         result: Ok(Bytes::from(body)),
     });
