--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -153,9 +153,7 @@
         let mut events = match self.unless_closed(self.engine.generate(&order)).await? {
             Ok(events) => events,
             // The engine may have crashed before it sent the head of its response.
-            Err(EngineError::Unreachable(_)) => {
-                return Ok(failed_frame(self.classify_broken_stream().await));
-            }
+            Err(EngineError::Unreachable(_)) => return Ok(failed_frame(self.detect_crash().await)),
             Err(error) => return Ok(failed_frame(error_fault(&error))),
         };
         let mut next_index = self.call.resume_from;
@@ -210,13 +208,13 @@
         Ok(match self.unless_closed(next).await? {
             Ok(Some(Ok(event))) => Ok(event),
             // The connection ended before the end event.
-            Ok(Some(Err(_)) | None) => Err(self.classify_broken_stream().await),
+            Ok(Some(Err(_)) | None) => Err(self.detect_crash().await),
             Err(_) => Err(StreamFault::EngineFailed),
         })
     }
 
     /// Fault of a broken connection to the engine: a crash if the engine is down.
-    async fn classify_broken_stream(&self) -> StreamFault {
+    async fn detect_crash(&self) -> StreamFault {
         match is_process_up(self.engine.address()).await {
             true => StreamFault::EngineFailed,
             false => StreamFault::EngineCrashed {
