--- a/src/endpoint/call_heartbeats.rs
+++ b/src/endpoint/call_heartbeats.rs
@@ -30,9 +30,9 @@
 
 /// Next chunk of the response body; `None` after the reply.
 async fn next_chunk(
-    state: Option<PendingReply>,
+    pending: Option<PendingReply>,
 ) -> Option<(Result<Bytes, Error>, Option<PendingReply>)> {
-    let mut pending = state?;
+    let mut pending = pending?;
     match timeout(HEARTBEAT_INTERVAL, &mut pending).await {
         Err(_) => Some((Ok(Bytes::from_static(&[HEARTBEAT_BYTE])), Some(pending))),
         Ok(reply) => {
--- a/src/endpoint/generate_queue.rs
+++ b/src/endpoint/generate_queue.rs
@@ -31,18 +31,18 @@
 
 /// Decision of the queue on a waiting request.
 #[derive(Debug)]
-pub(super) enum Grant {
+pub(super) enum QueueDecision {
     /// The request runs now, in this slot.
     Run(RunSlot),
     /// The request is refused.
     Refused(GenerateRefusal),
 }
 
-/// A request that waits in the queue for its grant.
+/// A request that waits in the queue for its decision.
 #[derive(Debug)]
-pub(super) struct PendingGrant {
+pub(super) struct PendingDecision {
     /// Receives the decision of the queue.
-    pub(super) receiver: oneshot::Receiver<Grant>,
+    pub(super) receiver: oneshot::Receiver<QueueDecision>,
     /// Time after which the queue refuses the request, in milliseconds of its clock.
     pub(super) expiry_ms: u64,
 }
@@ -55,7 +55,7 @@
     started: Instant,
     /// Configuration offset of the shares, or [`NO_OFFSET`].
     shares_offset: AtomicU64,
-    queue: Mutex<FairQueue<oneshot::Sender<Grant>>>,
+    queue: Mutex<FairQueue<oneshot::Sender<QueueDecision>>>,
 }
 
 impl GenerateQueue {
@@ -107,7 +107,7 @@
         branch: &str,
         cost_tokens: u64,
         deadline_ms: u64,
-    ) -> Result<PendingGrant, GenerateRefusal> {
+    ) -> Result<PendingDecision, GenerateRefusal> {
         let now_ms = self.now_ms();
         let (sender, receiver) = oneshot::channel();
         let mut queue = self.lock();
@@ -118,12 +118,12 @@
             item: sender,
         };
         let expiry_ms = queue.latest_start_ms(&request);
-        let pushed = queue.push(request, now_ms);
+        let outcome = queue.push(request, now_ms);
         drop(queue);
-        match pushed {
+        match outcome {
             PushOutcome::Queued => {
                 self.dispatch();
-                Ok(PendingGrant {
+                Ok(PendingDecision {
                     receiver,
                     expiry_ms,
                 })
@@ -141,15 +141,15 @@
 
     /// Grants free slots to waiting requests and refuses those that have expired.
     pub(super) fn dispatch(self: &Arc<Self>) {
-        while let Some((waiter, grant)) = self.next_grant() {
-            // If the request was dropped, `send` returns the grant, which frees its slot
+        while let Some((sender, decision)) = self.next_decision() {
+            // If the request was dropped, `send` returns the decision, which frees the slot
             // when it is dropped.
-            let _ = waiter.send(grant);
+            let _ = sender.send(decision);
         }
     }
 
     /// Next decision with its receiver; `None` when no request can run or be refused now.
-    fn next_grant(self: &Arc<Self>) -> Option<(oneshot::Sender<Grant>, Grant)> {
+    fn next_decision(self: &Arc<Self>) -> Option<(oneshot::Sender<QueueDecision>, QueueDecision)> {
         let now_ms = self.now_ms();
         let mut queue = self.lock();
         queue.withdraw_matching(oneshot::Sender::is_closed);
@@ -166,7 +166,7 @@
                         held_ms: None,
                     },
                 };
-                Some((request.item, Grant::Run(slot)))
+                Some((request.item, QueueDecision::Run(slot)))
             }
             PopOutcome::Expired {
                 request,
@@ -177,12 +177,12 @@
                     reason: reason.into(),
                     retry_after_ms,
                 };
-                Some((request.item, Grant::Refused(refusal)))
+                Some((request.item, QueueDecision::Refused(refusal)))
             }
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, FairQueue<oneshot::Sender<Grant>>> {
+    fn lock(&self) -> MutexGuard<'_, FairQueue<oneshot::Sender<QueueDecision>>> {
         self.queue.lock().expect("no holder of the queue panics")
     }
 }
--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -14,8 +14,8 @@
 use super::engine_health::SuspectGuard;
 use super::generate_queue::GenerateQueue;
 use super::generate_queue::GenerateRefusal;
-use super::generate_queue::Grant;
-use super::generate_queue::PendingGrant;
+use super::generate_queue::PendingDecision;
+use super::generate_queue::QueueDecision;
 use super::generate_queue::RunSlot;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
@@ -71,13 +71,13 @@
             Ok(pending) => pending,
             Err(refusal) => return self.refuse(refusal).await,
         };
-        let Ok(grant) = self.wait_for_grant(pending).await else {
+        let Ok(decision) = self.wait_for_decision(pending).await else {
             self.queue.dispatch();
             return;
         };
-        match grant {
-            Grant::Run(slot) => self.run_in_slot(slot, deadline_ms).await,
-            Grant::Refused(refusal) => self.refuse(refusal).await,
+        match decision {
+            QueueDecision::Run(slot) => self.run_in_slot(slot, deadline_ms).await,
+            QueueDecision::Refused(refusal) => self.refuse(refusal).await,
         }
     }
 
@@ -103,7 +103,10 @@
     }
 
     /// Waits for the decision of the queue, with heartbeats.
-    async fn wait_for_grant(&self, mut pending: PendingGrant) -> Result<Grant, StreamClosed> {
+    async fn wait_for_decision(
+        &self,
+        mut pending: PendingDecision,
+    ) -> Result<QueueDecision, StreamClosed> {
         loop {
             let left_ms = pending.expiry_ms.saturating_sub(self.queue.now_ms()) + 1;
             let wait = Duration::from_millis(left_ms.min(HEARTBEAT_INTERVAL_MS));
@@ -111,7 +114,7 @@
                 .unless_closed(timeout(wait, &mut pending.receiver))
                 .await?
             {
-                Ok(Ok(grant)) => return Ok(grant),
+                Ok(Ok(decision)) => return Ok(decision),
                 // Does not happen, as the queue sends a decision on every waiting request.
                 Ok(Err(_)) => return Err(StreamClosed),
                 Err(_) => self.queue.dispatch(),
--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -64,8 +64,8 @@
         let manifest = tracked.digest();
         match self.engine_state().await {
             Err(_) => return LoadOutcome::Unknown,
-            Ok(held) => {
-                if let Some(content_digest) = loaded_content_digest(&held, manifest) {
+            Ok(engine_state) => {
+                if let Some(content_digest) = loaded_content_digest(&engine_state, manifest) {
                     return LoadOutcome::Loaded(content_digest);
                 }
             }
@@ -82,7 +82,7 @@
             Ok(answer) => LoadOutcome::Loaded(answer.whole),
             Err(EngineError::Refused(fault)) => LoadOutcome::Refused(hold_reason(fault, tracked)),
             Err(_) => match self.engine_state().await {
-                Ok(held) => loaded_content_digest(&held, manifest)
+                Ok(engine_state) => loaded_content_digest(&engine_state, manifest)
                     .map_or(LoadOutcome::Unknown, LoadOutcome::Loaded),
                 Err(_) => LoadOutcome::Unknown,
             },
@@ -101,8 +101,8 @@
 }
 
 /// Content digest that the engine reports for `manifest`; `None` if it is not loaded.
-fn loaded_content_digest(held: &EngineState, manifest: Digest) -> Option<Digest> {
-    let found = held
+fn loaded_content_digest(engine_state: &EngineState, manifest: Digest) -> Option<Digest> {
+    let found = engine_state
         .loaded
         .iter()
         .find(|loaded| loaded.manifest == manifest)?;
--- a/src/endpoint/weights_links.rs
+++ b/src/endpoint/weights_links.rs
@@ -37,6 +37,7 @@
             started: Instant::now(),
             bucket: Mutex::new(TokenBucket::new(rate_bytes_per_s, burst_bytes)),
             full_rate_bytes_per_s: rate_bytes_per_s,
+            // At least 1 for a link with a limit, as 0 means no limit.
             reduced_rate_bytes_per_s: (rate_bytes_per_s.saturating_mul(reduced_percent) / 100)
                 .max(u64::from(rate_bytes_per_s > 0)),
             transferred_bytes: AtomicU64::new(0),
@@ -73,7 +74,7 @@
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Bytes reserved so far.
+    /// Bytes transferred so far, counted when they are reserved.
     pub fn transferred_bytes(&self) -> u64 {
         self.transferred_bytes.load(Ordering::Relaxed)
     }
--- a/src/endpoint/weights_manager.rs
+++ b/src/endpoint/weights_manager.rs
@@ -78,23 +78,23 @@
         let mut reconciler = Reconciler {
             state: Arc::clone(&self.state),
             origin: OriginClient::new(self.state.node.platform().origin_url.clone()),
-            orders: EngineOrderSender::new(EngineClient::new(self.engine)),
+            order_sender: EngineOrderSender::new(EngineClient::new(self.engine)),
             tracked: Vec::new(),
             engine_checked_ms: 0,
         };
         let reconcile_loop = async move {
-            let mut before_ms = reconciler.state.node.now_ms();
+            let mut last_pass_ms = reconciler.state.node.now_ms();
             loop {
                 actix_rt::time::sleep(RECONCILE_INTERVAL).await;
                 let now_ms = reconciler.state.node.now_ms();
                 // After a pause the host list and the document may be out of date, so this
                 // pass is skipped.
-                let paused = now_ms.saturating_sub(before_ms) > PAUSE_THRESHOLD_MS;
+                let paused = now_ms.saturating_sub(last_pass_ms) > PAUSE_THRESHOLD_MS;
                 if !paused && reconciler.state.node.is_ready() {
                     reconciler.reconcile().await;
                 }
                 // Capped, so that a pause during the pass is detected too.
-                before_ms = reconciler
+                last_pass_ms = reconciler
                     .state
                     .node
                     .now_ms()
@@ -109,7 +109,7 @@
 pub(super) struct Reconciler {
     pub(super) state: Arc<EndpointState>,
     origin: OriginClient,
-    pub(super) orders: EngineOrderSender,
+    pub(super) order_sender: EngineOrderSender,
     pub(super) tracked: Vec<TrackedVersion>,
     engine_checked_ms: u64,
 }
@@ -118,14 +118,25 @@
     /// Runs one pass and updates the versions that this host reports.
     async fn reconcile(&mut self) {
         let wanted = self.wanted_models();
-        let live = self.state.node.own().load.running > 0;
-        self.state.weights.links.up.set_has_live_requests(live);
-        self.state.weights.links.down.set_has_live_requests(live);
+        let has_live_requests = self.state.node.own().load.running > 0;
+        self.state
+            .weights
+            .links
+            .up
+            .set_has_live_requests(has_live_requests);
+        self.state
+            .weights
+            .links
+            .down
+            .set_has_live_requests(has_live_requests);
         self.update_tracked(&wanted);
         for at in 0..self.tracked.len() {
             let digest = self.tracked[at].digest();
-            if let Some(want) = wanted.iter().find(|want| want.model.manifest == digest) {
-                self.advance_version(at, want).await;
+            if let Some(wanted_model) = wanted
+                .iter()
+                .find(|wanted_model| wanted_model.model.manifest == digest)
+            {
+                self.advance_version(at, wanted_model).await;
             }
         }
         self.check_engine().await;
@@ -198,8 +209,8 @@
 
     /// Starts to track new wanted versions and drops unwanted ones that are not serving.
     fn update_tracked(&mut self, wanted: &[WantedModel]) {
-        for want in wanted {
-            let digest = want.model.manifest;
+        for wanted_model in wanted {
+            let digest = wanted_model.model.manifest;
             match self
                 .tracked
                 .iter_mut()
@@ -209,14 +220,18 @@
                 None => {
                     let version = self.state.weights.ensure_version(digest);
                     self.tracked
-                        .push(TrackedVersion::new(want.model.clone(), version));
+                        .push(TrackedVersion::new(wanted_model.model.clone(), version));
                 }
             }
         }
-        let wanted = |digest: Digest| wanted.iter().any(|want| want.model.manifest == digest);
+        let is_wanted = |digest: Digest| {
+            wanted
+                .iter()
+                .any(|wanted_model| wanted_model.model.manifest == digest)
+        };
         let weights = &self.state.weights;
         self.tracked.retain(|tracked| {
-            if tracked.is_serving() || wanted(tracked.digest()) {
+            if tracked.is_serving() || is_wanted(tracked.digest()) {
                 return true;
             }
             if let Some(transfer) = &tracked.transfer {
@@ -228,16 +243,16 @@
     }
 
     /// Takes the next step of a version, as its stage requires.
-    async fn advance_version(&mut self, at: usize, want: &WantedModel) {
+    async fn advance_version(&mut self, at: usize, wanted_model: &WantedModel) {
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
         match tracked.version.stage_kind() {
             VersionStageKind::Announced if tracked.is_retry_due(now_ms) => {
-                self.start_version(at, want).await
+                self.start_version(at, wanted_model).await
             }
-            VersionStageKind::Fetching => update_members(tracked, want),
+            VersionStageKind::Fetching => update_members(tracked, wanted_model),
             VersionStageKind::Verified if tracked.is_retry_due(now_ms) => {
-                self.load_version(at, want).await
+                self.load_version(at, wanted_model).await
             }
             VersionStageKind::Held if tracked.is_retry_due(now_ms) => tracked.version.restart(),
             _ => {}
@@ -245,15 +260,15 @@
     }
 
     /// Reads the manifest from the origin and starts the transfer.
-    async fn start_version(&mut self, at: usize, want: &WantedModel) {
+    async fn start_version(&mut self, at: usize, wanted_model: &WantedModel) {
         let manifest = self
             .origin
-            .manifest(&want.model.name, &want.model.version)
+            .manifest(&wanted_model.model.name, &wanted_model.model.version)
             .await;
         let now_ms = self.state.node.now_ms();
         let tracked = &mut self.tracked[at];
         match manifest {
-            Ok(manifest) => self.start_transfer(at, manifest, want),
+            Ok(manifest) => self.start_transfer(at, manifest, wanted_model),
             Err(OriginError::Missing) => {
                 tracked.record_failure(Some(HoldReason::ManifestMissing), 0, now_ms)
             }
@@ -265,7 +280,7 @@
     }
 
     /// Starts the transfer, or records why the version is held.
-    fn start_transfer(&mut self, at: usize, manifest: Manifest, want: &WantedModel) {
+    fn start_transfer(&mut self, at: usize, manifest: Manifest, wanted_model: &WantedModel) {
         let now_ms = self.state.node.now_ms();
         let digest = self.tracked[at].digest();
         if let Err(error) = manifest.validate_with_digest(digest) {
@@ -274,10 +289,15 @@
         }
         self.tracked[at].base = manifest.base;
         let weights = Arc::clone(&self.state.weights);
-        match WeightsTransfer::new(weights, manifest, &want.members, self.transfer_options()) {
+        match WeightsTransfer::new(
+            weights,
+            manifest,
+            &wanted_model.members,
+            self.transfer_options(),
+        ) {
             Some(transfer) => {
                 let tracked = &mut self.tracked[at];
-                tracked.members.clone_from(&want.members);
+                tracked.members.clone_from(&wanted_model.members);
                 tracked.transfer = Some(transfer.start());
                 tracked.record_success();
             }
@@ -326,7 +346,7 @@
     }
 
     /// Loads a verified version once its base is loaded and this host has its load slot.
-    async fn load_version(&mut self, at: usize, want: &WantedModel) {
+    async fn load_version(&mut self, at: usize, wanted_model: &WantedModel) {
         let base = self.tracked[at].base;
         if let Some(base) = base
             && !self
@@ -338,11 +358,11 @@
             self.tracked[at].record_failure(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
             return;
         }
-        if self.serves_other_version(want) && !self.has_load_slot(want).await {
+        if self.serves_other_version(wanted_model) && !self.has_load_slot(wanted_model).await {
             return;
         }
         let outcome = self
-            .orders
+            .order_sender
             .load_version(&self.state, &self.tracked[at])
             .await;
         let now_ms = self.state.node.now_ms();
@@ -365,11 +385,11 @@
             return;
         }
         self.engine_checked_ms = now_ms;
-        let Ok(held) = self.orders.engine_state().await else {
+        let Ok(engine_state) = self.order_sender.engine_state().await else {
             return;
         };
         for tracked in &mut self.tracked {
-            let holds = held
+            let holds = engine_state
                 .loaded
                 .iter()
                 .any(|loaded| loaded.manifest == tracked.digest());
@@ -403,18 +423,18 @@
 }
 
 /// Passes changes of the hosts that should serve the model on to the transfer.
-fn update_members(tracked: &mut TrackedVersion, want: &WantedModel) {
-    let same = tracked.members.len() == want.members.len()
+fn update_members(tracked: &mut TrackedVersion, wanted_model: &WantedModel) {
+    let is_unchanged = tracked.members.len() == wanted_model.members.len()
         && tracked
             .members
             .iter()
-            .zip(&want.members)
+            .zip(&wanted_model.members)
             .all(|(old, new)| old.host == new.host && old.address == new.address);
-    if same {
+    if is_unchanged {
         return;
     }
-    tracked.members.clone_from(&want.members);
+    tracked.members.clone_from(&wanted_model.members);
     if let Some(transfer) = &tracked.transfer {
-        transfer.do_send(SetMembers(want.members.clone()));
+        transfer.do_send(SetMembers(wanted_model.members.clone()));
     }
 }
--- a/src/endpoint/weights_rollout.rs
+++ b/src/endpoint/weights_rollout.rs
@@ -15,42 +15,49 @@
 /// milliseconds, so that entries stop sending requests for it first.
 const UNLOAD_DELAY_MS: u64 = 5000;
 
-/// Timeout of a request to a host earlier in the rollout order, in milliseconds.
-const PREDECESSOR_TIMEOUT_MS: u64 = 1000;
+/// Timeout of a request for the serving state of another host, in milliseconds.
+const SERVING_STATE_TIMEOUT_MS: u64 = 1000;
 
 impl Reconciler {
     /// Whether this host serves another version of the wanted model.
-    pub(super) fn serves_other_version(&self, want: &WantedModel) -> bool {
-        let model = &want.model;
-        let old = |tracked: &&TrackedVersion| {
+    pub(super) fn serves_other_version(&self, wanted_model: &WantedModel) -> bool {
+        let model = &wanted_model.model;
+        let is_other_version = |tracked: &&TrackedVersion| {
             tracked.model.name == model.name && tracked.digest() != model.manifest
         };
         self.tracked
             .iter()
-            .filter(old)
+            .filter(is_other_version)
             .any(TrackedVersion::is_serving)
     }
 
-    /// Whether this host may switch to the new version, going by the hosts before it in the
-    /// rollout order.
-    pub(super) async fn has_load_slot(&self, want: &WantedModel) -> bool {
-        let step = want.model.step_replicas.max(1) as usize;
-        let mut states = vec![PredecessorState::Skipped; want.rank];
-        let mut at = want.rank;
+    /// Whether it is this host's load slot: it may switch to the new version, going by the
+    /// hosts before it in the rollout order.
+    pub(super) async fn has_load_slot(&self, wanted_model: &WantedModel) -> bool {
+        let step = wanted_model.model.step_replicas.max(1) as usize;
+        let mut states = vec![PredecessorState::Skipped; wanted_model.rank];
+        let mut at = wanted_model.rank;
         while let Some(before) = at.checked_sub(step) {
             states[before] = self
-                .request_predecessor_state(&want.members[before], want.model.manifest)
+                .request_serving_state(&wanted_model.members[before], wanted_model.model.manifest)
                 .await;
             if states[before] != PredecessorState::Skipped {
                 break;
             }
             at = before;
         }
-        may_switch_version(want.rank, want.model.step_replicas, |rank| states[rank])
+        may_switch_version(
+            wanted_model.rank,
+            wanted_model.model.step_replicas,
+            |rank| states[rank],
+        )
     }
 
-    /// Asks another host whether it serves `manifest`.
-    async fn request_predecessor_state(
+    /// Requests from another host whether it serves `manifest`.
+    ///
+    /// A host that does not know the version yet (status 404) is pending; one that can't
+    /// proceed with it or is unreachable is skipped.
+    async fn request_serving_state(
         &self,
         member: &SwarmMember,
         manifest: Digest,
@@ -67,7 +74,7 @@
             .state
             .node
             .http()
-            .ask::<PeerStatus>(&url, &request, PREDECESSOR_TIMEOUT_MS)
+            .ask::<PeerStatus>(&url, &request, SERVING_STATE_TIMEOUT_MS)
             .await;
         match response {
             Ok(status) if status.serving => PredecessorState::Serving,
@@ -84,7 +91,11 @@
         for at in 0..self.tracked.len() {
             let tracked = &self.tracked[at];
             let digest = tracked.digest();
-            if !tracked.is_serving() || wanted.iter().any(|want| want.model.manifest == digest) {
+            if !tracked.is_serving()
+                || wanted
+                    .iter()
+                    .any(|wanted_model| wanted_model.model.manifest == digest)
+            {
                 continue;
             }
             match tracked.retired_ms {
@@ -97,7 +108,7 @@
         }
         for digest in to_unload {
             if self
-                .orders
+                .order_sender
                 .unload_version(&self.state, digest)
                 .await
                 .is_ok()
@@ -128,8 +139,7 @@
         for name in replica_hosts(placed_as, model.replicas, names) {
             let member = members.iter().find(|member| member.host.name == name);
             let Some(member) = member else { continue };
-            if self.request_predecessor_state(member, model.manifest).await
-                != PredecessorState::Serving
+            if self.request_serving_state(member, model.manifest).await != PredecessorState::Serving
             {
                 return false;
             }
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -29,7 +29,7 @@
     pub(super) members: Vec<SwarmMember>,
     /// Manifest of the base model; adapters only, once the adapter's manifest is known.
     pub(super) base: Option<Digest>,
-    /// Why the last step failed, while the version waits for its next attempt.
+    /// Why the version is held until its next attempt, if it is.
     pub(super) temporary_hold: Option<HoldReason>,
     /// When the version was left out of the reports; the engine unloads it some time later.
     pub(super) retired_ms: Option<u64>,
@@ -69,11 +69,16 @@
         now_ms >= self.next_attempt_ms
     }
 
-    /// Records a failure; the next attempt waits for the backoff and at least `wait_ms`.
-    pub(super) fn record_failure(&mut self, cause: Option<HoldReason>, wait_ms: u64, now_ms: u64) {
+    /// Records a failure; the next attempt waits for the backoff and at least `min_wait_ms`.
+    pub(super) fn record_failure(
+        &mut self,
+        cause: Option<HoldReason>,
+        min_wait_ms: u64,
+        now_ms: u64,
+    ) {
         self.failures += 1;
         let backoff_ms = INITIAL_BACKOFF_MS << (self.failures - 1).min(8);
-        self.next_attempt_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS).max(wait_ms);
+        self.next_attempt_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS).max(min_wait_ms);
         self.temporary_hold = cause;
     }
 
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -90,13 +90,13 @@
         self.digest
     }
 
-    fn stage(&self) -> MutexGuard<'_, VersionStage> {
+    fn lock_stage(&self) -> MutexGuard<'_, VersionStage> {
         self.stage.lock().expect("no holder of the stage panics")
     }
 
     /// Kind of the current stage.
     pub fn stage_kind(&self) -> VersionStageKind {
-        match &*self.stage() {
+        match &*self.lock_stage() {
             VersionStage::Announced(_) => VersionStageKind::Announced,
             VersionStage::Fetching(_) => VersionStageKind::Fetching,
             VersionStage::Verified(_) => VersionStageKind::Verified,
@@ -108,7 +108,7 @@
 
     /// Why the version can't proceed; `None` unless it is held.
     pub fn hold_reason(&self) -> Option<HoldReason> {
-        match &*self.stage() {
+        match &*self.lock_stage() {
             VersionStage::Held(held) => Some(held.clone()),
             _ => None,
         }
@@ -116,7 +116,7 @@
 
     /// The manifest; `None` while no chunks are kept.
     pub fn manifest(&self) -> Option<Arc<Manifest>> {
-        match &*self.stage() {
+        match &*self.lock_stage() {
             VersionStage::Announced(_)
             | VersionStage::EngineOnly { .. }
             | VersionStage::Held(_) => None,
@@ -129,7 +129,7 @@
 
     /// Digest of the content that the engine serves; `None` if it does not serve the version.
     pub fn serving_content_digest(&self) -> Option<Digest> {
-        match &*self.stage() {
+        match &*self.lock_stage() {
             VersionStage::Serving(replica) => Some(replica.manifest().whole),
             VersionStage::EngineOnly { content_digest } => Some(*content_digest),
             _ => None,
@@ -138,7 +138,7 @@
 
     /// Set of the chunks held; `None` while no chunks are kept.
     pub fn held_chunks(&self) -> Option<ChunkBitmap> {
-        match &*self.stage() {
+        match &*self.lock_stage() {
             VersionStage::Announced(_)
             | VersionStage::EngineOnly { .. }
             | VersionStage::Held(_) => None,
@@ -151,7 +151,7 @@
 
     /// Chunk `index`; `None` if it is not held.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
-        match &*self.stage() {
+        match &*self.lock_stage() {
             VersionStage::Announced(_)
             | VersionStage::EngineOnly { .. }
             | VersionStage::Held(_) => None,
@@ -164,7 +164,7 @@
 
     /// All chunks in order for the engine to load; `None` unless the version is verified.
     pub fn loadable_chunks(&self) -> Option<Vec<Bytes>> {
-        match &*self.stage() {
+        match &*self.lock_stage() {
             VersionStage::Verified(replica) => Some(replica.chunks().collect()),
             _ => None,
         }
@@ -198,7 +198,7 @@
         budget: &Arc<MemoryBudget>,
     ) -> VersionStageKind {
         {
-            let mut stage = self.stage();
+            let mut stage = self.lock_stage();
             if let VersionStage::Announced(replica) = &*stage {
                 *stage = match replica.start_fetching(Arc::new(manifest), budget) {
                     Ok(replica) => VersionStage::Fetching(replica),
@@ -212,7 +212,7 @@
 
     /// Stores a chunk if it is correct.
     pub(super) fn insert_chunk(&self, index: u32, bytes: Bytes) -> InsertOutcome {
-        let outcome = match &mut *self.stage() {
+        let outcome = match &mut *self.lock_stage() {
             VersionStage::Fetching(replica) => replica.insert_chunk(index, bytes),
             _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
@@ -289,7 +289,7 @@
     /// Replaces the stage by the result of `step` and wakes waiting tasks.
     fn advance(&self, step: impl FnOnce(VersionStage) -> VersionStage) -> VersionStageKind {
         {
-            let mut stage = self.stage();
+            let mut stage = self.lock_stage();
             let placeholder = VersionStage::Announced(WeightsReplica::announced(self.digest));
             let before = std::mem::replace(&mut *stage, placeholder);
             *stage = step(before);
@@ -321,19 +321,19 @@
 
     /// Counts an upload until the guard is dropped; `None` when `limit` are in progress.
     pub(super) fn start_upload(self: &Arc<Self>, limit: u32) -> Option<UploadGuard> {
-        let mut waiting = self.uploads.load(Ordering::Relaxed);
+        let mut uploads = self.uploads.load(Ordering::Relaxed);
         loop {
-            if waiting >= limit {
+            if uploads >= limit {
                 return None;
             }
             match self.uploads.compare_exchange(
-                waiting,
-                waiting + 1,
+                uploads,
+                uploads + 1,
                 Ordering::Relaxed,
                 Ordering::Relaxed,
             ) {
                 Ok(_) => return Some(UploadGuard(Arc::clone(self))),
-                Err(found) => waiting = found,
+                Err(found) => uploads = found,
             }
         }
     }
