--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -135,7 +135,7 @@
         let final_frame = match result {
             Ok(final_frame) => final_frame,
             Err(StreamClosed) => {
-                // The engine may not notice the closed connection, so it is told to cancel.
+                // The engine may not notice the closed connection, so the request is cancelled.
                 let _ = self.engine.cancel(&self.call.request_id).await;
                 return;
             }
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -23,9 +23,12 @@
 
 /// One version that this host serves or should serve.
 pub(super) struct TrackedVersion {
+    /// Section of the model in the configuration that wanted the version.
     pub(super) model: ModelSection,
     pub(super) version: Arc<WeightsVersion>,
+    /// The transfer, once it has been started.
     pub(super) transfer: Option<Addr<WeightsTransfer>>,
+    /// Hosts that the transfer was last given.
     pub(super) members: Vec<SwarmMember>,
     /// Manifest of the base model; adapters only, once the adapter's manifest is known.
     pub(super) base: Option<Digest>,
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -107,11 +107,11 @@
         if version.start_fetching(manifest, &weights.budget) != VersionStageKind::Fetching {
             return None;
         }
-        let have = version.held_chunks()?;
+        let held_chunks = version.held_chunks()?;
         let hosts = members.iter().map(|member| member.host.clone()).collect();
         let swarm = SwarmState::new(
             digest,
-            have,
+            held_chunks,
             hosts,
             &weights.host,
             &options.origin_region,
@@ -241,10 +241,10 @@
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
         let request = self.peer_request(probe.known_chunks, probe.wait_ms);
         let http = self.options.http.clone();
-        let wait_ms = probe.wait_ms + PROBE_TIMEOUT_MARGIN_MS;
+        let timeout_ms = probe.wait_ms + PROBE_TIMEOUT_MARGIN_MS;
         let weights = Arc::clone(&self.weights);
         let probing = async move {
-            let result = http.ask::<PeerStatus>(&url, &request, wait_ms).await;
+            let result = http.ask::<PeerStatus>(&url, &request, timeout_ms).await;
             let body_bytes = 2 * request.have.encode().len() as u64;
             weights.record_control_traffic(body_bytes, "asking");
             result
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -31,15 +31,18 @@
 /// Stage of a version on this host, with its chunks.
 #[derive(Debug)]
 pub(super) enum VersionStage {
+    /// The version is wanted; its manifest is not known yet.
     Announced(WeightsReplica<Announced>),
+    /// Chunks are being fetched.
     Fetching(WeightsReplica<Fetching>),
+    /// All chunks are held and the content matches the manifest.
     Verified(WeightsReplica<Verified>),
+    /// The engine has loaded the version.
     Loaded(WeightsReplica<Loaded>),
+    /// The engine serves requests with the version; the chunks are kept for peers.
     Serving(WeightsReplica<Serving>),
     /// The engine serves the version; its chunks were released here.
-    EngineOnly {
-        content_digest: Digest,
-    },
+    EngineOnly { content_digest: Digest },
     /// The version can't proceed for this reason.
     Held(HoldReason),
 }
