--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -18,98 +18,101 @@
 use crate::node::Reporter;
 use crate::weights::Digest;
 
-/// Time a service has to accept a connection that only tests whether it lives.
-const PROBE_WAIT: Duration = Duration::from_millis(500);
+/// Time within which a process must accept a connection that probes whether it is up.
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time such a connection must stay open.
-const PROBE_OPEN: Duration = Duration::from_millis(200);
+/// Time for which the probing connection must stay open.
+const PROBE_OPEN_TIME: Duration = Duration::from_millis(200);
 
-/// One call on its way to the service.
+/// A call that is forwarded to the service.
 pub(super) struct CallRun<'a> {
     state: &'a web::Data<EndpointState>,
-    request: Digest,
+    /// Digest that identifies the request among crash suspects.
+    fingerprint: Digest,
     deadline: Instant,
 }
 
 impl<'a> CallRun<'a> {
     pub(super) fn new(
         state: &'a web::Data<EndpointState>,
-        request: Digest,
+        fingerprint: Digest,
         deadline: Instant,
     ) -> Self {
         Self {
             state,
-            request,
+            fingerprint,
             deadline,
         }
     }
 
-    /// Passes the call on and sorts its end.
+    /// Forwards the call and returns its outcome; `nonce` is that of its permit.
     pub(super) async fn execute(&self, call: ServiceCall, nonce: Option<Nonce>) -> CallOutcome {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        // The process may have been paused since it took the call in.
-        if left.is_zero() {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        // The process may have been paused since it received the call.
+        if time_left.is_zero() {
             return CallOutcome::not_run(RefusalReason::DeadlinePassed);
         }
-        let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
+        let left_ms = u64::try_from(time_left.as_millis())
+            .unwrap_or(u64::MAX)
+            .max(1);
         let service = self.state.node.document().service(&call.service);
         let timeout_ms = service.map_or(left_ms, |service| service.timeout_ms);
-        let passed_on = clients::ServiceRequest {
+        let service_call = clients::ServiceRequest {
             path: call.path,
             request_id: call.request_id,
             key: nonce.map(|nonce| nonce.to_string()),
             body: call.body.into(),
-            // A call that may not be repeated goes on past its caller's deadline,
-            // so that the next send of its permit finds the answer.
+            // A call with a permit continues after its caller's deadline, so that
+            // a retry with the same permit gets its answer.
             timeout_ms: nonce.map_or(left_ms.min(timeout_ms), |_| timeout_ms),
         };
         let client = ServiceClient::new(self.state.settings.backend.url());
-        match client.call(passed_on).await {
+        match client.call(service_call).await {
             Ok(answer) => {
-                self.survived();
+                self.record_answered();
                 CallOutcome::Answer(answer)
             }
             Err(LinkError::NotSent(_)) => CallOutcome::not_run(RefusalReason::Unreachable),
             Err(error) => {
                 if matches!(error, LinkError::Broken(_)) {
-                    self.look_for_crash().await;
+                    self.report_if_crashed().await;
                 }
                 CallOutcome::unknown(UnknownReason::ServiceLost)
             }
         }
     }
 
-    /// Clears a suspect whose run ended well.
-    fn survived(&self) {
-        self.state.calls.service_is_up();
-        self.state.node.suspects().clear_request(self.request);
+    /// Records that the service answered, which clears the request as a crash suspect.
+    fn record_answered(&self) {
+        self.state.calls.record_service_up();
+        self.state.node.suspects().clear_request(self.fingerprint);
     }
 
-    /// Tells the entries at once if the service died while this call ran on it.
-    async fn look_for_crash(&self) {
+    /// Reports the request to the entries as a crash suspect if the service has crashed.
+    async fn report_if_crashed(&self) {
         let url = self.state.settings.backend.url();
-        if is_alive(url.strip_prefix("http://").unwrap_or(url)).await {
+        if is_process_up(url.strip_prefix("http://").unwrap_or(url)).await {
             return;
         }
         let node = &self.state.node;
-        let death = CrashId {
+        let crash = CrashId {
             endpoint: node.name().to_owned(),
             incarnation: node.incarnation(),
-            crash_no: self.state.calls.service_crashed(),
+            crash_no: self.state.calls.record_service_crash(),
         };
         let now_ms = node.now_ms();
-        node.suspects().add_crash(self.request, death, now_ms);
+        node.suspects().add_crash(self.fingerprint, crash, now_ms);
         Reporter::send_reports(node).await;
     }
 }
 
 /// Whether the process at `address` accepts a connection and keeps it open.
 ///
-/// A process that dies closes its sockets one by one, so its listener may
-/// still accept after its other connections have broken.
-pub(super) async fn is_alive(address: &str) -> bool {
-    let Ok(Ok(probe)) = timeout(PROBE_WAIT, TcpStream::connect(address)).await else {
+/// A process that ends closes its sockets one by one, so its listener may still
+/// accept connections after its other ones have broken.
+pub(super) async fn is_process_up(address: &str) -> bool {
+    let Ok(Ok(probe)) = timeout(PROBE_CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
-    timeout(PROBE_OPEN, probe.readable()).await.is_err()
+    timeout(PROBE_OPEN_TIME, probe.readable()).await.is_err()
 }
--- a/src/endpoint/generate.rs
+++ b/src/endpoint/generate.rs
@@ -10,8 +10,10 @@
 use crate::endpoint::GenerateServer;
 use crate::links::decode_call;
 
-/// Runs a request for tokens through the fair queue and streams its frames back.
-pub async fn generate(
+/// Handles a generate request of an entry: queues it and streams its frames back.
+///
+/// It is refused while the process is leaving or the version is not serving.
+pub async fn handle_generate(
     state: web::Data<EndpointState>,
     request: HttpRequest,
     body: Bytes,
@@ -27,14 +29,14 @@
         return server.refuse(RefusalReason::Leaving);
     }
     let version = state.weights.version(call.manifest);
-    let Some(whole) = version.and_then(|version| version.serving_whole()) else {
+    let Some(content_digest) = version.and_then(|version| version.serving_content_digest()) else {
         return server.refuse(RefusalReason::NotReady);
     };
     refresh_shares(&state, server);
-    server.run(call, whole)
+    server.run(call, content_digest)
 }
 
-/// Brings the queue's shares up to the configuration in force.
+/// Sets the queue's shares from the current configuration if it has changed.
 fn refresh_shares(state: &EndpointState, server: &GenerateServer) {
     let follower = state.node.follower();
     let offset = follower.fold().head();
--- a/src/endpoint/generate_queue.rs
+++ b/src/endpoint/generate_queue.rs
@@ -18,42 +18,48 @@
 use crate::contracts::QueuedRequest;
 use crate::hosts::Load;
 
-/// Offset that stands for no configuration yet.
+/// Value of `shares_offset` before the first configuration.
 const NO_OFFSET: u64 = u64::MAX;
 
-/// A final refusal of the queue.
+/// Final refusal of a request by the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Refusal {
+pub(super) struct GenerateRefusal {
     pub(super) reason: RefusalReason,
+    /// Suggested wait before a retry, in milliseconds.
     pub(super) retry_after_ms: u64,
 }
 
-/// What the queue tells a request that waits.
+/// Decision of the queue on a waiting request.
 #[derive(Debug)]
-pub(super) enum Grant {
+pub(super) enum QueueDecision {
+    /// The request runs now, in this slot.
     Run(RunSlot),
-    Refused(Refusal),
+    /// The request is refused.
+    Refused(GenerateRefusal),
 }
 
-/// A request's place in the queue.
+/// A request that waits in the queue for its decision.
 #[derive(Debug)]
-pub(super) struct Place {
-    pub(super) grant: oneshot::Receiver<Grant>,
-    /// Time after which the request is given up.
+pub(super) struct PendingDecision {
+    /// Receives the decision of the queue.
+    pub(super) receiver: oneshot::Receiver<QueueDecision>,
+    /// Time after which the queue refuses the request, in milliseconds of its clock.
     pub(super) expiry_ms: u64,
 }
 
-/// The fair queue of an endpoint, shared by the requests in it.
+/// Fair queue in front of the engine of an endpoint, shared by its requests.
 #[derive(Debug)]
 pub struct GenerateQueue {
     slots: u32,
+    /// Start of the queue's clock.
     started: Instant,
+    /// Configuration offset of the shares, or [`NO_OFFSET`].
     shares_offset: AtomicU64,
-    queue: Mutex<FairQueue<oneshot::Sender<Grant>>>,
+    queue: Mutex<FairQueue<oneshot::Sender<QueueDecision>>>,
 }
 
 impl GenerateQueue {
-    /// Empty queue with `limits`.
+    /// Empty queue with the given limits.
     pub fn new(limits: QueueLimits) -> Arc<Self> {
         Arc::new(Self {
             slots: limits.slots,
@@ -71,7 +77,7 @@
         }
     }
 
-    /// Sets the shares of the branches, as of a configuration offset.
+    /// Sets the shares of the branches from the configuration at `offset`.
     pub fn set_shares(&self, offset: u64, shares: impl IntoIterator<Item = BranchShare>) {
         self.shares_offset.store(offset, Ordering::Relaxed);
         let mut queue = self.lock();
@@ -80,7 +86,7 @@
         }
     }
 
-    /// How busy the endpoint is.
+    /// Number of running and waiting requests and of slots.
     pub fn load(&self) -> Load {
         let queue = self.lock();
         Load {
@@ -90,20 +96,20 @@
         }
     }
 
-    /// Time since the queue was made.
+    /// Time since the queue was created, in milliseconds.
     pub(super) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Takes a place for a request that must be whole by `deadline_ms`.
-    pub(super) fn enter(
+    /// Queues a request whose answer must be complete by `deadline_ms` of the queue's clock.
+    pub(super) fn enqueue(
         self: &Arc<Self>,
         branch: &str,
         cost_tokens: u64,
         deadline_ms: u64,
-    ) -> Result<Place, Refusal> {
+    ) -> Result<PendingDecision, GenerateRefusal> {
         let now_ms = self.now_ms();
-        let (sender, grant) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let mut queue = self.lock();
         let request = QueuedRequest {
             branch: queue.ensure_branch(branch),
@@ -112,33 +118,38 @@
             item: sender,
         };
         let expiry_ms = queue.latest_start_ms(&request);
-        let pushed = queue.push(request, now_ms);
+        let outcome = queue.push(request, now_ms);
         drop(queue);
-        match pushed {
+        match outcome {
             PushOutcome::Queued => {
-                self.pump();
-                Ok(Place { grant, expiry_ms })
+                self.dispatch();
+                Ok(PendingDecision {
+                    receiver,
+                    expiry_ms,
+                })
             }
             PushOutcome::Refused {
                 reason,
                 retry_after_ms,
                 ..
-            } => Err(Refusal {
+            } => Err(GenerateRefusal {
                 reason: reason.into(),
                 retry_after_ms,
             }),
         }
     }
 
-    /// Hands out free slots and refuses requests that are given up.
-    pub(super) fn pump(self: &Arc<Self>) {
-        while let Some((waiter, grant)) = self.next_grant() {
-            // A grant whose request has gone comes back and frees its slot when dropped.
-            let _ = waiter.send(grant);
+    /// Grants free slots to waiting requests and refuses those that have expired.
+    pub(super) fn dispatch(self: &Arc<Self>) {
+        while let Some((sender, decision)) = self.next_decision() {
+            // If the request was dropped, `send` returns the decision, which frees the slot
+            // when it is dropped.
+            let _ = sender.send(decision);
         }
     }
 
-    fn next_grant(self: &Arc<Self>) -> Option<(oneshot::Sender<Grant>, Grant)> {
+    /// Next decision with its receiver; `None` when no request can run or be refused now.
+    fn next_decision(self: &Arc<Self>) -> Option<(oneshot::Sender<QueueDecision>, QueueDecision)> {
         let now_ms = self.now_ms();
         let mut queue = self.lock();
         queue.withdraw_matching(oneshot::Sender::is_closed);
@@ -148,58 +159,61 @@
                 let slot = RunSlot {
                     queue: Arc::clone(self),
                     started_ms: now_ms,
-                    work: FinishedRequest {
+                    finished: FinishedRequest {
                         branch: request.branch,
                         cost_tokens: request.cost_tokens,
                         used_tokens: 0,
                         held_ms: None,
                     },
                 };
-                Some((request.item, Grant::Run(slot)))
+                Some((request.item, QueueDecision::Run(slot)))
             }
             PopOutcome::Expired {
                 request,
                 reason,
                 retry_after_ms,
             } => {
-                let refusal = Refusal {
+                let refusal = GenerateRefusal {
                     reason: reason.into(),
                     retry_after_ms,
                 };
-                Some((request.item, Grant::Refused(refusal)))
+                Some((request.item, QueueDecision::Refused(refusal)))
             }
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, FairQueue<oneshot::Sender<Grant>>> {
+    fn lock(&self) -> MutexGuard<'_, FairQueue<oneshot::Sender<QueueDecision>>> {
         self.queue.lock().expect("no holder of the queue panics")
     }
 }
 
-/// A slot of the engine, freed when dropped.
+/// Slot of the engine, held by a running request and freed when dropped.
 #[derive(Debug)]
 pub(super) struct RunSlot {
     queue: Arc<GenerateQueue>,
     started_ms: u64,
-    work: FinishedRequest,
+    /// Usage of the request, passed to the queue when the slot is freed.
+    finished: FinishedRequest,
 }
 
 impl RunSlot {
-    /// Counts tokens that were made.
-    pub(super) fn used(&mut self, tokens: u64) {
-        self.work.used_tokens = (self.work.used_tokens + tokens).min(self.work.cost_tokens);
+    /// Adds tokens that the request used, up to its estimated cost.
+    pub(super) fn add_used_tokens(&mut self, tokens: u64) {
+        self.finished.used_tokens =
+            (self.finished.used_tokens + tokens).min(self.finished.cost_tokens);
     }
 
-    /// Notes that the answer is whole, so that its time is worth learning from.
-    pub(super) fn whole(&mut self) {
-        self.work.held_ms = Some(self.queue.now_ms() - self.started_ms);
+    /// Records that the answer is complete, so that its duration enters the averages from
+    /// which the queue estimates waits.
+    pub(super) fn record_completion(&mut self) {
+        self.finished.held_ms = Some(self.queue.now_ms() - self.started_ms);
     }
 }
 
 impl Drop for RunSlot {
     fn drop(&mut self) {
-        self.queue.lock().finish(self.work);
-        self.queue.pump();
+        self.queue.lock().finish(self.finished);
+        self.queue.dispatch();
     }
 }
 
--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -9,13 +9,13 @@
 use futures_util::future::select;
 use tokio::sync::mpsc;
 
-use super::call_run::is_alive;
-use super::engine_watch::EngineWatch;
-use super::engine_watch::SuspectGuard;
+use super::call_run::is_process_up;
+use super::engine_health::EngineHealth;
+use super::engine_health::SuspectGuard;
 use super::generate_queue::GenerateQueue;
-use super::generate_queue::Grant;
-use super::generate_queue::Place;
-use super::generate_queue::Refusal;
+use super::generate_queue::GenerateRefusal;
+use super::generate_queue::PendingDecision;
+use super::generate_queue::QueueDecision;
 use super::generate_queue::RunSlot;
 use crate::calls::GenerateCall;
 use crate::calls::GenerateFrame;
@@ -29,134 +29,147 @@
 use crate::clients::StreamEvent;
 use crate::weights::Digest;
 
-/// Interval of heartbeats while a request waits for a slot.
-const BEAT_INTERVAL_MS: u64 = 500;
+/// Interval of heartbeats while a request waits for a slot, in milliseconds.
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// Silence after which the engine's connection is abandoned.
-const ENGINE_SILENCE: Duration = Duration::from_millis(3000);
+/// Time without an event after which the engine counts as failed.
+const ENGINE_SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Time a full buffer may wait for its reader.
+/// Time for which a full buffer waits for its reader.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Time between two looks at the slot for suspects.
-const SUSPECT_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which a crash suspect tries to take the slot for suspects.
+const SUSPECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The entry has closed the stream.
-struct ReaderGone;
+/// Error: the entry has closed the stream or stopped reading it.
+struct StreamClosed;
 
-/// One request at an endpoint: it waits for a slot, then passes the engine's tokens on.
+/// A generate request at an endpoint: waits for a slot, then forwards the engine's tokens.
 pub(super) struct GenerateRun {
     pub(super) queue: Arc<GenerateQueue>,
     pub(super) engine: EngineClient,
-    pub(super) watch: Arc<EngineWatch>,
+    pub(super) health: Arc<EngineHealth>,
     pub(super) call: GenerateCall,
-    /// Whole digest of the weights that were verified here.
-    pub(super) whole: Digest,
+    /// Digest of the verified content of the weights, which the answer must name.
+    pub(super) content_digest: Digest,
+    /// Sends frames to the entry.
     pub(super) frames: mpsc::Sender<GenerateFrame>,
 }
 
 impl GenerateRun {
-    /// Runs the request to its final frame, or until the reader has gone.
+    /// Runs the request until its final frame is sent or the stream is closed.
     pub(super) async fn run(self) {
         let deadline_ms = self.queue.now_ms() + self.call.deadline_ms;
         let Ok(_suspect) = self.wait_as_suspect(deadline_ms).await else {
             return;
         };
         let cost_tokens = self.call.cost_tokens();
-        let place = match self
+        let pending = match self
             .queue
-            .enter(&self.call.branch, cost_tokens, deadline_ms)
+            .enqueue(&self.call.branch, cost_tokens, deadline_ms)
         {
-            Ok(place) => place,
+            Ok(pending) => pending,
             Err(refusal) => return self.refuse(refusal).await,
         };
-        let Ok(grant) = self.wait(place).await else {
-            self.queue.pump();
+        let Ok(decision) = self.wait_for_decision(pending).await else {
+            self.queue.dispatch();
             return;
         };
-        match grant {
-            Grant::Run(slot) => self.run_in(slot, deadline_ms).await,
-            Grant::Refused(refusal) => self.refuse(refusal).await,
+        match decision {
+            QueueDecision::Run(slot) => self.run_in_slot(slot, deadline_ms).await,
+            QueueDecision::Refused(refusal) => self.refuse(refusal).await,
         }
     }
 
-    /// Waits until no other suspect runs here, if the request is one.
+    /// Takes the slot for crash suspects if the request is one, with heartbeats while
+    /// another suspect holds it.
     async fn wait_as_suspect(
         &self,
         deadline_ms: u64,
-    ) -> Result<Option<SuspectGuard<'_>>, ReaderGone> {
+    ) -> Result<Option<SuspectGuard<'_>>, StreamClosed> {
         if !self.call.is_suspect {
             return Ok(None);
         }
         loop {
-            let entered = self.watch.enter(self.call.fingerprint());
+            let acquired = self.health.acquire_suspect_slot(self.call.fingerprint());
             // Past the deadline the queue refuses the request.
-            if entered.is_some() || self.queue.now_ms() >= deadline_ms {
-                return Ok(entered);
+            if acquired.is_some() || self.queue.now_ms() >= deadline_ms {
+                return Ok(acquired);
             }
-            self.unless_gone(sleep(SUSPECT_PAUSE)).await?;
+            self.unless_closed(sleep(SUSPECT_RETRY_INTERVAL)).await?;
             let load = self.queue.load();
             self.send(GenerateFrame::Beat { load }).await?;
         }
     }
 
-    /// Waits for the queue's word, with heartbeats.
-    async fn wait(&self, mut place: Place) -> Result<Grant, ReaderGone> {
+    /// Waits for the decision of the queue, with heartbeats.
+    async fn wait_for_decision(
+        &self,
+        mut pending: PendingDecision,
+    ) -> Result<QueueDecision, StreamClosed> {
         loop {
-            let left_ms = place.expiry_ms.saturating_sub(self.queue.now_ms()) + 1;
-            let pause = Duration::from_millis(left_ms.min(BEAT_INTERVAL_MS));
-            match self.unless_gone(timeout(pause, &mut place.grant)).await? {
-                Ok(Ok(grant)) => return Ok(grant),
-                // The queue drops no waiting request without a word.
-                Ok(Err(_)) => return Err(ReaderGone),
-                Err(_) => self.queue.pump(),
+            let left_ms = pending.expiry_ms.saturating_sub(self.queue.now_ms()) + 1;
+            let wait = Duration::from_millis(left_ms.min(HEARTBEAT_INTERVAL_MS));
+            match self
+                .unless_closed(timeout(wait, &mut pending.receiver))
+                .await?
+            {
+                Ok(Ok(decision)) => return Ok(decision),
+                // Does not happen, as the queue sends a decision on every waiting request.
+                Ok(Err(_)) => return Err(StreamClosed),
+                Err(_) => self.queue.dispatch(),
             }
             let load = self.queue.load();
             self.send(GenerateFrame::Beat { load }).await?;
         }
     }
 
-    async fn run_in(&self, mut slot: RunSlot, deadline_ms: u64) {
-        // A process that was paused finds the deadline passed here.
+    /// Runs the request in its slot and sends the final frame once the slot is free.
+    async fn run_in_slot(&self, mut slot: RunSlot, deadline_ms: u64) {
+        // The deadline may have passed while the process was paused.
         let left_ms = deadline_ms.saturating_sub(self.queue.now_ms());
         if left_ms == 0 {
-            return self.refuse(Refusal::deadline_passed()).await;
+            return self.refuse(GenerateRefusal::deadline_passed()).await;
         }
-        let streamed = self.stream(&mut slot, left_ms).await;
-        let last = match streamed {
-            Ok(last) => last,
-            Err(ReaderGone) => {
-                // An engine that does not see the closed connection is told.
+        let result = self.stream_tokens(&mut slot, left_ms).await;
+        let final_frame = match result {
+            Ok(final_frame) => final_frame,
+            Err(StreamClosed) => {
+                // The engine may not notice the closed connection, so the request is cancelled.
                 let _ = self.engine.cancel(&self.call.request_id).await;
                 return;
             }
         };
         drop(slot);
-        let _ = self.send(self.with_load(last)).await;
+        let _ = self.send(self.with_current_load(final_frame)).await;
     }
 
-    /// Passes tokens on and returns the final frame.
-    async fn stream(&self, slot: &mut RunSlot, left_ms: u64) -> Result<GenerateFrame, ReaderGone> {
+    /// Forwards the engine's tokens and returns the final frame.
+    async fn stream_tokens(
+        &self,
+        slot: &mut RunSlot,
+        left_ms: u64,
+    ) -> Result<GenerateFrame, StreamClosed> {
         let load = self.queue.load();
         self.send(GenerateFrame::Started { load }).await?;
-        let order = self.order(left_ms);
-        let mut events = match self.unless_gone(self.engine.generate(&order)).await? {
+        let order = self.generate_order(left_ms);
+        let mut events = match self.unless_closed(self.engine.generate(&order)).await? {
             Ok(events) => events,
-            // The engine may have died before it sent the head of its answer.
-            Err(EngineError::Unreachable(_)) => return Ok(failed(self.look_for_crash().await)),
-            Err(error) => return Ok(failed(sort_error(&error))),
+            // The engine may have crashed before it sent the head of its response.
+            Err(EngineError::Unreachable(_)) => return Ok(failed_frame(self.detect_crash().await)),
+            Err(error) => return Ok(failed_frame(error_fault(&error))),
         };
         let mut next_index = self.call.resume_from;
-        slot.used(self.call.prompt_tokens());
+        slot.add_used_tokens(self.call.prompt_tokens());
         loop {
             match self.next_event(&mut events).await? {
                 Ok(StreamEvent::Token { index, text }) if index == next_index => {
                     next_index += 1;
-                    self.watch.is_up();
-                    slot.used(1);
+                    self.health.record_up();
+                    slot.add_used_tokens(1);
                     self.send(GenerateFrame::Token { index, text }).await?;
                 }
-                Ok(StreamEvent::Token { .. }) => return Ok(failed(StreamFault::WrongAnswer)),
+                Ok(StreamEvent::Token { .. }) => return Ok(failed_frame(StreamFault::WrongAnswer)),
                 Ok(StreamEvent::Beat) => {
                     let load = self.queue.load();
                     self.send(GenerateFrame::Beat { load }).await?;
@@ -167,14 +180,14 @@
                     manifest,
                     whole,
                 }) => {
-                    let is_ours = request_id == self.call.request_id
+                    let is_expected = request_id == self.call.request_id
                         && manifest == self.call.manifest
-                        && whole == self.whole
+                        && whole == self.content_digest
                         && tokens == next_index;
-                    if !is_ours {
-                        return Ok(failed(StreamFault::WrongAnswer));
+                    if !is_expected {
+                        return Ok(failed_frame(StreamFault::WrongAnswer));
                     }
-                    slot.whole();
+                    slot.record_completion();
                     return Ok(GenerateFrame::End {
                         request_id,
                         tokens,
@@ -183,35 +196,38 @@
                         load: self.queue.load(),
                     });
                 }
-                Ok(StreamEvent::Error { code, .. }) => return Ok(failed(sort_fault(code))),
-                Err(fault) => return Ok(failed(fault)),
+                Ok(StreamEvent::Error { code, .. }) => return Ok(failed_frame(stream_fault(code))),
+                Err(fault) => return Ok(failed_frame(fault)),
             }
         }
     }
 
+    /// Next event of the engine, or why the stream failed.
     async fn next_event(
         &self,
         events: &mut EngineStream,
-    ) -> Result<Result<StreamEvent, StreamFault>, ReaderGone> {
-        let next = timeout(ENGINE_SILENCE, events.next());
-        Ok(match self.unless_gone(next).await? {
+    ) -> Result<Result<StreamEvent, StreamFault>, StreamClosed> {
+        let next = timeout(ENGINE_SILENCE_TIMEOUT, events.next());
+        Ok(match self.unless_closed(next).await? {
             Ok(Some(Ok(event))) => Ok(event),
-            // The connection ended without its end record.
-            Ok(Some(Err(_)) | None) => Err(self.look_for_crash().await),
+            // The connection ended before the end event.
+            Ok(Some(Err(_)) | None) => Err(self.detect_crash().await),
             Err(_) => Err(StreamFault::EngineFailed),
         })
     }
 
-    async fn look_for_crash(&self) -> StreamFault {
-        match is_alive(self.engine.address()).await {
+    /// Fault of a broken connection to the engine: a crash if the engine is down.
+    async fn detect_crash(&self) -> StreamFault {
+        match is_process_up(self.engine.address()).await {
             true => StreamFault::EngineFailed,
             false => StreamFault::EngineCrashed {
-                crash_no: self.watch.crashed(),
+                crash_no: self.health.record_crash(),
             },
         }
     }
 
-    fn order(&self, left_ms: u64) -> GenerateOrder {
+    /// Order to the engine; `left_ms` is the time left for the answer.
+    fn generate_order(&self, left_ms: u64) -> GenerateOrder {
         GenerateOrder {
             request_id: self.call.request_id.clone(),
             model: self.call.model.clone(),
@@ -225,15 +241,18 @@
         }
     }
 
-    /// The final frame with the load after its slot was freed.
-    fn with_load(&self, mut last: GenerateFrame) -> GenerateFrame {
-        if let GenerateFrame::End { load, .. } | GenerateFrame::Failed { load, .. } = &mut last {
+    /// The final frame with the load after the slot was freed.
+    fn with_current_load(&self, mut final_frame: GenerateFrame) -> GenerateFrame {
+        if let GenerateFrame::End { load, .. } | GenerateFrame::Failed { load, .. } =
+            &mut final_frame
+        {
             *load = self.queue.load();
         }
-        last
+        final_frame
     }
 
-    async fn refuse(&self, refusal: Refusal) {
+    /// Sends a refusal as the final frame.
+    async fn refuse(&self, refusal: GenerateRefusal) {
         let frame = GenerateFrame::Refused {
             reason: refusal.reason,
             retry_after_ms: Some(refusal.retry_after_ms),
@@ -242,23 +261,25 @@
         let _ = self.send(frame).await;
     }
 
-    /// Sends a frame; a reader that leaves the buffer full for long counts as gone.
-    async fn send(&self, frame: GenerateFrame) -> Result<(), ReaderGone> {
+    /// Sends a frame; the stream counts as closed when the buffer stays full for too long.
+    async fn send(&self, frame: GenerateFrame) -> Result<(), StreamClosed> {
         match timeout(SLOW_READER_TIMEOUT, self.frames.send(frame)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(ReaderGone),
+            Ok(Err(_)) | Err(_) => Err(StreamClosed),
         }
     }
 
-    async fn unless_gone<T>(&self, work: impl Future<Output = T>) -> Result<T, ReaderGone> {
+    /// Result of `work`, unless the entry closes the stream first.
+    async fn unless_closed<T>(&self, work: impl Future<Output = T>) -> Result<T, StreamClosed> {
         match select(pin!(work), pin!(self.frames.closed())).await {
             Either::Left((done, _)) => Ok(done),
-            Either::Right(_) => Err(ReaderGone),
+            Either::Right(_) => Err(StreamClosed),
         }
     }
 }
 
-impl Refusal {
+impl GenerateRefusal {
+    /// Refusal of a request whose deadline has passed.
     fn deadline_passed() -> Self {
         Self {
             reason: RefusalReason::DeadlinePassed,
@@ -267,16 +288,18 @@
     }
 }
 
-fn failed(fault: StreamFault) -> GenerateFrame {
+/// Final frame of a failed stream; its load is filled in by `with_current_load`.
+fn failed_frame(fault: StreamFault) -> GenerateFrame {
     GenerateFrame::Failed {
         fault,
         load: crate::hosts::Load::default(),
     }
 }
 
-fn sort_error(error: &EngineError) -> StreamFault {
+/// Stream fault that an engine error stands for.
+fn error_fault(error: &EngineError) -> StreamFault {
     match error {
-        EngineError::Refused(fault) => sort_fault(*fault),
+        EngineError::Refused(fault) => stream_fault(*fault),
         EngineError::NotSent(_)
         | EngineError::Unreachable(_)
         | EngineError::Status(_)
@@ -284,7 +307,8 @@
     }
 }
 
-fn sort_fault(fault: EngineErrorCode) -> StreamFault {
+/// Stream fault that a fault reported by the engine stands for.
+fn stream_fault(fault: EngineErrorCode) -> StreamFault {
     match fault {
         EngineErrorCode::NotLoaded | EngineErrorCode::BaseNotLoaded => StreamFault::NotLoaded,
         EngineErrorCode::DeadlinePassed => StreamFault::DeadlinePassed,
--- a/src/endpoint/generate_server.rs
+++ b/src/endpoint/generate_server.rs
@@ -7,7 +7,7 @@
 use futures_util::stream;
 use tokio::sync::mpsc;
 
-use super::engine_watch::EngineWatch;
+use super::engine_health::EngineHealth;
 use super::generate_queue::GenerateQueue;
 use super::generate_run::GenerateRun;
 use crate::calls::GenerateCall;
@@ -16,24 +16,24 @@
 use crate::clients::EngineClient;
 use crate::weights::Digest;
 
-/// Frames that wait for a slow reader.
+/// Number of frames that are buffered for a slow reader.
 const BUFFERED_FRAMES: usize = 256;
 
-/// Runs requests for tokens on the engine of this host, through the fair queue.
+/// Runs generate requests on the engine of this host, in the order of the fair queue.
 #[derive(Debug)]
 pub struct GenerateServer {
     queue: Arc<GenerateQueue>,
     engine: EngineClient,
-    watch: Arc<EngineWatch>,
+    health: Arc<EngineHealth>,
 }
 
 impl GenerateServer {
-    /// Server in front of `engine`.
+    /// Server for requests to `engine`, queued in `queue`.
     pub fn new(queue: Arc<GenerateQueue>, engine: EngineClient) -> Self {
         Self {
             queue,
             engine,
-            watch: Arc::default(),
+            health: Arc::default(),
         }
     }
 
@@ -42,22 +42,23 @@
         &self.queue
     }
 
-    /// Runs a call on weights whose whole digest was verified to be `whole`.
-    pub fn run(&self, call: GenerateCall, whole: Digest) -> HttpResponse {
+    /// Queues a call and streams its frames; `content_digest` is the verified digest of
+    /// the weights it must run on.
+    pub fn run(&self, call: GenerateCall, content_digest: Digest) -> HttpResponse {
         let (frames, mut received) = mpsc::channel(BUFFERED_FRAMES);
         let run = GenerateRun {
             queue: Arc::clone(&self.queue),
             engine: self.engine.clone(),
-            watch: Arc::clone(&self.watch),
+            health: Arc::clone(&self.health),
             call,
-            whole,
+            content_digest,
             frames,
         };
         actix_rt::spawn(run.run());
         respond(stream::poll_fn(move |context| received.poll_recv(context)))
     }
 
-    /// Refuses a call before it reaches the queue.
+    /// Refuses a call without queuing it.
     pub fn refuse(&self, reason: RefusalReason) -> HttpResponse {
         let frame = GenerateFrame::Refused {
             reason,
@@ -68,6 +69,7 @@
     }
 }
 
+/// Response that streams the encoded frames.
 fn respond(frames: impl Stream<Item = GenerateFrame> + 'static) -> HttpResponse {
     let bodies = frames.map(|frame| Ok::<_, actix_web::Error>(Bytes::from(frame.to_bytes())));
     HttpResponse::Ok()
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -9,12 +9,12 @@
 use crate::conf::EndpointSettings;
 use crate::endpoint::EndpointState;
 use crate::endpoint::WeightsHosts;
-use crate::endpoint::WeightsKeeper;
+use crate::endpoint::WeightsManager;
 use crate::endpoint::call;
 use crate::endpoint::call_ticker::CallTicker;
-use crate::endpoint::configure_weights;
+use crate::endpoint::configure_weights_routes;
 use crate::endpoint::generate;
-use crate::endpoint::generate_load::LoadKeeper;
+use crate::endpoint::generate_load::LoadUpdater;
 use crate::links::ServeOptions;
 use crate::links::serve;
 use crate::node;
@@ -25,21 +25,21 @@
 use crate::observe::emit_event;
 use crate::standin::Handle;
 
-/// Largest body of a call from an entry.
+/// Largest body of a request from an entry or a peer, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A running endpoint.
+/// Handle of a running endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHandle {
     server: Handle,
     state: Arc<EndpointState>,
 }
 
-/// Starts an endpoint.
+/// Starts an endpoint: its HTTP server, its reports and its housekeeping.
 ///
 /// # Errors
 ///
-/// The I/O error when the address cannot be bound.
+/// Returns the I/O error when its address can't be bound.
 pub async fn start(settings: EndpointSettings) -> io::Result<EndpointHandle> {
     let options = ServeOptions {
         drain_ms: settings.drain_ms,
@@ -51,22 +51,22 @@
     let server = serve(listen, &options, move |app| {
         app.app_data(web::Data::from(Arc::clone(&shared)))
             .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
-            .route("/x/generate", web::post().to(generate::generate))
-            .route("/x/call", web::post().to(call::call))
-            .route("/x/nonce", web::post().to(call::nonce));
-        let hosts = WeightsHosts::one(
+            .route("/x/generate", web::post().to(generate::handle_generate))
+            .route("/x/call", web::post().to(call::handle_call))
+            .route("/x/nonce", web::post().to(call::handle_permit_status));
+        let hosts = WeightsHosts::single(
             Arc::clone(&shared.weights),
             shared.node.cluster().shared_key.clone(),
         );
-        configure_weights(app, hosts);
+        configure_weights_routes(app, hosts);
         node::routes(app, &shared.node);
     })?;
     CallTicker::new(Arc::clone(&state)).start();
     HostListWatcher::new(Arc::clone(&state.node)).start();
     Reporter::bind(Arc::clone(&state.node))?.start();
     if let Some(engine) = state.engine_address() {
-        WeightsKeeper::new(Arc::clone(&state), engine).start();
-        LoadKeeper::new(Arc::clone(&state)).start();
+        WeightsManager::new(Arc::clone(&state), engine).start();
+        LoadUpdater::new(Arc::clone(&state)).start();
     }
     emit_event(
         Event::ProcessStarted,
@@ -76,25 +76,26 @@
 }
 
 impl EndpointHandle {
-    /// Identity, hosts and configuration of the endpoint.
+    /// Identity of the endpoint, known hosts and configuration.
     pub fn node(&self) -> &Arc<Node> {
         &self.state.node
     }
 
-    /// Stops at once; requests in progress are cut.
+    /// Stops at once; requests in progress are aborted.
     pub async fn kill(&self) {
         self.server.kill().await;
     }
 
-    /// Leaves: tells the entries, then finishes the requests in progress.
+    /// Stops in order: notifies the entries, then drains the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit_event(Event::ProcessStopping, &[("host", &node.name())]);
         node.leave();
         Reporter::send_reports(node).await;
         let drain = Duration::from_millis(self.state.settings.drain_ms);
-        // Calls outlive their connections, which the server alone waits for.
-        let _ = timeout(drain, self.state.calls.drained()).await;
+        // Stopping the server waits for connections only, and a call may outlive its
+        // connection.
+        let _ = timeout(drain, self.state.calls.wait_until_drained()).await;
         self.server.stop().await;
         emit_event(Event::ProcessStopped, &[("host", &node.name())]);
     }
--- a/src/endpoint/state.rs
+++ b/src/endpoint/state.rs
@@ -12,35 +12,35 @@
 use crate::endpoint::GenerateQueue;
 use crate::endpoint::GenerateServer;
 use crate::endpoint::WeightLinks;
-use crate::endpoint::WeightsShare;
-use crate::endpoint::call_desk::CallDesk;
+use crate::endpoint::WeightsState;
+use crate::endpoint::call_registry::CallRegistry;
 use crate::node::Node;
 use crate::weights::MemoryBudget;
 
-/// Slots for one slot that a bursting branch leaves to the others.
-pub const SLOTS_PER_RESERVED: u32 = 32;
+/// Number of engine slots for each slot that is reserved for branches below their share.
+pub const SLOTS_PER_RESERVED_SLOT: u32 = 32;
 
-/// Full queues of branches that fit into the whole queue.
-const BRANCHES_WAITING: usize = 4;
+/// Number of full branch queues that fit into the queue of the endpoint.
+const FULL_BRANCH_QUEUES: usize = 4;
 
 /// State shared by the handlers of an endpoint.
 #[derive(Debug)]
 pub struct EndpointState {
     /// Settings of the process.
     pub settings: EndpointSettings,
-    /// Identity, hosts and configuration.
+    /// Identity of the process, known hosts and configuration.
     pub node: Arc<Node>,
-    /// Calls of the plain service that run here.
-    pub calls: CallDesk,
+    /// Running calls of the plain service.
+    pub calls: CallRegistry,
     /// Weights on this host.
-    pub weights: Arc<WeightsShare>,
-    /// Runs requests for tokens; `None` beside a plain service.
+    pub weights: Arc<WeightsState>,
+    /// Server of generate requests; `None` beside a plain service.
     pub generate: Option<GenerateServer>,
     permits: Mutex<PermitTable>,
 }
 
 impl EndpointState {
-    /// State of a fresh process.
+    /// State of a process that starts with these settings.
     pub fn new(settings: EndpointSettings) -> Self {
         let service = match &settings.backend {
             BackendSettings::Engine { .. } => None,
@@ -54,39 +54,40 @@
         ));
         let now_ms = node.now_ms();
         let permits = PermitTable::new(node.incarnation(), PermitLimits::default(), now_ms);
-        let weights = weights_share(&settings, &node);
+        let weights = weights_state(&settings, &node);
         let generate = engine_address(&settings.backend).map(|address| {
             let queue = GenerateQueue::new(QueueLimits {
                 slots: settings.slots as u32,
-                reserved_slots: settings.slots as u32 / SLOTS_PER_RESERVED,
+                reserved_slots: settings.slots as u32 / SLOTS_PER_RESERVED_SLOT,
                 max_waiting_per_branch: settings.queue_limit as usize,
-                max_waiting: settings.queue_limit as usize * BRANCHES_WAITING,
+                max_waiting: settings.queue_limit as usize * FULL_BRANCH_QUEUES,
             });
             GenerateServer::new(queue, EngineClient::new(address))
         });
         Self {
             settings,
             node,
-            calls: CallDesk::new(now_ms),
+            calls: CallRegistry::new(now_ms),
             generate,
             permits: Mutex::new(permits),
             weights,
         }
     }
 
-    /// Permits that ran, run or were refused here.
+    /// Permits that have run, are running or were refused here.
     pub fn permits(&self) -> MutexGuard<'_, PermitTable> {
         self.permits
             .lock()
             .expect("no holder of the permit table panics")
     }
 
-    /// Address of the engine, unless a plain service is beside this process.
+    /// Address of the engine; `None` beside a plain service.
     pub fn engine_address(&self) -> Option<SocketAddr> {
         engine_address(&self.settings.backend)
     }
 }
 
+/// Address of the engine in the settings; `None` beside a plain service.
 fn engine_address(backend: &BackendSettings) -> Option<SocketAddr> {
     match backend {
         BackendSettings::Engine { url, .. } => url.strip_prefix("http://")?.parse().ok(),
@@ -94,14 +95,15 @@
     }
 }
 
-fn weights_share(settings: &EndpointSettings, node: &Node) -> Arc<WeightsShare> {
+/// State for weights with the links and the memory budget of the settings.
+fn weights_state(settings: &EndpointSettings, node: &Node) -> Arc<WeightsState> {
     let weights = &settings.weights;
     let links = WeightLinks::new(
         weights.up_bytes_per_s,
         weights.down_bytes_per_s,
         weights.live_share_percent,
     );
-    WeightsShare::new(
+    WeightsState::new(
         node.name(),
         settings.process.region.clone(),
         links,
--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -10,25 +10,25 @@
 use crate::weights::Digest;
 use crate::weights::HoldReason;
 
-/// What became of an order to load.
+/// Outcome of an order to load a version.
 #[derive(Debug)]
-pub(super) enum Loading {
-    /// The engine holds bytes of this digest.
-    Holds(Digest),
-    /// The engine gave no answer, and its state doesn't show the version.
+pub(super) enum LoadOutcome {
+    /// The engine has loaded the version and reports this content digest.
+    Loaded(Digest),
+    /// The engine did not answer, or its state does not list the version.
     Unknown,
-    /// The engine refused.
+    /// The engine refused the order for this reason.
     Refused(HoldReason),
 }
 
-/// Gives orders to this host's engine; nobody else does.
+/// Sends load and unload orders to the engine of this host; its only sender.
 #[derive(Debug)]
-pub(super) struct EngineGiver {
+pub(super) struct EngineOrderSender {
     client: EngineClient,
     sequence: u64,
 }
 
-impl EngineGiver {
+impl EngineOrderSender {
     pub(super) fn new(client: EngineClient) -> Self {
         Self {
             client,
@@ -36,7 +36,8 @@
         }
     }
 
-    fn next_order(&mut self, state: &EndpointState) -> FencingNumber {
+    /// Fencing number of the next order, which is above those of all earlier ones.
+    fn next_order_no(&mut self, state: &EndpointState) -> FencingNumber {
         self.sequence += 1;
         FencingNumber {
             offset: state.node.config_position().offset,
@@ -45,32 +46,32 @@
         }
     }
 
-    /// What the engine holds.
-    pub(super) async fn state(&self) -> Result<EngineState, EngineError> {
+    /// State of the engine, with the versions that it has loaded.
+    pub(super) async fn engine_state(&self) -> Result<EngineState, EngineError> {
         self.client.fetch_state().await
     }
 
-    /// Orders the engine to load a verified version, unless it holds it.
+    /// Orders the engine to load a verified version, unless it has loaded it.
     ///
-    /// The state is asked before the order and, when the answer is lost, after
-    /// it: an order that took effect is not given twice, and an engine that
-    /// ignores order numbers is seen to hold what it should.
-    pub(super) async fn load(
+    /// The engine's state is read before the order and, if the answer is lost, after
+    /// it: an order that took effect is not sent twice, and an engine that does not
+    /// check order numbers is still verified to have loaded the version.
+    pub(super) async fn load_version(
         &mut self,
         state: &EndpointState,
         tracked: &TrackedVersion,
-    ) -> Loading {
+    ) -> LoadOutcome {
         let manifest = tracked.digest();
-        match self.state().await {
-            Err(_) => return Loading::Unknown,
-            Ok(held) => {
-                if let Some(whole) = held_whole(&held, manifest) {
-                    return Loading::Holds(whole);
+        match self.engine_state().await {
+            Err(_) => return LoadOutcome::Unknown,
+            Ok(engine_state) => {
+                if let Some(content_digest) = loaded_content_digest(&engine_state, manifest) {
+                    return LoadOutcome::Loaded(content_digest);
                 }
             }
         }
         let order = LoadOrder {
-            order: self.next_order(state),
+            order: self.next_order_no(state),
             model: tracked.model.name.clone(),
             version: tracked.model.version.clone(),
             manifest,
@@ -78,35 +79,38 @@
             source_url: format!("http://{}/x/local/{manifest}", state.node.process().listen),
         };
         match self.client.load(&order).await {
-            Ok(answer) => Loading::Holds(answer.whole),
-            Err(EngineError::Refused(fault)) => Loading::Refused(held_by(fault, tracked)),
-            Err(_) => match self.state().await {
-                Ok(held) => held_whole(&held, manifest).map_or(Loading::Unknown, Loading::Holds),
-                Err(_) => Loading::Unknown,
+            Ok(answer) => LoadOutcome::Loaded(answer.whole),
+            Err(EngineError::Refused(fault)) => LoadOutcome::Refused(hold_reason(fault, tracked)),
+            Err(_) => match self.engine_state().await {
+                Ok(engine_state) => loaded_content_digest(&engine_state, manifest)
+                    .map_or(LoadOutcome::Unknown, LoadOutcome::Loaded),
+                Err(_) => LoadOutcome::Unknown,
             },
         }
     }
 
-    /// Orders the engine to drop a version.
-    pub(super) async fn unload(
+    /// Orders the engine to unload a version.
+    pub(super) async fn unload_version(
         &mut self,
         state: &EndpointState,
         manifest: Digest,
     ) -> Result<(), EngineError> {
-        let order = self.next_order(state);
+        let order = self.next_order_no(state);
         self.client.unload(&UnloadOrder { order, manifest }).await
     }
 }
 
-fn held_whole(held: &EngineState, manifest: Digest) -> Option<Digest> {
-    let found = held
+/// Content digest that the engine reports for `manifest`; `None` if it is not loaded.
+fn loaded_content_digest(engine_state: &EngineState, manifest: Digest) -> Option<Digest> {
+    let found = engine_state
         .loaded
         .iter()
         .find(|loaded| loaded.manifest == manifest)?;
     Some(found.whole)
 }
 
-fn held_by(fault: EngineErrorCode, tracked: &TrackedVersion) -> HoldReason {
+/// Hold reason for a refused order to load `tracked`.
+fn hold_reason(fault: EngineErrorCode, tracked: &TrackedVersion) -> HoldReason {
     match (fault, tracked.base) {
         (EngineErrorCode::BaseNotLoaded, Some(base)) => HoldReason::BaseNotLoaded { base },
         _ => HoldReason::EngineRefused {
--- a/src/endpoint/weights_http.rs
+++ b/src/endpoint/weights_http.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use futures_util::stream;
 
-use super::WeightsShare;
+use super::WeightsState;
 use super::WeightsVersion;
 use crate::links::decode_rmp;
 use crate::links::has_shared_key;
@@ -24,30 +24,30 @@
 use crate::weights::PeerStatus;
 use crate::weights::ReadOutcome;
 
-/// Reads that may wait at a host.
+/// Largest number of chunk reads of one version that a host serves concurrently.
 const MAX_UPLOADS: u32 = 4;
 
-/// Longest time a question waits for news.
-const MAX_WAIT_MS: u64 = 5000;
+/// Longest time for which a status request waits for new chunks, in milliseconds.
+const MAX_STATUS_WAIT_MS: u64 = 5000;
 
-/// Which hosts a server answers for.
+/// Hosts whose weights a server offers.
 #[derive(Debug, Clone)]
 pub struct WeightsHosts {
     shared_key: String,
-    /// Hosts by the address they listen on.
-    hosts: Vec<(SocketAddr, Arc<WeightsShare>)>,
+    /// State of each host, sorted by the address that it listens on.
+    hosts: Vec<(SocketAddr, Arc<WeightsState>)>,
 }
 
 impl WeightsHosts {
-    /// A server of one host, whatever address it listens on.
-    pub fn one(share: Arc<WeightsShare>, shared_key: impl Into<String>) -> Self {
+    /// A single host, at any address.
+    pub fn single(weights: Arc<WeightsState>, shared_key: impl Into<String>) -> Self {
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
-        Self::many(vec![(unspecified, share)], shared_key)
+        Self::multiple(vec![(unspecified, weights)], shared_key)
     }
 
-    /// A server of several hosts, each with an address of its own.
-    pub fn many(
-        mut hosts: Vec<(SocketAddr, Arc<WeightsShare>)>,
+    /// Several hosts, each with an address of its own.
+    pub fn multiple(
+        mut hosts: Vec<(SocketAddr, Arc<WeightsState>)>,
         shared_key: impl Into<String>,
     ) -> Self {
         hosts.sort_unstable_by_key(|(address, _)| *address);
@@ -57,7 +57,8 @@
         }
     }
 
-    fn share(&self, request: &HttpRequest) -> Option<&Arc<WeightsShare>> {
+    /// State of the host that the request was sent to.
+    fn weights_state(&self, request: &HttpRequest) -> Option<&Arc<WeightsState>> {
         if let [(_, only)] = self.hosts.as_slice() {
             return Some(only);
         }
@@ -69,127 +70,142 @@
     }
 }
 
-/// Adds the routes of peers and of the engine.
-pub fn configure_weights(app: &mut ServiceConfig, hosts: WeightsHosts) {
+/// Adds the routes that peers and the engine of the host use.
+pub fn configure_weights_routes(app: &mut ServiceConfig, hosts: WeightsHosts) {
     app.app_data(web::Data::new(hosts))
-        .route("/x/weights/{manifest}/have", web::post().to(answer_have))
+        .route("/x/weights/{manifest}/have", web::post().to(handle_status))
         .route(
             "/x/weights/{manifest}/{index}",
-            web::post().to(answer_chunk),
+            web::post().to(handle_chunk),
         )
-        .route("/x/local/{manifest}", web::get().to(answer_whole));
+        .route("/x/local/{manifest}", web::get().to(handle_engine_read));
 }
 
-fn not_taking_part() -> HttpResponse {
+fn unknown_version_response() -> HttpResponse {
     HttpResponse::NotFound().body("this host does not hold the version")
 }
 
-/// Why a peer gets no answer.
+/// Why a request of a peer is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Refusal {
+enum PeerRefusal {
+    /// The request does not carry the shared key.
     WrongKey,
-    NotTakingPart,
+    /// This host does not track the version.
+    UnknownVersion,
+    /// The version is held on this host.
     Held,
 }
 
-impl Refusal {
+impl PeerRefusal {
     fn response(self) -> HttpResponse {
         match self {
             Self::WrongKey => HttpResponse::Unauthorized().body("wrong shared key"),
-            Self::NotTakingPart => not_taking_part(),
+            Self::UnknownVersion => unknown_version_response(),
             Self::Held => HttpResponse::Gone().body("this host can't proceed with the version"),
         }
     }
 }
 
-/// The host and version that a peer asks for.
-fn find(
+/// Host and version that a request of a peer is for.
+fn find_version(
     hosts: &WeightsHosts,
     request: &HttpRequest,
     manifest: &str,
-) -> Result<(Arc<WeightsShare>, Arc<WeightsVersion>), Refusal> {
+) -> Result<(Arc<WeightsState>, Arc<WeightsVersion>), PeerRefusal> {
     if !has_shared_key(request, &hosts.shared_key) {
-        return Err(Refusal::WrongKey);
+        return Err(PeerRefusal::WrongKey);
     }
-    let share = hosts.share(request).ok_or(Refusal::NotTakingPart)?;
+    let weights = hosts
+        .weights_state(request)
+        .ok_or(PeerRefusal::UnknownVersion)?;
     let digest = manifest.parse::<Digest>().ok();
-    let version = digest.and_then(|digest| share.version(digest));
-    let version = version.ok_or(Refusal::NotTakingPart)?;
-    if version.held().is_some() {
-        return Err(Refusal::Held);
+    let version = digest.and_then(|digest| weights.version(digest));
+    let version = version.ok_or(PeerRefusal::UnknownVersion)?;
+    if version.hold_reason().is_some() {
+        return Err(PeerRefusal::Held);
     }
-    Ok((Arc::clone(share), version))
+    Ok((Arc::clone(weights), version))
 }
 
-async fn answer_have(
+/// Responds with the status of this host; waits for chunks that the peer does not know of.
+async fn handle_status(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
     manifest: web::Path<String>,
     body: Bytes,
 ) -> HttpResponse {
-    let (share, version) = match find(&hosts, &request, &manifest) {
+    let (weights, version) = match find_version(&hosts, &request, &manifest) {
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = decode_rmp::<PeerRequest>(&body) else {
-        return HttpResponse::BadRequest().body("the question does not decode");
+    let Ok(peer_request) = decode_rmp::<PeerRequest>(&body) else {
+        return HttpResponse::BadRequest().body("the request body could not be decoded");
     };
-    let known = question.known;
-    let wait = Duration::from_millis(question.wait_ms.min(MAX_WAIT_MS));
-    version.keep_question(question);
-    // A question that outlives its time is answered with what there is.
-    let _ = timeout(wait, wait_for_news(&version, known)).await;
-    match version.note() {
-        Some(note) => {
-            share.count_control(control_bytes(&body, &note), "asked");
-            rmp_response(&note)
+    let known = peer_request.known;
+    let wait = Duration::from_millis(peer_request.wait_ms.min(MAX_STATUS_WAIT_MS));
+    version.add_peer_request(peer_request);
+    // After the timeout the current status is sent.
+    let _ = timeout(wait, wait_for_new_chunks(&version, known)).await;
+    match version.peer_status() {
+        Some(status) => {
+            weights.record_control_traffic(status_bytes(&body, &status), "asked");
+            rmp_response(&status)
         }
-        None => not_taking_part(),
+        None => unknown_version_response(),
     }
 }
 
-fn control_bytes(question: &Bytes, note: &PeerStatus) -> u64 {
-    question.len() as u64 + note.have.encode().len() as u64
+/// Size of a status request and its response, in bytes.
+fn status_bytes(peer_request: &Bytes, status: &PeerStatus) -> u64 {
+    peer_request.len() as u64 + status.have.encode().len() as u64
 }
 
-async fn wait_for_news(version: &WeightsVersion, known: u32) {
+/// Waits until the version holds more than `known` chunks.
+async fn wait_for_new_chunks(version: &WeightsVersion, known: u32) {
     loop {
         let generation = version.signal.generation();
-        if version.have().is_some_and(|have| have.held_count() > known) {
+        if version
+            .held_chunks()
+            .is_some_and(|have| have.held_count() > known)
+        {
             return;
         }
-        version.signal.changed_since(generation).await;
+        version.signal.wait_for_change(generation).await;
     }
 }
 
-async fn answer_chunk(
+/// Sends one chunk to a peer at the rate of the links, or responds that it is busy.
+async fn handle_chunk(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
     path: web::Path<(String, u32)>,
     body: Bytes,
 ) -> HttpResponse {
     let (manifest, index) = path.into_inner();
-    let (share, version) = match find(&hosts, &request, &manifest) {
+    let (weights, version) = match find_version(&hosts, &request, &manifest) {
         Ok(found) => found,
         Err(refusal) => return refusal.response(),
     };
-    let Ok(question) = decode_rmp::<PeerRequest>(&body) else {
-        return HttpResponse::BadRequest().body("the question does not decode");
+    let Ok(peer_request) = decode_rmp::<PeerRequest>(&body) else {
+        return HttpResponse::BadRequest().body("the request body could not be decoded");
     };
-    let region = question.region.clone();
-    version.keep_question(question);
-    share.count_control(body.len() as u64, "asked");
+    let region = peer_request.region.clone();
+    version.add_peer_request(peer_request);
+    weights.record_control_traffic(body.len() as u64, "asked");
     let Some(chunk) = version.chunk(index) else {
         return frame_response(&version, ReadOutcome::Absent, Bytes::new());
     };
-    if share.links.is_clogged(&region) {
+    if weights.links.is_congested(&region) {
         return frame_response(&version, ReadOutcome::Busy, Bytes::new());
     }
     let Some(_upload) = version.start_upload(MAX_UPLOADS) else {
         return frame_response(&version, ReadOutcome::Busy, Bytes::new());
     };
-    share.links.send(chunk.len() as u64, &region).await;
-    share.metrics.add(
+    weights
+        .links
+        .wait_for_upload(chunk.len() as u64, &region)
+        .await;
+    weights.metrics.add(
         CounterKind::WeightBytes,
         chunk.len() as u64,
         "direction",
@@ -198,37 +214,39 @@
     frame_response(&version, ReadOutcome::Sent, chunk)
 }
 
+/// Response with a chunk frame; `chunk` is empty unless the outcome is `Sent`.
 fn frame_response(version: &WeightsVersion, outcome: ReadOutcome, chunk: Bytes) -> HttpResponse {
-    let Some(note) = version.note() else {
-        return not_taking_part();
+    let Some(status) = version.peer_status() else {
+        return unknown_version_response();
     };
-    let Some(head) = ChunkFrame::encode_header(outcome, note) else {
-        return HttpResponse::InternalServerError().body("the head does not encode");
+    let Some(header) = ChunkFrame::encode_header(outcome, status) else {
+        return HttpResponse::InternalServerError().body("the frame header could not be encoded");
     };
-    let size = (head.len() + chunk.len()) as u64;
-    let parts = [Bytes::from(head), chunk].map(Ok::<_, actix_web::Error>);
+    let size = (header.len() + chunk.len()) as u64;
+    let parts = [Bytes::from(header), chunk].map(Ok::<_, actix_web::Error>);
     HttpResponse::Ok().body(SizedStream::new(size, stream::iter(parts)))
 }
 
-async fn answer_whole(
+/// Streams all chunks of a verified version to the engine of this host.
+async fn handle_engine_read(
     hosts: web::Data<WeightsHosts>,
     request: HttpRequest,
     manifest: web::Path<String>,
 ) -> HttpResponse {
-    let local = request.peer_addr().is_some_and(|peer| {
+    let is_local = request.peer_addr().is_some_and(|peer| {
         peer.ip() == request.app_config().local_addr().ip() || peer.ip().is_loopback()
     });
-    let whole = hosts
-        .share(&request)
+    let chunks = hosts
+        .weights_state(&request)
         .zip(manifest.parse::<Digest>().ok())
-        .and_then(|(share, digest)| share.version(digest))
-        .and_then(|version| version.whole());
-    match whole {
-        Some(chunks) if local => {
+        .and_then(|(weights, digest)| weights.version(digest))
+        .and_then(|version| version.loadable_chunks());
+    match chunks {
+        Some(chunks) if is_local => {
             let parts = chunks.into_iter().map(Ok::<_, actix_web::Error>);
             HttpResponse::Ok().body(BodyStream::new(stream::iter(parts)))
         }
-        Some(_) => HttpResponse::Forbidden().body("only the engine of this host reads here"),
-        None => not_taking_part(),
+        Some(_) => HttpResponse::Forbidden().body("only the engine of this host may read here"),
+        None => unknown_version_response(),
     }
 }
--- a/src/endpoint/weights_links.rs
+++ b/src/endpoint/weights_links.rs
@@ -9,49 +9,53 @@
 
 use crate::links::TokenBucket;
 
-/// Time a link may have been idle and still be made up for.
+/// Burst that a link lets through after it was idle, as time at its full rate, in
+/// milliseconds.
 const BURST_MS: u64 = 30;
 
-/// Backlog of a link between regions beyond which reads are turned away.
+/// Backlog of a link between regions above which reads are refused as busy, in milliseconds.
 const MAX_BACKLOG_MS: u64 = 1000;
 
-/// A link shared by several transfers.
+/// Rate-limited network link that several transfers share.
 #[derive(Debug)]
 pub struct WeightLink {
     started: Instant,
     bucket: Mutex<TokenBucket>,
     full_rate_bytes_per_s: u64,
     reduced_rate_bytes_per_s: u64,
-    passed_bytes: AtomicU64,
+    transferred_bytes: AtomicU64,
 }
 
 impl WeightLink {
-    /// A link of `rate_bytes_per_s`, of which `live_share_percent` is left to
-    /// live requests while any runs.
+    /// Link with a rate of `rate_bytes_per_s`; 0 means no limit.
+    ///
+    /// `live_share_percent` of the rate is left to live requests while any of them run.
     pub fn new(rate_bytes_per_s: u64, live_share_percent: u64) -> Arc<Self> {
         let burst_bytes = rate_bytes_per_s.saturating_mul(BURST_MS) / 1000;
-        let left_percent = 100 - live_share_percent.min(99);
+        let reduced_percent = 100 - live_share_percent.min(99);
         Arc::new(Self {
             started: Instant::now(),
             bucket: Mutex::new(TokenBucket::new(rate_bytes_per_s, burst_bytes)),
             full_rate_bytes_per_s: rate_bytes_per_s,
-            reduced_rate_bytes_per_s: (rate_bytes_per_s.saturating_mul(left_percent) / 100)
+            // At least 1 for a link with a limit, as 0 means no limit.
+            reduced_rate_bytes_per_s: (rate_bytes_per_s.saturating_mul(reduced_percent) / 100)
                 .max(u64::from(rate_bytes_per_s > 0)),
-            passed_bytes: AtomicU64::new(0),
+            transferred_bytes: AtomicU64::new(0),
         })
     }
 
-    /// Waits until `bytes` have passed, after all that came before.
-    pub async fn pass(&self, bytes: u64) {
+    /// Reserves `bytes` and waits until they have been transferred.
+    pub async fn wait_for_transfer(&self, bytes: u64) {
         let wait_us = self.reserve(bytes);
         if wait_us > 0 {
             sleep(Duration::from_micros(wait_us)).await;
         }
     }
 
-    /// Takes the next `bytes` of the link and returns the time until they have passed.
+    /// Reserves the next `bytes` of the link and returns the time until they have been
+    /// transferred, in microseconds.
     pub fn reserve(&self, bytes: u64) -> u64 {
-        self.passed_bytes.fetch_add(bytes, Ordering::Relaxed);
+        self.transferred_bytes.fetch_add(bytes, Ordering::Relaxed);
         let now_us = self.now_us();
         self.bucket
             .lock()
@@ -59,7 +63,7 @@
             .reserve(now_us, bytes)
     }
 
-    /// Time until what is reserved has passed.
+    /// Time until all reserved bytes have been transferred, in milliseconds.
     pub fn backlog_ms(&self) -> u64 {
         let now_us = self.now_us();
         let bucket = self.bucket.lock().expect("no holder of the bucket panics");
@@ -70,14 +74,14 @@
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Bytes let through so far.
-    pub fn passed_bytes(&self) -> u64 {
-        self.passed_bytes.load(Ordering::Relaxed)
+    /// Bytes transferred so far, counted when they are reserved.
+    pub fn transferred_bytes(&self) -> u64 {
+        self.transferred_bytes.load(Ordering::Relaxed)
     }
 
-    /// Yields to live requests, or takes the whole link again.
-    pub fn set_live(&self, live: bool) {
-        let rate_bytes_per_s = match live {
+    /// Reduces the rate while live requests run, and restores it afterwards.
+    pub fn set_has_live_requests(&self, has_live_requests: bool) {
+        let rate_bytes_per_s = match has_live_requests {
             true => self.reduced_rate_bytes_per_s,
             false => self.full_rate_bytes_per_s,
         };
@@ -88,38 +92,38 @@
     }
 }
 
-/// The links of one host.
+/// Network links of one host.
 #[derive(Debug, Clone)]
 pub struct WeightLinks {
-    /// Towards other hosts.
+    /// Link for uploads to other hosts.
     pub up: Arc<WeightLink>,
-    /// From other hosts and the origin.
+    /// Link for downloads from other hosts and the origin.
     pub down: Arc<WeightLink>,
-    /// Towards each other region, by name of the region.
-    pub crossings: Vec<(String, Arc<WeightLink>)>,
+    /// Links to other regions with a limit of their own, by name of the region.
+    pub region_links: Vec<(String, Arc<WeightLink>)>,
 }
 
 impl WeightLinks {
-    /// Links of the given rates, without limits between regions.
+    /// Links with the given rates and no limits between regions.
     pub fn new(up_bytes_per_s: u64, down_bytes_per_s: u64, live_share_percent: u64) -> Self {
         Self {
             up: WeightLink::new(up_bytes_per_s, live_share_percent),
             down: WeightLink::new(down_bytes_per_s, live_share_percent),
-            crossings: Vec::new(),
+            region_links: Vec::new(),
         }
     }
 
-    /// Whether so much waits for `region` that more would only time out.
-    pub fn is_clogged(&self, region: &str) -> bool {
-        let crossing = self.crossings.iter().find(|(name, _)| name == region);
-        crossing.is_some_and(|(_, link)| link.backlog_ms() > MAX_BACKLOG_MS)
+    /// Whether the backlog to `region` is so long that further reads would time out.
+    pub fn is_congested(&self, region: &str) -> bool {
+        let region_link = self.region_links.iter().find(|(name, _)| name == region);
+        region_link.is_some_and(|(_, link)| link.backlog_ms() > MAX_BACKLOG_MS)
     }
 
-    /// Waits until `bytes` have left for a host in `region`.
-    pub async fn send(&self, bytes: u64, region: &str) {
-        let crossing = self.crossings.iter().find(|(name, _)| name == region);
-        let crossing_us = crossing.map_or(0, |(_, link)| link.reserve(bytes));
+    /// Reserves `bytes` for a host in `region` and waits until they have been sent.
+    pub async fn wait_for_upload(&self, bytes: u64, region: &str) {
+        let region_link = self.region_links.iter().find(|(name, _)| name == region);
+        let region_link_us = region_link.map_or(0, |(_, link)| link.reserve(bytes));
         let up_us = self.up.reserve(bytes);
-        sleep(Duration::from_micros(crossing_us.max(up_us))).await;
+        sleep(Duration::from_micros(region_link_us.max(up_us))).await;
     }
 }
--- a/src/endpoint/weights_signal.rs
+++ b/src/endpoint/weights_signal.rs
@@ -4,20 +4,22 @@
 use std::task::Poll;
 use std::task::Waker;
 
+/// Tasks that wait for a change.
 #[derive(Debug, Default)]
 struct Waiters {
+    /// Number of changes so far.
     generation: u64,
     wakers: Vec<Waker>,
 }
 
-/// Wakes tasks of any thread when something has changed.
+/// Wakes waiting tasks, on any thread, after a change.
 #[derive(Debug, Default)]
-pub(super) struct Signal {
+pub(super) struct ChangeSignal {
     waiters: Mutex<Waiters>,
 }
 
-impl Signal {
-    fn waiters(&self) -> MutexGuard<'_, Waiters> {
+impl ChangeSignal {
+    fn lock_waiters(&self) -> MutexGuard<'_, Waiters> {
         self.waiters
             .lock()
             .expect("no holder of the waiters panics")
@@ -25,13 +27,13 @@
 
     /// Number of changes so far.
     pub(super) fn generation(&self) -> u64 {
-        self.waiters().generation
+        self.lock_waiters().generation
     }
 
-    /// Wakes all that wait.
-    pub(super) fn raise(&self) {
+    /// Records a change and wakes all waiting tasks.
+    pub(super) fn notify(&self) {
         let wakers = {
-            let mut waiters = self.waiters();
+            let mut waiters = self.lock_waiters();
             waiters.generation += 1;
             std::mem::take(&mut waiters.wakers)
         };
@@ -40,10 +42,10 @@
         }
     }
 
-    /// Waits until there were changes after `generation`.
-    pub(super) async fn changed_since(&self, generation: u64) {
+    /// Waits until there is a change after `generation`.
+    pub(super) async fn wait_for_change(&self, generation: u64) {
         poll_fn(|context| {
-            let mut waiters = self.waiters();
+            let mut waiters = self.lock_waiters();
             if waiters.generation > generation {
                 return Poll::Ready(());
             }
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -2,9 +2,9 @@
 
 use actix::Addr;
 
-use super::StageName;
 use super::SwarmMember;
-use super::Transfer;
+use super::VersionStageKind;
+use super::WeightsTransfer;
 use super::WeightsVersion;
 use crate::document::ModelSection;
 use crate::hosts::HostedVersion;
@@ -12,29 +12,34 @@
 use crate::weights::Digest;
 use crate::weights::HoldReason;
 
-/// First pause after a failure; doubles with each further one.
-const FIRST_PAUSE_MS: u64 = 250;
+/// Backoff after the first failure, in milliseconds; it doubles with each further one.
+const INITIAL_BACKOFF_MS: u64 = 250;
 
-/// Longest pause after failures.
-const MAX_PAUSE_MS: u64 = 10_000;
+/// Longest backoff after repeated failures, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 10_000;
 
-/// Steps in which progress is reported, as each is a report of its own.
-const PERCENT_STEPS: u64 = 10;
+/// Number of steps in which progress is reported; each step causes a report to the entries.
+const PROGRESS_STEPS: u64 = 10;
 
 /// One version that this host serves or should serve.
 pub(super) struct TrackedVersion {
+    /// Section of the model in the configuration that wanted the version.
     pub(super) model: ModelSection,
     pub(super) version: Arc<WeightsVersion>,
-    pub(super) transfer: Option<Addr<Transfer>>,
+    /// The transfer, once it has been started.
+    pub(super) transfer: Option<Addr<WeightsTransfer>>,
+    /// Hosts that the transfer was last given.
     pub(super) members: Vec<SwarmMember>,
-    /// Manifest of the base; adapters only, once known.
+    /// Manifest of the base model; adapters only, once the adapter's manifest is known.
     pub(super) base: Option<Digest>,
-    /// Why it waits, though not for good.
-    pub(super) waiting: Option<HoldReason>,
-    /// When it left the report; its engine drops it some time later.
+    /// Why the version is held until its next attempt, if it is.
+    pub(super) temporary_hold: Option<HoldReason>,
+    /// When the version was left out of the reports; the engine unloads it some time later.
     pub(super) retired_ms: Option<u64>,
+    /// Failures in a row.
     failures: u32,
-    retry_ms: u64,
+    /// Earliest time of the next attempt.
+    next_attempt_ms: u64,
 }
 
 impl TrackedVersion {
@@ -45,51 +50,63 @@
             transfer: None,
             members: Vec::new(),
             base: None,
-            waiting: None,
+            temporary_hold: None,
             retired_ms: None,
             failures: 0,
-            retry_ms: 0,
+            next_attempt_ms: 0,
         }
     }
 
+    /// Digest of the manifest.
     pub(super) fn digest(&self) -> Digest {
         self.version.digest()
     }
 
-    pub(super) fn serves(&self) -> bool {
-        self.version.stage_name() == StageName::Serving
+    /// Whether the engine serves the version.
+    pub(super) fn is_serving(&self) -> bool {
+        self.version.stage_kind() == VersionStageKind::Serving
     }
 
-    /// Whether the pause after the last failure is over.
-    pub(super) fn is_due(&self, now_ms: u64) -> bool {
-        now_ms >= self.retry_ms
+    /// Whether the backoff after the last failure is over.
+    pub(super) fn is_retry_due(&self, now_ms: u64) -> bool {
+        now_ms >= self.next_attempt_ms
     }
 
-    /// Notes a failure: the next try waits, and at least `wait_ms`.
-    pub(super) fn failed(&mut self, cause: Option<HoldReason>, wait_ms: u64, now_ms: u64) {
+    /// Records a failure; the next attempt waits for the backoff and at least `min_wait_ms`.
+    pub(super) fn record_failure(
+        &mut self,
+        cause: Option<HoldReason>,
+        min_wait_ms: u64,
+        now_ms: u64,
+    ) {
         self.failures += 1;
-        let own_ms = FIRST_PAUSE_MS << (self.failures - 1).min(8);
-        self.retry_ms = now_ms + own_ms.min(MAX_PAUSE_MS).max(wait_ms);
-        self.waiting = cause;
+        let backoff_ms = INITIAL_BACKOFF_MS << (self.failures - 1).min(8);
+        self.next_attempt_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS).max(min_wait_ms);
+        self.temporary_hold = cause;
     }
 
-    /// Notes that the last step worked.
-    pub(super) fn succeeded(&mut self) {
+    /// Records that the last step succeeded, which ends the backoff.
+    pub(super) fn record_success(&mut self) {
         self.failures = 0;
-        self.retry_ms = 0;
-        self.waiting = None;
+        self.next_attempt_ms = 0;
+        self.temporary_hold = None;
     }
 
-    /// What the reports say of it; None once it is retired.
+    /// Status of the version in this host's reports; `None` once it is retired.
     pub(super) fn report(&self) -> Option<HostedVersion> {
         if self.retired_ms.is_some() {
             return None;
         }
-        let held = self.version.held().or_else(|| self.waiting.clone());
-        let progress = match (self.version.stage_name(), &held) {
-            (StageName::Serving, _) => VersionProgress::Serving,
+        let held = self
+            .version
+            .hold_reason()
+            .or_else(|| self.temporary_hold.clone());
+        let progress = match (self.version.stage_kind(), &held) {
+            (VersionStageKind::Serving, _) => VersionProgress::Serving,
             (_, Some(_)) => VersionProgress::Held,
-            (StageName::Verified | StageName::Loaded, None) => VersionProgress::Verified,
+            (VersionStageKind::Verified | VersionStageKind::Loaded, None) => {
+                VersionProgress::Verified
+            }
             (_, None) => VersionProgress::Fetching,
         };
         Some(HostedVersion {
@@ -102,14 +119,15 @@
         })
     }
 
+    /// Percentage of the chunks held, rounded down to a step.
     fn present_percent(&self) -> u8 {
-        if self.serves() {
+        if self.is_serving() {
             return 100;
         }
-        let percent = self.version.have().map_or(0, |have| {
-            let steps =
-                u64::from(have.held_count()) * PERCENT_STEPS / u64::from(have.chunk_count().max(1));
-            steps * 100 / PERCENT_STEPS
+        let percent = self.version.held_chunks().map_or(0, |have| {
+            let steps = u64::from(have.held_count()) * PROGRESS_STEPS
+                / u64::from(have.chunk_count().max(1));
+            steps * 100 / PROGRESS_STEPS
         });
         u8::try_from(percent).unwrap_or(100)
     }
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -14,9 +14,9 @@
 use actix_web::http::Method;
 use bytes::Bytes;
 
-use super::StageName;
 use super::SwarmMember;
-use super::WeightsShare;
+use super::VersionStageKind;
+use super::WeightsState;
 use super::WeightsVersion;
 use crate::clients::OriginClient;
 use crate::clients::OriginError;
@@ -40,84 +40,86 @@
 use crate::weights::SwarmSettings;
 use crate::weights::SwarmState;
 
-/// Time between two looks at the plan when nothing happens.
-const TICK_MS: u64 = 100;
+/// Interval at which fetches are planned when no fetch or probe ends, in milliseconds.
+const PLAN_INTERVAL_MS: u64 = 100;
 
-/// Time beyond its waiting time after which a question is given up.
-const PROBE_SLACK_MS: u64 = 1500;
+/// Time by which the timeout of a probe exceeds the wait at the peer, in milliseconds.
+const PROBE_TIMEOUT_MARGIN_MS: u64 = 1500;
 
-/// What a transfer needs beside the share.
+/// Clients and limits of a transfer.
 #[derive(Debug, Clone)]
 pub struct TransferOptions {
-    /// Where weights come from.
+    /// Client of the origin of the weights.
     pub origin: OriginClient,
     /// Region of the origin.
     pub origin_region: String,
-    /// Client towards peers.
+    /// HTTP client for requests to peers.
     pub http: HttpClient,
-    /// Limits.
+    /// Limits of planning and probing.
     pub swarm: SwarmSettings,
-    /// Time for one chunk from a peer.
-    pub peer_wait_ms: u64,
-    /// Time for one chunk from the origin.
-    pub origin_wait_ms: u64,
+    /// Timeout for one chunk from a peer, in milliseconds.
+    pub peer_timeout_ms: u64,
+    /// Timeout for one chunk from the origin, in milliseconds.
+    pub origin_timeout_ms: u64,
 }
 
-/// The list of hosts that want the version has changed.
+/// Message with the new list of the hosts that fetch the version.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct SetMembers(pub Vec<SwarmMember>);
 
-/// The version is not wanted any more.
+/// Message that ends the transfer, as the version is not wanted any more.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct StopTransfer;
 
-/// Result of one read.
+/// Result of fetching one chunk, by source.
 #[derive(Debug)]
-enum ReadResult {
+enum FetchResult {
     Peer(Result<ChunkFrame, LinkError>),
     Origin(Result<Bytes, OriginError>),
 }
 
-/// Fetches one version to this host.
-pub struct Transfer {
-    share: Arc<WeightsShare>,
+/// Fetches one version to this host, from peers and the origin.
+pub struct WeightsTransfer {
+    weights: Arc<WeightsState>,
     version: Arc<WeightsVersion>,
     options: TransferOptions,
     swarm: SwarmState,
+    // Addresses of the members, sorted by name.
     addresses: Vec<(String, SocketAddr)>,
     started: Instant,
 }
 
-impl Transfer {
-    /// A transfer of `manifest` among `members`, which hold this host.
+impl WeightsTransfer {
+    /// Transfer of the version of `manifest` among `members`, which include this host.
     ///
-    /// The version moves on to fetching or, when it doesn't fit, is held.
+    /// The version moves on to fetching. `None` if it can't, as when it doesn't fit into the
+    /// memory budget; the version is then held.
     pub fn new(
-        share: Arc<WeightsShare>,
+        weights: Arc<WeightsState>,
         manifest: Manifest,
         members: &[SwarmMember],
         options: TransferOptions,
     ) -> Option<Self> {
         let digest = manifest.digest();
-        let version = share.announce(digest);
-        if version.begin(manifest, &share.budget) != StageName::Fetching {
+        let version = weights.ensure_version(digest);
+        if version.start_fetching(manifest, &weights.budget) != VersionStageKind::Fetching {
             return None;
         }
-        let have = version.have()?;
+        let held_chunks = version.held_chunks()?;
         let hosts = members.iter().map(|member| member.host.clone()).collect();
         let swarm = SwarmState::new(
             digest,
-            have,
+            held_chunks,
             hosts,
-            &share.host,
+            &weights.host,
             &options.origin_region,
             options.swarm.clone(),
             0,
         );
         Some(Self {
-            share,
+            weights,
             version,
             options,
             swarm,
@@ -126,19 +128,20 @@
         })
     }
 
+    /// Time since the transfer started, in milliseconds.
     fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Starts what the plan says now.
-    fn drive(&mut self, ctx: &mut Context<Self>) {
-        if self.version.stage_name() != StageName::Fetching {
+    /// Starts the fetches and probes that are due, or stops once fetching has ended.
+    fn run_next_actions(&mut self, ctx: &mut Context<Self>) {
+        if self.version.stage_kind() != VersionStageKind::Fetching {
             ctx.stop();
             return;
         }
-        for question in self.version.take_questions() {
-            if let Some(peer) = self.swarm.peer_key(&question.host) {
-                self.swarm.record_peer_status(peer, &question.have, 0);
+        for request in self.version.take_peer_requests() {
+            if let Some(peer) = self.swarm.peer_key(&request.host) {
+                self.swarm.record_peer_status(peer, &request.have, 0);
             }
         }
         let actions = self.swarm.next_actions(self.now_ms());
@@ -150,7 +153,8 @@
         }
     }
 
-    fn address(&self, peer: PeerKey) -> Option<SocketAddr> {
+    /// Address of a peer; `None` if it is not a member any more.
+    fn peer_address(&self, peer: PeerKey) -> Option<SocketAddr> {
         let name = &self.swarm.host(peer).name;
         let at = self
             .addresses
@@ -159,150 +163,166 @@
         Some(self.addresses[at].1)
     }
 
-    fn question(&self, known: u32, wait_ms: u64) -> PeerRequest {
+    /// Request to a peer that is known to hold `known` chunks and may wait `wait_ms` for more.
+    fn peer_request(&self, known: u32, wait_ms: u64) -> PeerRequest {
         PeerRequest {
-            host: self.share.host.clone(),
-            region: self.share.region.clone(),
+            host: self.weights.host.clone(),
+            region: self.weights.region.clone(),
             have: self.swarm.held_chunks().clone(),
             known,
             wait_ms,
         }
     }
 
+    /// Fetches a chunk in the background.
     fn start_fetch(&mut self, fetch: ChunkFetch, ctx: &mut Context<Self>) {
         let digest = self.version.digest();
-        let share = Arc::clone(&self.share);
+        let weights = Arc::clone(&self.weights);
         match fetch.source {
             ChunkSource::Origin => {
                 let origin = self.options.origin.clone();
-                let wait_ms = self.options.origin_wait_ms;
-                let reading = async move {
-                    let result = origin.fetch_chunk(digest, fetch.chunk, wait_ms).await;
+                let timeout_ms = self.options.origin_timeout_ms;
+                let read = async move {
+                    let result = origin.fetch_chunk(digest, fetch.chunk, timeout_ms).await;
                     if let Ok(bytes) = &result {
-                        share.links.down.pass(bytes.len() as u64).await;
+                        weights
+                            .links
+                            .down
+                            .wait_for_transfer(bytes.len() as u64)
+                            .await;
                     }
-                    ReadResult::Origin(result)
+                    FetchResult::Origin(result)
                 };
                 ctx.spawn(
-                    reading
-                        .into_actor(self)
-                        .map(move |result, act, ctx| act.finish(fetch, result, ctx)),
+                    read.into_actor(self)
+                        .map(move |result, act, ctx| act.finish_fetch(fetch, result, ctx)),
                 );
             }
             ChunkSource::Peer(peer) => {
-                let Some(address) = self.address(peer) else {
+                let Some(address) = self.peer_address(peer) else {
                     let now_ms = self.now_ms();
                     self.swarm
                         .peer_fetch_failed(fetch, PeerFailure::Unreachable, now_ms);
                     return;
                 };
                 let url = format!("http://{address}/x/weights/{digest}/{}", fetch.chunk);
-                let question = self.question(0, 0);
+                let request = self.peer_request(0, 0);
                 let http = self.options.http.clone();
-                let wait_ms = self.options.peer_wait_ms;
-                let reading = async move {
-                    let result = read_from_peer(&http, &url, &question, wait_ms).await;
-                    let body_bytes = question.have.encode().len() as u64;
-                    share.count_control(body_bytes, "asking");
+                let timeout_ms = self.options.peer_timeout_ms;
+                let read = async move {
+                    let result = read_from_peer(&http, &url, &request, timeout_ms).await;
+                    let body_bytes = request.have.encode().len() as u64;
+                    weights.record_control_traffic(body_bytes, "asking");
                     if let Ok(frame) = &result {
-                        share.links.down.pass(frame.chunk.len() as u64).await;
+                        weights
+                            .links
+                            .down
+                            .wait_for_transfer(frame.chunk.len() as u64)
+                            .await;
                     }
-                    ReadResult::Peer(result)
+                    FetchResult::Peer(result)
                 };
                 ctx.spawn(
-                    reading
-                        .into_actor(self)
-                        .map(move |result, act, ctx| act.finish(fetch, result, ctx)),
+                    read.into_actor(self)
+                        .map(move |result, act, ctx| act.finish_fetch(fetch, result, ctx)),
                 );
             }
         }
     }
 
+    /// Requests the status of a peer in the background.
     fn start_probe(&mut self, probe: PeerProbe, ctx: &mut Context<Self>) {
-        let Some(address) = self.address(probe.peer) else {
+        let Some(address) = self.peer_address(probe.peer) else {
             let now_ms = self.now_ms();
             self.swarm
                 .probe_failed(probe.peer, PeerFailure::Unreachable, now_ms);
             return;
         };
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
-        let question = self.question(probe.known_chunks, probe.wait_ms);
+        let request = self.peer_request(probe.known_chunks, probe.wait_ms);
         let http = self.options.http.clone();
-        let wait_ms = probe.wait_ms + PROBE_SLACK_MS;
-        let share = Arc::clone(&self.share);
-        let asking = async move {
-            let result = http.call_rmp::<PeerStatus>(&url, &question, wait_ms).await;
-            let body_bytes = 2 * question.have.encode().len() as u64;
-            share.count_control(body_bytes, "asking");
+        let timeout_ms = probe.wait_ms + PROBE_TIMEOUT_MARGIN_MS;
+        let weights = Arc::clone(&self.weights);
+        let probing = async move {
+            let result = http
+                .call_rmp::<PeerStatus>(&url, &request, timeout_ms)
+                .await;
+            let body_bytes = 2 * request.have.encode().len() as u64;
+            weights.record_control_traffic(body_bytes, "asking");
             result
         };
-        ctx.spawn(asking.into_actor(self).map(move |result, act, ctx| {
+        ctx.spawn(probing.into_actor(self).map(move |result, act, ctx| {
             let now_ms = act.now_ms();
             match result {
-                Ok(note) => act.swarm.probe_answered(probe.peer, &note),
+                Ok(status) => act.swarm.probe_answered(probe.peer, &status),
                 Err(error) => {
-                    act.share.metrics.record_retry(question_label(&error));
-                    act.swarm.probe_failed(probe.peer, failure(&error), now_ms);
+                    act.weights.metrics.record_retry(probe_error_label(&error));
+                    act.swarm
+                        .probe_failed(probe.peer, peer_failure(&error), now_ms);
                 }
             }
-            act.drive(ctx);
+            act.run_next_actions(ctx);
         }));
     }
 
-    fn finish(&mut self, fetch: ChunkFetch, result: ReadResult, ctx: &mut Context<Self>) {
+    /// Records the result of a fetch and plans further ones.
+    fn finish_fetch(&mut self, fetch: ChunkFetch, result: FetchResult, ctx: &mut Context<Self>) {
         let now_ms = self.now_ms();
         match (result, fetch.source) {
-            (ReadResult::Origin(Ok(bytes)), _) => self.take_chunk(fetch, bytes, "origin"),
-            (ReadResult::Origin(Err(error)), _) => {
+            (FetchResult::Origin(Ok(bytes)), _) => self.store_chunk(fetch, bytes, "origin"),
+            (FetchResult::Origin(Err(error)), _) => {
                 let retry_after_ms = match error {
                     OriginError::RateLimited { retry_after_ms } => Some(retry_after_ms),
                     _ => None,
                 };
-                self.share.metrics.record_retry(error.label());
+                self.weights.metrics.record_retry(error.label());
                 self.swarm
                     .origin_fetch_failed(fetch, retry_after_ms, now_ms);
             }
-            (ReadResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
+            (FetchResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
                 self.swarm
                     .record_peer_status(peer, &frame.status.have, frame.status.queue);
                 match frame.outcome {
-                    ReadOutcome::Sent => self.take_chunk(fetch, frame.chunk, "peer"),
-                    ReadOutcome::Busy => self.defer(fetch, "peer_busy"),
+                    ReadOutcome::Sent => self.store_chunk(fetch, frame.chunk, "peer"),
+                    ReadOutcome::Busy => self.defer_fetch(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
-                        self.share.metrics.record_retry("peer_lacks_chunk");
+                        self.weights.metrics.record_retry("peer_lacks_chunk");
                         self.swarm.peer_lacks_chunk(fetch, &frame.status, now_ms);
                     }
                 }
             }
-            (ReadResult::Peer(Err(error)), _) => {
-                self.share.metrics.record_retry("peer_unavailable");
-                self.swarm.peer_fetch_failed(fetch, failure(&error), now_ms);
+            (FetchResult::Peer(Err(error)), _) => {
+                self.weights.metrics.record_retry("peer_unavailable");
+                self.swarm
+                    .peer_fetch_failed(fetch, peer_failure(&error), now_ms);
             }
-            (ReadResult::Peer(Ok(_)), ChunkSource::Origin) => {}
+            (FetchResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
-        self.drive(ctx);
+        self.run_next_actions(ctx);
     }
 
-    fn defer(&mut self, fetch: ChunkFetch, reason: &'static str) {
-        self.share.metrics.record_retry(reason);
+    /// Returns a fetch to the plan for a later attempt; `reason` is its metric label.
+    fn defer_fetch(&mut self, fetch: ChunkFetch, reason: &'static str) {
+        self.weights.metrics.record_retry(reason);
         let now_ms = self.now_ms();
         self.swarm.fetch_deferred(fetch, now_ms);
     }
 
-    fn take_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
+    /// Stores a received chunk or rejects it, and verifies the version after the last one.
+    fn store_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
         let now_ms = self.now_ms();
-        self.share.metrics.add(
+        self.weights.metrics.add(
             CounterKind::WeightBytes,
             bytes.len() as u64,
             "direction",
             from,
         );
-        match self.version.insert(fetch.chunk, bytes) {
+        match self.version.insert_chunk(fetch.chunk, bytes) {
             InsertOutcome::Stored | InsertOutcome::Duplicate => {
                 self.swarm.chunk_stored(fetch, now_ms)
             }
             InsertOutcome::Rejected(reason) => {
-                self.share
+                self.weights
                     .metrics
                     .add(CounterKind::ChunksRejected, 1, "reason", reason.label());
                 emit_event(
@@ -322,34 +342,38 @@
                 }
             }
         }
-        if self.swarm.held_chunks().is_complete() && self.version.verify() == StageName::Verified {
+        if self.swarm.held_chunks().is_complete()
+            && self.version.verify() == VersionStageKind::Verified
+        {
             let digest = self.version.digest();
             emit_event(Event::WeightsVerified, &[("manifest", &digest.short_hex())]);
         }
     }
 }
 
-impl Actor for Transfer {
+impl Actor for WeightsTransfer {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        self.drive(ctx);
-        ctx.run_interval(Duration::from_millis(TICK_MS), |act, ctx| act.drive(ctx));
+        self.run_next_actions(ctx);
+        ctx.run_interval(Duration::from_millis(PLAN_INTERVAL_MS), |act, ctx| {
+            act.run_next_actions(ctx)
+        });
     }
 }
 
-impl Handler<SetMembers> for Transfer {
+impl Handler<SetMembers> for WeightsTransfer {
     type Result = ();
 
     fn handle(&mut self, message: SetMembers, ctx: &mut Self::Context) {
         let hosts: Vec<SwarmHost> = message.0.iter().map(|member| member.host.clone()).collect();
         self.addresses = addresses(&message.0);
         self.swarm.set_hosts(&hosts);
-        self.drive(ctx);
+        self.run_next_actions(ctx);
     }
 }
 
-impl Handler<StopTransfer> for Transfer {
+impl Handler<StopTransfer> for WeightsTransfer {
     type Result = ();
 
     fn handle(&mut self, _: StopTransfer, ctx: &mut Self::Context) {
@@ -357,6 +381,7 @@
     }
 }
 
+/// Addresses of the members, sorted by name.
 fn addresses(members: &[SwarmMember]) -> Vec<(String, SocketAddr)> {
     let mut addresses: Vec<(String, SocketAddr)> = members
         .iter()
@@ -366,20 +391,22 @@
     addresses
 }
 
+/// Reads a chunk from a peer.
 async fn read_from_peer(
     http: &HttpClient,
     url: &str,
-    question: &PeerRequest,
+    request: &PeerRequest,
     wait_ms: u64,
 ) -> Result<ChunkFrame, LinkError> {
     let malformed = |cause: &str| LinkError::Malformed(cause.to_owned());
-    let body = rmp_serde::to_vec_named(question).map_err(|error| malformed(&error.to_string()))?;
+    let body = rmp_serde::to_vec_named(request).map_err(|error| malformed(&error.to_string()))?;
     let request = http.request(Method::POST, url);
     let answer = HttpClient::send_and_read(request, body, wait_ms).await?;
-    ChunkFrame::decode(&answer).ok_or_else(|| malformed("not a frame"))
+    ChunkFrame::decode(&answer).ok_or_else(|| malformed("not a chunk frame"))
 }
 
-fn failure(error: &LinkError) -> PeerFailure {
+/// Kind of failure that an error of a request to a peer stands for.
+fn peer_failure(error: &LinkError) -> PeerFailure {
     match error {
         LinkError::Status { status: 410, .. } => PeerFailure::Held,
         LinkError::Status { .. } => PeerFailure::Declined,
@@ -389,8 +416,8 @@
     }
 }
 
-/// Label in counters of a question that got no answer.
-fn question_label(error: &LinkError) -> &'static str {
+/// Metric label of a failed probe.
+fn probe_error_label(error: &LinkError) -> &'static str {
     match error {
         LinkError::NotSent(_) => "question_not_sent",
         LinkError::Broken(_) => "question_broken",
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-use super::weights_signal::Signal;
+use super::weights_signal::ChangeSignal;
 use crate::weights::Announced;
 use crate::weights::ChunkBitmap;
 use crate::weights::Digest;
@@ -25,60 +25,66 @@
 use crate::weights::Verified;
 use crate::weights::WeightsReplica;
 
-/// Questions kept until the transfer reads them.
-const MAX_QUESTIONS: usize = 64;
+/// Largest number of peer requests that are kept until the transfer reads them.
+const MAX_PEER_REQUESTS: usize = 64;
 
-/// How far a version has come on this host.
+/// Stage of a version on this host, with its chunks.
 #[derive(Debug)]
-pub(super) enum Stage {
+pub(super) enum VersionStage {
+    /// The version is wanted; its manifest is not known yet.
     Announced(WeightsReplica<Announced>),
+    /// Chunks are being fetched.
     Fetching(WeightsReplica<Fetching>),
+    /// All chunks are held and the content matches the manifest.
     Verified(WeightsReplica<Verified>),
+    /// The engine has loaded the version.
     Loaded(WeightsReplica<Loaded>),
+    /// The engine serves requests with the version; the chunks are kept for peers.
     Serving(WeightsReplica<Serving>),
-    /// The engine serves the version; its bytes were given up here.
-    Resident {
-        whole: Digest,
-    },
+    /// The engine serves the version; its chunks were released here.
+    EngineOnly { content_digest: Digest },
+    /// The version can't proceed for this reason.
     Held(HoldReason),
 }
 
-/// Name of a [`Stage`], for reports.
+/// Kind of a [`VersionStage`], without its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StageName {
-    /// Wanted; the manifest is not known yet.
+pub enum VersionStageKind {
+    /// The version is wanted; its manifest is not known yet.
     Announced,
-    /// Chunks are arriving.
+    /// Chunks are being fetched.
     Fetching,
-    /// All bytes are here and correct.
+    /// All chunks are held and the content matches the manifest.
     Verified,
-    /// The engine holds the version.
+    /// The engine has loaded the version.
     Loaded,
-    /// The replica answers requests.
+    /// The engine serves requests with the version.
     Serving,
     /// The version can't proceed.
     Held,
 }
 
-/// One version on this host, shared by the transfer and the HTTP handlers.
+/// A version on this host, shared by its transfer and the HTTP handlers.
 #[derive(Debug)]
 pub struct WeightsVersion {
     digest: Digest,
-    stage: Mutex<Stage>,
-    questions: Mutex<Vec<PeerRequest>>,
+    stage: Mutex<VersionStage>,
+    peer_requests: Mutex<Vec<PeerRequest>>,
+    // Number of uploads in progress.
     uploads: AtomicU32,
-    pub(super) signal: Signal,
+    /// Notified after each change of the stage or the chunks.
+    pub(super) signal: ChangeSignal,
 }
 
 impl WeightsVersion {
-    /// A version that is wanted here.
+    /// Version that is wanted here and of which only the digest is known.
     pub fn announced(digest: Digest) -> Arc<Self> {
         Arc::new(Self {
             digest,
-            stage: Mutex::new(Stage::Announced(WeightsReplica::announced(digest))),
-            questions: Mutex::default(),
+            stage: Mutex::new(VersionStage::Announced(WeightsReplica::announced(digest))),
+            peer_requests: Mutex::default(),
             uploads: AtomicU32::new(0),
-            signal: Signal::default(),
+            signal: ChangeSignal::default(),
         })
     }
 
@@ -87,244 +93,260 @@
         self.digest
     }
 
-    fn stage(&self) -> MutexGuard<'_, Stage> {
+    fn lock_stage(&self) -> MutexGuard<'_, VersionStage> {
         self.stage.lock().expect("no holder of the stage panics")
     }
 
-    /// How far the version has come.
-    pub fn stage_name(&self) -> StageName {
-        match &*self.stage() {
-            Stage::Announced(_) => StageName::Announced,
-            Stage::Fetching(_) => StageName::Fetching,
-            Stage::Verified(_) => StageName::Verified,
-            Stage::Loaded(_) => StageName::Loaded,
-            Stage::Serving(_) | Stage::Resident { .. } => StageName::Serving,
-            Stage::Held(_) => StageName::Held,
+    /// Kind of the current stage.
+    pub fn stage_kind(&self) -> VersionStageKind {
+        match &*self.lock_stage() {
+            VersionStage::Announced(_) => VersionStageKind::Announced,
+            VersionStage::Fetching(_) => VersionStageKind::Fetching,
+            VersionStage::Verified(_) => VersionStageKind::Verified,
+            VersionStage::Loaded(_) => VersionStageKind::Loaded,
+            VersionStage::Serving(_) | VersionStage::EngineOnly { .. } => VersionStageKind::Serving,
+            VersionStage::Held(_) => VersionStageKind::Held,
         }
     }
 
-    /// Why the version can't proceed, if so.
-    pub fn held(&self) -> Option<HoldReason> {
-        match &*self.stage() {
-            Stage::Held(held) => Some(held.clone()),
+    /// Why the version can't proceed; `None` unless it is held.
+    pub fn hold_reason(&self) -> Option<HoldReason> {
+        match &*self.lock_stage() {
+            VersionStage::Held(held) => Some(held.clone()),
             _ => None,
         }
     }
 
-    /// The manifest, once it is known.
+    /// The manifest; `None` while no chunks are kept.
     pub fn manifest(&self) -> Option<Arc<Manifest>> {
-        match &*self.stage() {
-            Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => Some(replica.manifest().clone()),
-            Stage::Verified(replica) => Some(replica.manifest().clone()),
-            Stage::Loaded(replica) => Some(replica.manifest().clone()),
-            Stage::Serving(replica) => Some(replica.manifest().clone()),
+        match &*self.lock_stage() {
+            VersionStage::Announced(_)
+            | VersionStage::EngineOnly { .. }
+            | VersionStage::Held(_) => None,
+            VersionStage::Fetching(replica) => Some(replica.manifest().clone()),
+            VersionStage::Verified(replica) => Some(replica.manifest().clone()),
+            VersionStage::Loaded(replica) => Some(replica.manifest().clone()),
+            VersionStage::Serving(replica) => Some(replica.manifest().clone()),
         }
     }
 
-    /// Whole digest of the weights that the engine serves; `None` if it does not.
-    pub fn serving_whole(&self) -> Option<Digest> {
-        match &*self.stage() {
-            Stage::Serving(replica) => Some(replica.manifest().whole),
-            Stage::Resident { whole } => Some(*whole),
+    /// Digest of the content that the engine serves; `None` if it does not serve the version.
+    pub fn serving_content_digest(&self) -> Option<Digest> {
+        match &*self.lock_stage() {
+            VersionStage::Serving(replica) => Some(replica.manifest().whole),
+            VersionStage::EngineOnly { content_digest } => Some(*content_digest),
             _ => None,
         }
     }
 
-    /// Chunks held; None before the manifest is known.
-    pub fn have(&self) -> Option<ChunkBitmap> {
-        match &*self.stage() {
-            Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => Some(replica.held_chunks().clone()),
-            Stage::Verified(replica) => Some(replica.held_chunks().clone()),
-            Stage::Loaded(replica) => Some(replica.held_chunks().clone()),
-            Stage::Serving(replica) => Some(replica.held_chunks().clone()),
+    /// Set of the chunks held; `None` while no chunks are kept.
+    pub fn held_chunks(&self) -> Option<ChunkBitmap> {
+        match &*self.lock_stage() {
+            VersionStage::Announced(_)
+            | VersionStage::EngineOnly { .. }
+            | VersionStage::Held(_) => None,
+            VersionStage::Fetching(replica) => Some(replica.held_chunks().clone()),
+            VersionStage::Verified(replica) => Some(replica.held_chunks().clone()),
+            VersionStage::Loaded(replica) => Some(replica.held_chunks().clone()),
+            VersionStage::Serving(replica) => Some(replica.held_chunks().clone()),
         }
     }
 
-    /// One verified chunk.
+    /// Chunk `index`; `None` if it is not held.
     pub fn chunk(&self, index: u32) -> Option<Bytes> {
-        match &*self.stage() {
-            Stage::Announced(_) | Stage::Resident { .. } | Stage::Held(_) => None,
-            Stage::Fetching(replica) => replica.chunk(index),
-            Stage::Verified(replica) => replica.chunk(index),
-            Stage::Loaded(replica) => replica.chunk(index),
-            Stage::Serving(replica) => replica.chunk(index),
+        match &*self.lock_stage() {
+            VersionStage::Announced(_)
+            | VersionStage::EngineOnly { .. }
+            | VersionStage::Held(_) => None,
+            VersionStage::Fetching(replica) => replica.chunk(index),
+            VersionStage::Verified(replica) => replica.chunk(index),
+            VersionStage::Loaded(replica) => replica.chunk(index),
+            VersionStage::Serving(replica) => replica.chunk(index),
         }
     }
 
-    /// All bytes in order; only while the engine may load them.
-    pub fn whole(&self) -> Option<Vec<Bytes>> {
-        match &*self.stage() {
-            Stage::Verified(replica) => Some(replica.chunks().collect()),
+    /// All chunks in order for the engine to load; `None` unless the version is verified.
+    pub fn loadable_chunks(&self) -> Option<Vec<Bytes>> {
+        match &*self.lock_stage() {
+            VersionStage::Verified(replica) => Some(replica.chunks().collect()),
             _ => None,
         }
     }
 
-    /// What this host tells of itself.
-    pub fn note(&self) -> Option<PeerStatus> {
+    /// Status of this host that peers receive; `None` while no chunks are kept.
+    pub fn peer_status(&self) -> Option<PeerStatus> {
         Some(PeerStatus {
-            have: self.have()?,
+            have: self.held_chunks()?,
             queue: self.uploads.load(Ordering::Relaxed),
-            serving: self.stage_name() == StageName::Serving,
+            serving: self.stage_kind() == VersionStageKind::Serving,
         })
     }
 
     /// Waits until the version is verified or held.
-    pub async fn fetched(&self) -> StageName {
+    pub async fn wait_until_fetched(&self) -> VersionStageKind {
         loop {
             let generation = self.signal.generation();
-            let stage = self.stage_name();
-            if stage >= StageName::Verified {
+            let stage = self.stage_kind();
+            if stage >= VersionStageKind::Verified {
                 return stage;
             }
-            self.signal.changed_since(generation).await;
+            self.signal.wait_for_change(generation).await;
         }
     }
 
-    /// Starts the transfer.
-    pub(super) fn begin(&self, manifest: Manifest, budget: &Arc<MemoryBudget>) -> StageName {
+    /// Reserves memory and moves an announced version on to fetching, or holds it.
+    pub(super) fn start_fetching(
+        &self,
+        manifest: Manifest,
+        budget: &Arc<MemoryBudget>,
+    ) -> VersionStageKind {
         {
-            let mut stage = self.stage();
-            if let Stage::Announced(replica) = &*stage {
+            let mut stage = self.lock_stage();
+            if let VersionStage::Announced(replica) = &*stage {
                 *stage = match replica.start_fetching(Arc::new(manifest), budget) {
-                    Ok(replica) => Stage::Fetching(replica),
-                    Err(held) => Stage::Held(held),
+                    Ok(replica) => VersionStage::Fetching(replica),
+                    Err(held) => VersionStage::Held(held),
                 };
             }
         }
-        self.signal.raise();
-        self.stage_name()
+        self.signal.notify();
+        self.stage_kind()
     }
 
     /// Stores a chunk if it is correct.
-    pub(super) fn insert(&self, index: u32, bytes: Bytes) -> InsertOutcome {
-        let inserted = match &mut *self.stage() {
-            Stage::Fetching(replica) => replica.insert_chunk(index, bytes),
+    pub(super) fn insert_chunk(&self, index: u32, bytes: Bytes) -> InsertOutcome {
+        let outcome = match &mut *self.lock_stage() {
+            VersionStage::Fetching(replica) => replica.insert_chunk(index, bytes),
             _ => InsertOutcome::Rejected(RejectReason::UnknownIndex),
         };
-        if inserted == InsertOutcome::Stored {
-            self.signal.raise();
+        if outcome == InsertOutcome::Stored {
+            self.signal.notify();
         }
-        inserted
+        outcome
     }
 
-    /// Checks the whole once every chunk is there.
-    pub(super) fn verify(&self) -> StageName {
+    /// Verifies the complete content once every chunk is held.
+    pub(super) fn verify(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Fetching(replica) => match replica.verify() {
-                Verification::Incomplete(replica) => Stage::Fetching(replica),
-                Verification::Verified(replica) => Stage::Verified(replica),
-                Verification::Held(held) => Stage::Held(held),
+            VersionStage::Fetching(replica) => match replica.verify() {
+                Verification::Incomplete(replica) => VersionStage::Fetching(replica),
+                Verification::Verified(replica) => VersionStage::Verified(replica),
+                Verification::Held(held) => VersionStage::Held(held),
             },
             other => other,
         })
     }
 
-    /// Takes the engine's word for what it loaded; on a mismatch nothing moves.
-    pub fn loaded(&self, found: Digest) -> StageName {
+    /// Compares `found`, the digest that the engine reports, with the manifest; on a
+    /// mismatch the stage stays verified.
+    pub fn confirm_loaded(&self, found: Digest) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Verified(replica) => match replica.confirm_loaded(found) {
-                LoadCheck::Loaded(replica) => Stage::Loaded(replica),
-                LoadCheck::Held(replica, _) => Stage::Verified(replica),
+            VersionStage::Verified(replica) => match replica.confirm_loaded(found) {
+                LoadCheck::Loaded(replica) => VersionStage::Loaded(replica),
+                LoadCheck::Held(replica, _) => VersionStage::Verified(replica),
             },
             other => other,
         })
     }
 
-    /// Opens a loaded version for requests.
-    pub fn serve(&self) -> StageName {
+    /// Opens a loaded version to requests.
+    pub fn start_serving(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Loaded(replica) => Stage::Serving(replica.start_serving()),
+            VersionStage::Loaded(replica) => VersionStage::Serving(replica.start_serving()),
             other => other,
         })
     }
 
-    /// Goes back to where the engine must load again, after it lost its state.
-    pub(super) fn reload(&self) -> StageName {
+    /// Returns to the stage from which the engine loads the version again, after the engine
+    /// lost it: verified, or announced if the chunks were released.
+    pub(super) fn require_reload(&self) -> VersionStageKind {
         self.advance(|stage| match stage {
-            Stage::Serving(replica) => Stage::Verified(replica.require_reload()),
-            Stage::Resident { .. } => Stage::Announced(WeightsReplica::announced(self.digest)),
+            VersionStage::Serving(replica) => VersionStage::Verified(replica.require_reload()),
+            VersionStage::EngineOnly { .. } => {
+                VersionStage::Announced(WeightsReplica::announced(self.digest))
+            }
             other => other,
         })
     }
 
-    /// Gives up the bytes of a version that the engine serves.
-    pub(super) fn release(&self) {
+    /// Releases the chunks of a version that the engine serves.
+    pub(super) fn release_chunks(&self) {
         self.advance(|stage| match stage {
-            Stage::Serving(replica) => Stage::Resident {
-                whole: replica.manifest().whole,
+            VersionStage::Serving(replica) => VersionStage::EngineOnly {
+                content_digest: replica.manifest().whole,
             },
             other => other,
         });
     }
 
-    /// Starts over after the version was held.
-    pub(super) fn retry(&self) {
+    /// Returns a held version to announced.
+    pub(super) fn restart(&self) {
         self.advance(|stage| match stage {
-            Stage::Held(_) => Stage::Announced(WeightsReplica::announced(self.digest)),
+            VersionStage::Held(_) => {
+                VersionStage::Announced(WeightsReplica::announced(self.digest))
+            }
             other => other,
         });
     }
 
-    /// Replaces the stage by what `step` makes of it.
-    fn advance(&self, step: impl FnOnce(Stage) -> Stage) -> StageName {
+    /// Replaces the stage by the result of `step` and wakes waiting tasks.
+    fn advance(&self, step: impl FnOnce(VersionStage) -> VersionStage) -> VersionStageKind {
         {
-            let mut stage = self.stage();
-            let placeholder = Stage::Announced(WeightsReplica::announced(self.digest));
+            let mut stage = self.lock_stage();
+            let placeholder = VersionStage::Announced(WeightsReplica::announced(self.digest));
             let before = std::mem::replace(&mut *stage, placeholder);
             *stage = step(before);
         }
-        self.signal.raise();
-        self.stage_name()
+        self.signal.notify();
+        self.stage_kind()
     }
 
-    /// Keeps what a peer told of itself for the transfer.
-    pub(super) fn keep_question(&self, question: PeerRequest) {
-        let mut questions = self
-            .questions
+    /// Keeps a request of a peer, whose chunks it lists, for the transfer.
+    pub(super) fn add_peer_request(&self, peer_request: PeerRequest) {
+        let mut peer_requests = self
+            .peer_requests
             .lock()
-            .expect("no holder of the questions panics");
-        if questions.len() < MAX_QUESTIONS {
-            questions.push(question);
+            .expect("no holder of the peer requests panics");
+        if peer_requests.len() < MAX_PEER_REQUESTS {
+            peer_requests.push(peer_request);
         }
     }
 
-    /// What peers told since the last call.
-    pub(super) fn take_questions(&self) -> Vec<PeerRequest> {
+    /// Takes the requests that peers sent since the last call.
+    pub(super) fn take_peer_requests(&self) -> Vec<PeerRequest> {
         std::mem::take(
             &mut *self
-                .questions
+                .peer_requests
                 .lock()
-                .expect("no holder of the questions panics"),
+                .expect("no holder of the peer requests panics"),
         )
     }
 
-    /// Claims a place in the queue of uploads; None when `limit` wait.
-    pub(super) fn start_upload(self: &Arc<Self>, limit: u32) -> Option<Upload> {
-        let mut waiting = self.uploads.load(Ordering::Relaxed);
+    /// Counts an upload until the guard is dropped; `None` when `limit` are in progress.
+    pub(super) fn start_upload(self: &Arc<Self>, limit: u32) -> Option<UploadGuard> {
+        let mut uploads = self.uploads.load(Ordering::Relaxed);
         loop {
-            if waiting >= limit {
+            if uploads >= limit {
                 return None;
             }
             match self.uploads.compare_exchange(
-                waiting,
-                waiting + 1,
+                uploads,
+                uploads + 1,
                 Ordering::Relaxed,
                 Ordering::Relaxed,
             ) {
-                Ok(_) => return Some(Upload(Arc::clone(self))),
-                Err(found) => waiting = found,
+                Ok(_) => return Some(UploadGuard(Arc::clone(self))),
+                Err(found) => uploads = found,
             }
         }
     }
 }
 
-/// A place in the queue of uploads; given back when dropped.
+/// Counts an upload while it is in progress.
 #[derive(Debug)]
-pub(super) struct Upload(Arc<WeightsVersion>);
+pub(super) struct UploadGuard(Arc<WeightsVersion>);
 
-impl Drop for Upload {
+impl Drop for UploadGuard {
     fn drop(&mut self) {
         self.0.uploads.fetch_sub(1, Ordering::Relaxed);
     }
