--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -27,7 +27,7 @@
 use crate::links::HttpClient;
 use crate::links::LinkError;
 use crate::node::Node;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 use crate::standin::hosts;
 use crate::standin::hosts::HostsOptions;
 use crate::standin::log;
@@ -59,8 +59,8 @@
 /// Stand-ins, entries and endpoints of one measurement.
 #[derive(Debug)]
 pub(super) struct ControlFleet {
-    log: Handle,
-    list: Handle,
+    log: HttpServerHandle,
+    list: HttpServerHandle,
     pub(super) hosts: Vec<ControlHost>,
 }
 
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -44,7 +44,7 @@
 use crate::links::ServeOptions;
 use crate::links::read_rmp;
 use crate::links::serve;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 use crate::standin::engine;
 use crate::standin::engine::EngineOptions;
 use crate::weights::Digest;
@@ -83,7 +83,7 @@
     pub(super) engine: EngineClient,
     pub(super) engine_address: SocketAddr,
     pub(super) address: SocketAddr,
-    pub(super) handle: Option<Handle>,
+    pub(super) handle: Option<HttpServerHandle>,
     queue: Arc<GenerateQueue>,
 }
 
@@ -96,7 +96,7 @@
     states: Vec<Arc<EntryState>>,
     /// Calls that reached endpoints.
     pub(super) received: Arc<AtomicUsize>,
-    handles: Vec<Handle>,
+    handles: Vec<HttpServerHandle>,
     entry_threads: Threads,
     endpoint_threads: Threads,
 }
@@ -154,7 +154,11 @@
         Ok(fleet)
     }
 
-    async fn add_member(&mut self, source: &Handle, cache_blocks: usize) -> io::Result<()> {
+    async fn add_member(
+        &mut self,
+        source: &HttpServerHandle,
+        cache_blocks: usize,
+    ) -> io::Result<()> {
         let mut options = EngineOptions::new(next_address());
         options.slots = SLOTS;
         options.first_token_ms = FIRST_TOKEN_MS;
--- a/src/bench/weights.rs
+++ b/src/bench/weights.rs
@@ -21,11 +21,11 @@
 use crate::clients::OriginClient;
 use crate::links::HttpClient;
 use crate::links::LinkError;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 use crate::standin::origin;
 use crate::standin::origin::OriginOptions;
 use crate::standin::origin::OriginStats;
-use crate::standin::origin::Publication;
+use crate::standin::origin::PublishRequest;
 use crate::weights::Digest;
 use crate::weights::Manifest;
 use crate::weights::mix64;
@@ -233,8 +233,8 @@
         Ok(result)
     }
 
-    async fn publish(&self, origin: &Handle) -> Result<Manifest, LinkError> {
-        let publication = Publication {
+    async fn publish(&self, origin: &HttpServerHandle) -> Result<Manifest, LinkError> {
+        let publication = PublishRequest {
             model: "bench".to_owned(),
             version: "v1".to_owned(),
             size_bytes: self.bytes,
--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -23,7 +23,7 @@
 use crate::hosts::HostState;
 use crate::links::HttpClient;
 use crate::observe::Tally;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 use crate::standin::engine;
 use crate::standin::engine::EngineOptions;
 use crate::standin::hosts;
@@ -60,16 +60,16 @@
 /// Stand-ins of the platform.
 #[derive(Debug)]
 pub struct Platform {
-    log: Handle,
-    hosts: Handle,
-    origin: Handle,
+    log: HttpServerHandle,
+    hosts: HttpServerHandle,
+    origin: HttpServerHandle,
 }
 
 /// An endpoint process and the engine or service beside it.
 #[derive(Debug)]
 struct Host {
     name: String,
-    machine: Machine<(Handle, EndpointHandle)>,
+    machine: Machine<(HttpServerHandle, EndpointHandle)>,
 }
 
 /// Every process of the demonstration.
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -23,7 +23,7 @@
 use crate::node::Watcher;
 use crate::observe::Event;
 use crate::observe::emit;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// Largest body of a call from an entry.
 const MAX_BODY_BYTES: usize = 64 << 20;
@@ -31,7 +31,7 @@
 /// A running endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHandle {
-    server: Handle,
+    server: HttpServerHandle,
     state: Arc<EndpointState>,
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -25,12 +25,12 @@
 use crate::node::Watcher;
 use crate::observe::Event;
 use crate::observe::emit;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// A running entry.
 #[derive(Debug, Clone)]
 pub struct EntryHandle {
-    server: Handle,
+    server: HttpServerHandle,
     state: Arc<EntryState>,
 }
 
--- a/src/links/http_server.rs
+++ b/src/links/http_server.rs
@@ -15,7 +15,7 @@
 use crate::links::LinkError;
 use crate::links::SHARED_KEY_HEADER;
 use crate::links::body_timeout::limit_body_time;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// How a process serves HTTP.
 #[derive(Debug, Clone)]
@@ -44,7 +44,7 @@
     listen: SocketAddr,
     options: &ServeOptions,
     configure: impl Fn(&mut ServiceConfig) + Clone + Send + 'static,
-) -> io::Result<Handle> {
+) -> io::Result<HttpServerHandle> {
     let wait = Duration::from_millis(options.client_timeout_ms);
     let app = move || {
         App::new()
@@ -61,7 +61,7 @@
         .bind(listen)?;
     let address = server.addrs().first().copied().unwrap_or(listen);
     let running = server.run();
-    let handle = Handle::new(address, running.handle());
+    let handle = HttpServerHandle::new(address, running.handle());
     actix_rt::spawn(running);
     Ok(handle)
 }
--- a/src/standin/engine/mod.rs
+++ b/src/standin/engine/mod.rs
@@ -16,7 +16,7 @@
 use actix_web::HttpServer;
 use actix_web::web;
 
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 pub use generation::token_text;
 pub use options::EngineOptions;
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// Returns the error of binding the address.
-pub async fn start(options: EngineOptions) -> io::Result<Handle> {
+pub async fn start(options: EngineOptions) -> io::Result<HttpServerHandle> {
     let listen = options.listen;
     let state = web::Data::from(Arc::new(state::Engine::new(options)));
     let server = HttpServer::new(move || {
@@ -54,7 +54,7 @@
     .bind(listen)?;
     let address: SocketAddr = server.addrs()[0];
     let server = server.run();
-    let handle = Handle::new(address, server.handle());
+    let handle = HttpServerHandle::new(address, server.handle());
     actix_rt::spawn(server);
     Ok(handle)
 }
--- a/src/standin/hosts.rs
+++ b/src/standin/hosts.rs
@@ -16,7 +16,7 @@
 use crate::hosts::HostRecord;
 use crate::links::ServeOptions;
 use crate::links::serve;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// How the stand-in for the platform's list of hosts starts.
 #[derive(Debug, Clone, Args)]
@@ -104,7 +104,7 @@
 /// # Errors
 ///
 /// The I/O error when the address cannot be bound.
-pub async fn start(options: HostsOptions) -> io::Result<Handle> {
+pub async fn start(options: HostsOptions) -> io::Result<HttpServerHandle> {
     let state = web::Data::from(Arc::new(HostsState {
         lag: Duration::from_millis(options.lag_ms),
         register: Mutex::default(),
--- a/src/standin/handle.rs
+++ b/src/standin/http_server_handle.rs
@@ -4,12 +4,12 @@
 
 /// A running HTTP server of this process: a role or a stand-in.
 #[derive(Debug, Clone)]
-pub struct Handle {
+pub struct HttpServerHandle {
     address: SocketAddr,
     server: ServerHandle,
 }
 
-impl Handle {
+impl HttpServerHandle {
     /// Wraps a server that listens on `address`.
     pub fn new(address: SocketAddr, server: ServerHandle) -> Self {
         Self { address, server }
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -18,7 +18,7 @@
 use crate::clients::LogSlice;
 use crate::links::ServeOptions;
 use crate::links::serve;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// How often a waiting read looks for new records.
 const POLL_MS: u64 = 10;
@@ -151,7 +151,7 @@
 /// # Errors
 ///
 /// The I/O error when the address cannot be bound.
-pub async fn start(options: LogOptions) -> io::Result<Handle> {
+pub async fn start(options: LogOptions) -> io::Result<HttpServerHandle> {
     let state = web::Data::from(Arc::new(LogState {
         retention: Duration::from_millis(options.retention_ms),
         book: Mutex::default(),
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -6,7 +6,7 @@
 pub mod origin;
 pub mod service;
 
-mod handle;
+mod http_server_handle;
 mod origin_library;
 
-pub use handle::Handle;
+pub use http_server_handle::HttpServerHandle;
--- a/src/standin/origin.rs
+++ b/src/standin/origin.rs
@@ -16,15 +16,15 @@
 
 use crate::links::ServeOptions;
 use crate::links::serve;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 use crate::standin::origin_library::ChunkAnswer;
 use crate::standin::origin_library::Library;
 use crate::weights::Digest;
 
 pub use crate::standin::origin_library::OriginFaults;
 pub use crate::standin::origin_library::OriginStats;
-pub use crate::standin::origin_library::Publication;
-pub use crate::standin::origin_library::Refusals;
+pub use crate::standin::origin_library::PublishRequest;
+pub use crate::standin::origin_library::RefusalFault;
 
 /// How the origin starts.
 #[derive(Debug, Clone, Args)]
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// The I/O error when the address cannot be bound.
-pub async fn start(options: OriginOptions) -> io::Result<Handle> {
+pub async fn start(options: OriginOptions) -> io::Result<HttpServerHandle> {
     let state = web::Data::from(Arc::new(OriginState {
         started: Instant::now(),
         library: Mutex::new(Library::new(options.rate_bytes_per_s, options.burst_bytes)),
@@ -114,11 +114,11 @@
                 .content_type("application/octet-stream")
                 .body(bytes)
         }
-        ChunkAnswer::Refuse(refusals) => {
+        ChunkAnswer::Refuse(refusal) => {
             let status =
-                StatusCode::from_u16(refusals.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+                StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
             HttpResponse::build(status)
-                .insert_header((RETRY_AFTER, refusals.retry_after_s.to_string()))
+                .insert_header((RETRY_AFTER, refusal.retry_after_s.to_string()))
                 .body("the origin limits its rate")
         }
         ChunkAnswer::Missing => HttpResponse::NotFound().body("no such chunk"),
@@ -128,9 +128,9 @@
 
 async fn publish(
     state: web::Data<OriginState>,
-    publication: web::Json<Publication>,
+    request: web::Json<PublishRequest>,
 ) -> HttpResponse {
-    match state.library().publish(&publication) {
+    match state.library().publish(&request) {
         Some(digest) => HttpResponse::Ok().json(json!({ "manifest": digest })),
         None => HttpResponse::BadRequest().body("sizes must be above 0"),
     }
--- a/src/standin/origin_library.rs
+++ b/src/standin/origin_library.rs
@@ -11,7 +11,7 @@
 
 /// A version to make up.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Publication {
+pub struct PublishRequest {
     /// Name of the model.
     pub model: String,
     /// Name of the version.
@@ -27,10 +27,10 @@
     pub base: Option<Digest>,
 }
 
-/// Refusals to order from the origin.
+/// RefusalFault to order from the origin.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Refusals {
+pub struct RefusalFault {
     /// Status of the answers.
     pub status: u16,
     /// Value of `Retry-After`.
@@ -54,7 +54,7 @@
     /// This chunk is sent without its second half.
     pub truncate_chunk: Option<u32>,
     /// The next requests for chunks are refused.
-    pub refuse: Option<Refusals>,
+    pub refuse: Option<RefusalFault>,
     /// Manifests are not found.
     pub manifest_missing: bool,
     /// Manifests name another whole digest.
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 pub(super) enum ChunkAnswer {
     Send { bytes: Bytes, wait_us: u64 },
-    Refuse(Refusals),
+    Refuse(RefusalFault),
     Missing,
     Down,
 }
@@ -111,18 +111,18 @@
         }
     }
 
-    pub(super) fn publish(&mut self, publication: &Publication) -> Option<Digest> {
-        let len = usize::try_from(publication.size_bytes).ok()?;
-        if len == 0 || publication.chunk_bytes == 0 {
+    pub(super) fn publish(&mut self, request: &PublishRequest) -> Option<Digest> {
+        let len = usize::try_from(request.size_bytes).ok()?;
+        if len == 0 || request.chunk_bytes == 0 {
             return None;
         }
         let mut bytes = vec![0; len];
-        Pcg64Mcg::seed_from_u64(publication.seed).fill_bytes(&mut bytes);
+        Pcg64Mcg::seed_from_u64(request.seed).fill_bytes(&mut bytes);
         let manifest = Manifest::for_content(
-            &publication.model,
-            &publication.version,
-            publication.base,
-            publication.chunk_bytes,
+            &request.model,
+            &request.version,
+            request.base,
+            request.chunk_bytes,
             &bytes,
         );
         let digest = manifest.digest();
@@ -162,8 +162,8 @@
         if self.faults.down {
             return ChunkAnswer::Down;
         }
-        if let Some(refusals) = self.next_refusal() {
-            return ChunkAnswer::Refuse(refusals);
+        if let Some(refusal) = self.next_refusal() {
+            return ChunkAnswer::Refuse(refusal);
         }
         let Ok(at) = self
             .titles
@@ -201,10 +201,10 @@
         self.faults = faults;
     }
 
-    fn next_refusal(&mut self) -> Option<Refusals> {
-        let refusals = self.faults.refuse.as_mut()?;
-        refusals.count = refusals.count.checked_sub(1)?;
-        Some(refusals.clone())
+    fn next_refusal(&mut self) -> Option<RefusalFault> {
+        let refusal = self.faults.refuse.as_mut()?;
+        refusal.count = refusal.count.checked_sub(1)?;
+        Some(refusal.clone())
     }
 
     fn spoil(&mut self, index: u32, bytes: Bytes) -> Bytes {
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -23,7 +23,7 @@
 use crate::clients::ServiceAnswer;
 use crate::links::ServeOptions;
 use crate::links::serve;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// Text in a body that makes the stand-in crash, if it may.
 pub const CRASH_MARK: &str = "[[crash]]";
@@ -127,7 +127,7 @@
 /// # Errors
 ///
 /// The I/O error when the address cannot be bound.
-pub async fn start(options: ServiceOptions) -> io::Result<Handle> {
+pub async fn start(options: ServiceOptions) -> io::Result<HttpServerHandle> {
     let listen = options.listen;
     let state = web::Data::from(Arc::new(ServiceState {
         options,
--- a/tests/weights/origin.rs
+++ b/tests/weights/origin.rs
@@ -7,7 +7,7 @@
 use bergamotfork::clients::OriginClient;
 use bergamotfork::clients::OriginError;
 use bergamotfork::links::HttpClient;
-use bergamotfork::standin::Handle;
+use bergamotfork::standin::HttpServerHandle;
 use bergamotfork::standin::origin;
 use bergamotfork::standin::origin::OriginOptions;
 use bergamotfork::standin::origin::OriginStats;
@@ -16,7 +16,7 @@
 const TIMEOUT_MS: u64 = 5000;
 
 /// Starts an origin with one published version.
-async fn start_origin() -> (Handle, OriginClient, Digest) {
+async fn start_origin() -> (HttpServerHandle, OriginClient, Digest) {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let handle = origin::start(OriginOptions {
         listen,
@@ -34,7 +34,7 @@
     (handle.clone(), OriginClient::new(handle.url()), digest)
 }
 
-async fn send(handle: &Handle, path: &str, body: Value) -> Value {
+async fn send(handle: &HttpServerHandle, path: &str, body: Value) -> Value {
     HttpClient::to_platform()
         .send_json(
             Method::POST,
--- a/tests/weights_rollout/proxy.rs
+++ b/tests/weights_rollout/proxy.rs
@@ -11,7 +11,7 @@
 use bergamotfork::links::HttpClient;
 use bergamotfork::links::ServeOptions;
 use bergamotfork::links::serve;
-use bergamotfork::standin::Handle;
+use bergamotfork::standin::HttpServerHandle;
 
 const FORWARD_TIMEOUT_MS: u64 = 20_000;
 
@@ -25,7 +25,7 @@
 }
 
 /// Starts a proxy of `engine` that drops `replies_to_drop` replies.
-pub fn start_proxy(engine: &str, replies_to_drop: u32) -> (Handle, Arc<EngineProxy>) {
+pub fn start_proxy(engine: &str, replies_to_drop: u32) -> (HttpServerHandle, Arc<EngineProxy>) {
     let proxy = Arc::new(EngineProxy {
         engine: engine.to_owned(),
         replies_to_drop: AtomicU32::new(replies_to_drop),
--- a/tests/weights_transfer/fleet.rs
+++ b/tests/weights_transfer/fleet.rs
@@ -24,7 +24,7 @@
 use bergamotfork::links::ServeOptions;
 use bergamotfork::links::serve;
 use bergamotfork::observe::Metrics;
-use bergamotfork::standin::Handle;
+use bergamotfork::standin::HttpServerHandle;
 use bergamotfork::standin::origin;
 use bergamotfork::standin::origin::OriginOptions;
 use bergamotfork::standin::origin::OriginStats;
@@ -43,14 +43,14 @@
 
 /// An origin and the manifest of the version published there.
 pub struct PublishedOrigin {
-    pub origin: Handle,
+    pub origin: HttpServerHandle,
     pub manifest: Manifest,
 }
 
 /// A host that takes part in transfers, with its server for peers.
 pub struct Host {
     pub share: Arc<WeightsShare>,
-    pub server: Handle,
+    pub server: HttpServerHandle,
     pub member: SwarmMember,
 }
 
@@ -69,7 +69,7 @@
     PublishedOrigin { origin, manifest }
 }
 
-pub async fn publish(origin: &Handle, version: &str, seed: u64) -> Manifest {
+pub async fn publish(origin: &HttpServerHandle, version: &str, seed: u64) -> Manifest {
     let publication = json!({
         "model": "chat", "version": version, "size_bytes": SIZE_BYTES,
         "chunk_bytes": CHUNK_BYTES, "seed": seed,
@@ -81,7 +81,7 @@
         .expect("the version was published")
 }
 
-pub async fn send(origin: &Handle, path: &str, body: Value) -> Value {
+pub async fn send(origin: &HttpServerHandle, path: &str, body: Value) -> Value {
     HttpClient::to_platform()
         .send_json(
             Method::POST,
@@ -93,7 +93,7 @@
         .expect("the origin answers")
 }
 
-pub async fn stats(origin: &Handle) -> OriginStats {
+pub async fn stats(origin: &HttpServerHandle) -> OriginStats {
     HttpClient::to_platform()
         .get_json(&format!("{}/stats", origin.url()), CALL_TIMEOUT_MS)
         .await
@@ -150,7 +150,7 @@
     /// Starts the transfer of a version; None when the version is held.
     pub fn start_transfer(
         &self,
-        origin: &Handle,
+        origin: &HttpServerHandle,
         manifest: &Manifest,
         members: &[SwarmMember],
     ) -> Option<Addr<Transfer>> {
--- a/tests/weights_transfer/peers.rs
+++ b/tests/weights_transfer/peers.rs
@@ -14,7 +14,7 @@
 use bergamotfork::links::ServeOptions;
 use bergamotfork::links::rmp_response;
 use bergamotfork::links::serve;
-use bergamotfork::standin::Handle;
+use bergamotfork::standin::HttpServerHandle;
 use bergamotfork::weights::ChunkBitmap;
 use bergamotfork::weights::ChunkFrame;
 use bergamotfork::weights::PeerStatus;
@@ -37,7 +37,7 @@
 }
 
 /// A peer that reports every chunk as held and sends wrong bytes.
-fn corrupting_peer() -> Handle {
+fn corrupting_peer() -> HttpServerHandle {
     serve(any_port(), &ServeOptions::default(), |app| {
         app.route(
             "/x/weights/{m}/have",
@@ -49,7 +49,7 @@
 }
 
 /// A peer that reports every chunk as held and never responds to a read.
-fn stalling_peer() -> Handle {
+fn stalling_peer() -> HttpServerHandle {
     serve(any_port(), &ServeOptions::default(), |app| {
         app.route(
             "/x/weights/{m}/have",
