--- a/src/standin/engine/batch.rs
+++ b/src/standin/engine/batch.rs
@@ -8,11 +8,11 @@
 #[derive(Debug)]
 pub(super) struct Batch {
     slots: u32,
-    inner: Mutex<Inner>,
+    state: Mutex<BatchState>,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct BatchState {
     running: u32,
     arrivals: u64,
     /// Sorted, next to run last.
@@ -30,27 +30,27 @@
     pub(super) fn new(slots: u32) -> Arc<Self> {
         Arc::new(Self {
             slots,
-            inner: Mutex::default(),
+            state: Mutex::default(),
         })
     }
 
     /// Asks for a slot, which arrives by the receiver.
-    pub(super) fn ask(self: &Arc<Self>, priority: u8) -> oneshot::Receiver<Slot> {
+    pub(super) fn request_slot(self: &Arc<Self>, priority: u8) -> oneshot::Receiver<Slot> {
         let (grant, granted) = oneshot::channel();
-        let mut inner = self.lock();
-        inner.arrivals += 1;
-        let arrival = inner.arrivals;
-        let before = |other: &Waiter| (other.priority, u64::MAX - other.arrival);
+        let mut state = self.lock();
+        state.arrivals += 1;
+        let arrival = state.arrivals;
+        let rank_of = |other: &Waiter| (other.priority, u64::MAX - other.arrival);
         let rank = (priority, u64::MAX - arrival);
-        let at = inner.waiting.partition_point(|other| before(other) < rank);
+        let at = state.waiting.partition_point(|other| rank_of(other) < rank);
         let waiter = Waiter {
             priority,
             arrival,
             grant,
         };
-        inner.waiting.insert(at, waiter);
-        drop(inner);
-        self.fill();
+        state.waiting.insert(at, waiter);
+        drop(state);
+        self.grant_free_slots();
         granted
     }
 
@@ -66,26 +66,26 @@
         self.slots
     }
 
-    fn fill(self: &Arc<Self>) {
-        while let Some(waiter) = self.take_next() {
+    fn grant_free_slots(self: &Arc<Self>) {
+        while let Some(waiter) = self.pop_next_waiter() {
             // A refused grant comes back and frees its slot when dropped.
             let _ = waiter.grant.send(Slot(self.clone()));
         }
     }
 
-    fn take_next(&self) -> Option<Waiter> {
-        let mut inner = self.lock();
-        inner.waiting.retain(|waiter| !waiter.grant.is_closed());
-        if inner.running == self.slots {
+    fn pop_next_waiter(&self) -> Option<Waiter> {
+        let mut state = self.lock();
+        state.waiting.retain(|waiter| !waiter.grant.is_closed());
+        if state.running == self.slots {
             return None;
         }
-        let waiter = inner.waiting.pop()?;
-        inner.running += 1;
+        let waiter = state.waiting.pop()?;
+        state.running += 1;
         Some(waiter)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the lock panics")
+    fn lock(&self) -> MutexGuard<'_, BatchState> {
+        self.state.lock().expect("no holder of the lock panics")
     }
 }
 
@@ -96,6 +96,6 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.0.lock().running -= 1;
-        self.0.fill();
+        self.0.grant_free_slots();
     }
 }
--- a/src/standin/engine/generation.rs
+++ b/src/standin/engine/generation.rs
@@ -18,13 +18,13 @@
 use crate::weights::Digest;
 
 /// Interval of heartbeats while no token is due.
-const BEAT_INTERVAL: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Part of the first token time that caching cannot save, in percent.
 const UNCACHED_PERCENT: u64 = 10;
 
 /// Prompt that makes an engine crash when that is allowed.
-const CRASH_MARK: &str = "[[crash]]";
+const CRASH_MARKER: &str = "[[crash]]";
 
 /// Text of a token, which a checker can recompute.
 pub fn token_text(whole: &Digest, prompt: &str, seed: u64, index: u32) -> String {
@@ -51,7 +51,7 @@
     pub(super) fn new(engine: Arc<Engine>, order: GenerateOrder, weights: LoadedWeights) -> Self {
         let now = Instant::now();
         Self {
-            granted: engine.batch.ask(order.priority),
+            granted: engine.batch.request_slot(order.priority),
             slot: None,
             cancelled: engine.open_stream(&order.request_id),
             deadline: now + Duration::from_millis(order.deadline_ms),
@@ -70,43 +70,43 @@
             return None;
         }
         if self.cancelled.load(Ordering::Relaxed) {
-            return Some(self.fail(EngineFault::Cancelled));
+            return Some(self.error_event(EngineFault::Cancelled));
         }
         if Instant::now() >= self.deadline {
-            return Some(self.fail(EngineFault::DeadlinePassed));
+            return Some(self.error_event(EngineFault::DeadlinePassed));
         }
         if self.slot.is_none() && !self.wait_for_slot().await {
             return Some(StreamEvent::Beat);
         }
         if self.next_index >= self.order.max_tokens {
-            return Some(self.end());
+            return Some(self.end_event());
         }
-        let beat_at = Instant::now() + BEAT_INTERVAL;
-        sleep_until(self.next_token_at.min(beat_at)).await;
-        if self.next_token_at > beat_at {
+        let heartbeat_at = Instant::now() + HEARTBEAT_INTERVAL;
+        sleep_until(self.next_token_at.min(heartbeat_at)).await;
+        if self.next_token_at > heartbeat_at {
             return Some(StreamEvent::Beat);
         }
-        Some(self.emit())
+        Some(self.next_token())
     }
 
     async fn wait_for_slot(&mut self) -> bool {
-        let Ok(Ok(slot)) = timeout(BEAT_INTERVAL, &mut self.granted).await else {
+        let Ok(Ok(slot)) = timeout(HEARTBEAT_INTERVAL, &mut self.granted).await else {
             return false;
         };
-        if self.engine.options.may_crash && self.order.prompt.contains(CRASH_MARK) {
+        if self.engine.options.may_crash && self.order.prompt.contains(CRASH_MARKER) {
             process::abort();
         }
         self.slot = Some(slot);
         let hit_percent = self
             .engine
-            .admit_prompt(self.weights.manifest, &self.order.prompt);
+            .cache_prompt(self.weights.manifest, &self.order.prompt);
         let miss_percent = (100 - hit_percent).max(UNCACHED_PERCENT);
         let first_token_us = self.engine.options.first_token_ms * 10 * miss_percent;
-        self.next_token_at = Instant::now() + self.paced(first_token_us);
+        self.next_token_at = Instant::now() + self.scale_to_pace(first_token_us);
         true
     }
 
-    fn emit(&mut self) -> StreamEvent {
+    fn next_token(&mut self) -> StreamEvent {
         let index = self.next_index;
         self.next_index += 1;
         self.next_token_at += self.token_interval();
@@ -124,18 +124,19 @@
     /// Time of a decode step; it grows with the streams in the batch.
     fn token_interval(&self) -> Duration {
         let options = &self.engine.options;
-        let others = u64::from(self.engine.batch.running().saturating_sub(1));
+        let other_streams = u64::from(self.engine.batch.running().saturating_sub(1));
         let slots = u64::from(self.engine.batch.slots());
-        let slowdown_us = options.token_ms * 10 * options.batch_slowdown_percent * others / slots;
-        self.paced(options.token_ms * 1000 + slowdown_us)
+        let slowdown_us =
+            options.token_ms * 10 * options.batch_slowdown_percent * other_streams / slots;
+        self.scale_to_pace(options.token_ms * 1000 + slowdown_us)
     }
 
-    fn paced(&self, step_us: u64) -> Duration {
+    fn scale_to_pace(&self, step_us: u64) -> Duration {
         let pace_percent = self.engine.pace_percent.load(Ordering::Relaxed);
         Duration::from_micros(step_us * pace_percent / 100)
     }
 
-    fn end(&mut self) -> StreamEvent {
+    fn end_event(&mut self) -> StreamEvent {
         self.ended = true;
         self.slot = None;
         StreamEvent::End {
@@ -146,7 +147,7 @@
         }
     }
 
-    fn fail(&mut self, code: EngineFault) -> StreamEvent {
+    fn error_event(&mut self, code: EngineFault) -> StreamEvent {
         self.ended = true;
         self.slot = None;
         StreamEvent::Error {
--- a/src/standin/engine/handlers.rs
+++ b/src/standin/engine/handlers.rs
@@ -27,31 +27,35 @@
 use crate::weights::Digest;
 
 /// Time to read weights from their source.
-const SOURCE_TIMEOUT: Duration = Duration::from_secs(60);
+const SOURCE_READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Faults that can be switched on.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct FaultOrder {
+pub(super) struct FaultInjection {
     /// Time of every step in percent of the normal time.
     pace_percent: u64,
 }
 
 #[post("/v1/load")]
 pub(super) async fn load(engine: Data<Engine>, order: Json<LoadOrder>) -> HttpResponse {
-    if let Err(refusal) = engine.accept(order.order) {
+    if let Err(refusal) = engine.accept_order(order.order) {
         return conflict(refusal);
     }
-    if order.base.is_some_and(|base| engine.find(base).is_none()) {
-        return conflict(fault(EngineFault::BaseNotLoaded));
+    if order
+        .base
+        .is_some_and(|base| engine.find_weights(base).is_none())
+    {
+        return conflict(refusal_with(EngineFault::BaseNotLoaded));
     }
-    let Some(whole) = read_source(&order.source_url).await else {
-        return HttpResponse::build(StatusCode::BAD_GATEWAY).json(fault(EngineFault::SourceFailed));
+    let Some(whole) = hash_source(&order.source_url).await else {
+        return HttpResponse::build(StatusCode::BAD_GATEWAY)
+            .json(refusal_with(EngineFault::SourceFailed));
     };
     // A later order may have arrived while the bytes were read.
-    if let Err(refusal) = engine.accept(order.order) {
+    if let Err(refusal) = engine.accept_order(order.order) {
         return conflict(refusal);
     }
-    engine.insert(LoadedWeights {
+    engine.insert_weights(LoadedWeights {
         model: order.model.clone(),
         version: order.version.clone(),
         manifest: order.manifest,
@@ -62,8 +66,8 @@
 
 #[post("/v1/unload")]
 pub(super) async fn unload(engine: Data<Engine>, order: Json<UnloadOrder>) -> HttpResponse {
-    match engine.accept(order.order) {
-        Ok(()) => engine.remove(order.manifest),
+    match engine.accept_order(order.order) {
+        Ok(()) => engine.remove_weights(order.manifest),
         Err(refusal) => return conflict(refusal),
     }
     HttpResponse::Ok().json(())
@@ -71,7 +75,7 @@
 
 #[post("/v1/role")]
 pub(super) async fn role(engine: Data<Engine>, order: Json<RoleOrder>) -> HttpResponse {
-    match engine.accept(order.order) {
+    match engine.accept_order(order.order) {
         Ok(()) => engine.set_role(order.role),
         Err(refusal) => return conflict(refusal),
     }
@@ -80,13 +84,13 @@
 
 #[get("/v1/state")]
 pub(super) async fn state(engine: Data<Engine>) -> HttpResponse {
-    HttpResponse::Ok().json(engine.report())
+    HttpResponse::Ok().json(engine.snapshot())
 }
 
 #[post("/v1/generate")]
 pub(super) async fn generate(engine: Data<Engine>, order: Json<GenerateOrder>) -> HttpResponse {
-    let Some(weights) = engine.find(order.manifest) else {
-        return conflict(fault(EngineFault::NotLoaded));
+    let Some(weights) = engine.find_weights(order.manifest) else {
+        return conflict(refusal_with(EngineFault::NotLoaded));
     };
     let generation = Generation::new(engine.into_inner(), order.into_inner(), weights);
     let events = stream::unfold(generation, |mut generation| async move {
@@ -101,19 +105,22 @@
 
 #[post("/v1/cancel")]
 pub(super) async fn cancel(engine: Data<Engine>, order: Json<CancelOrder>) -> HttpResponse {
-    engine.cancel(&order.request_id);
+    engine.cancel_streams(&order.request_id);
     HttpResponse::Ok().json(())
 }
 
 #[post("/fault")]
-pub(super) async fn fault_order(engine: Data<Engine>, order: Json<FaultOrder>) -> HttpResponse {
+pub(super) async fn inject_fault(
+    engine: Data<Engine>,
+    order: Json<FaultInjection>,
+) -> HttpResponse {
     engine
         .pace_percent
         .store(order.pace_percent, Ordering::Relaxed);
     HttpResponse::Ok().json(())
 }
 
-fn fault(code: EngineFault) -> EngineRefusal {
+fn refusal_with(code: EngineFault) -> EngineRefusal {
     EngineRefusal {
         code,
         highest: None,
@@ -125,8 +132,8 @@
 }
 
 /// Reads all bytes of `url` and returns their digest.
-async fn read_source(url: &str) -> Option<Digest> {
-    let client = awc::Client::builder().timeout(SOURCE_TIMEOUT).finish();
+async fn hash_source(url: &str) -> Option<Digest> {
+    let client = awc::Client::builder().timeout(SOURCE_READ_TIMEOUT).finish();
     let mut response = client.get(url).send().await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
--- a/src/standin/engine/mod.rs
+++ b/src/standin/engine/mod.rs
@@ -46,7 +46,7 @@
             .service(handlers::state)
             .service(handlers::generate)
             .service(handlers::cancel)
-            .service(handlers::fault_order)
+            .service(handlers::inject_fault)
     })
     .workers(1)
     .disable_signals()
--- a/src/standin/engine/prefix_cache.rs
+++ b/src/standin/engine/prefix_cache.rs
@@ -6,27 +6,27 @@
 pub struct PrefixCache {
     /// Sorted by key.
     blocks: Vec<CachedBlock>,
-    capacity: usize,
-    uses: u64,
-    looked_up: u64,
-    hits: u64,
+    capacity_blocks: usize,
+    prompts: u64,
+    prompt_blocks: u64,
+    hit_blocks: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct CachedBlock {
     key: u64,
-    last_use: u64,
+    last_used_prompt: u64,
 }
 
 impl PrefixCache {
-    /// Empty cache of `capacity` blocks.
-    pub fn new(capacity: usize) -> Self {
+    /// Empty cache of `capacity_blocks` blocks.
+    pub fn new(capacity_blocks: usize) -> Self {
         Self {
             blocks: Vec::new(),
-            capacity,
-            uses: 0,
-            looked_up: 0,
-            hits: 0,
+            capacity_blocks,
+            prompts: 0,
+            prompt_blocks: 0,
+            hit_blocks: 0,
         }
     }
 
@@ -41,29 +41,29 @@
     }
 
     /// Prompts admitted.
-    pub fn uses(&self) -> u64 {
-        self.uses
+    pub fn prompts(&self) -> u64 {
+        self.prompts
     }
 
     /// Blocks looked up.
-    pub fn looked_up(&self) -> u64 {
-        self.looked_up
+    pub fn prompt_blocks(&self) -> u64 {
+        self.prompt_blocks
     }
 
     /// Blocks found.
-    pub fn hits(&self) -> u64 {
-        self.hits
+    pub fn hit_blocks(&self) -> u64 {
+        self.hit_blocks
     }
 
     /// Looks `prompt` up, caches it, and returns the hit share in percent.
-    pub fn admit(&mut self, weights: &[u8], prompt: &[u8]) -> u64 {
-        self.uses += 1;
+    pub fn insert_prompt(&mut self, weights: &[u8], prompt: &[u8]) -> u64 {
+        self.prompts += 1;
         let keys = block_keys(weights, prompt);
-        let hits = keys.iter().take_while(|&&key| self.touch(key)).count();
-        self.looked_up += keys.len() as u64;
-        self.hits += hits as u64;
+        let hits = keys.iter().take_while(|&&key| self.mark_used(key)).count();
+        self.prompt_blocks += keys.len() as u64;
+        self.hit_blocks += hits as u64;
         for &key in &keys[hits..] {
-            self.insert(key);
+            self.insert_block(key);
         }
         if keys.is_empty() {
             return 0;
@@ -71,34 +71,34 @@
         hits as u64 * 100 / keys.len() as u64
     }
 
-    fn touch(&mut self, key: u64) -> bool {
+    fn mark_used(&mut self, key: u64) -> bool {
         match self.blocks.binary_search_by_key(&key, |block| block.key) {
             Ok(at) => {
-                self.blocks[at].last_use = self.uses;
+                self.blocks[at].last_used_prompt = self.prompts;
                 true
             }
             Err(_) => false,
         }
     }
 
-    fn insert(&mut self, key: u64) {
-        if self.capacity == 0 || self.touch(key) {
+    fn insert_block(&mut self, key: u64) {
+        if self.capacity_blocks == 0 || self.mark_used(key) {
             return;
         }
-        if self.blocks.len() == self.capacity {
-            self.evict();
+        if self.blocks.len() == self.capacity_blocks {
+            self.evict_least_recent();
         }
         let block = CachedBlock {
             key,
-            last_use: self.uses,
+            last_used_prompt: self.prompts,
         };
         let at = self.blocks.partition_point(|other| other.key < key);
         self.blocks.insert(at, block);
     }
 
-    fn evict(&mut self) {
+    fn evict_least_recent(&mut self) {
         let oldest = self.blocks.iter().enumerate();
-        if let Some((at, _)) = oldest.min_by_key(|(_, block)| block.last_use) {
+        if let Some((at, _)) = oldest.min_by_key(|(_, block)| block.last_used_prompt) {
             self.blocks.remove(at);
         }
     }
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -23,11 +23,11 @@
     pub(super) batch: Arc<Batch>,
     /// Time of every step in percent of the normal time.
     pub(super) pace_percent: AtomicU64,
-    inner: Mutex<Inner>,
+    inner: Mutex<EngineInner>,
 }
 
 #[derive(Debug)]
-struct Inner {
+struct EngineInner {
     loaded: Vec<LoadedWeights>,
     highest_order: Option<OrderNo>,
     role: EngineRole,
@@ -43,7 +43,7 @@
 
 impl Engine {
     pub(super) fn new(options: EngineOptions) -> Self {
-        let inner = Inner {
+        let inner = EngineInner {
             loaded: Vec::new(),
             highest_order: None,
             role: EngineRole::Both,
@@ -59,7 +59,7 @@
     }
 
     /// Accepts an order number, or refuses it when orders are checked.
-    pub(super) fn accept(&self, order: OrderNo) -> Result<(), EngineRefusal> {
+    pub(super) fn accept_order(&self, order: OrderNo) -> Result<(), EngineRefusal> {
         let mut inner = self.lock();
         let stale = inner.highest_order > Some(order);
         if stale && self.options.checks_orders {
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    pub(super) fn insert(&self, weights: LoadedWeights) {
+    pub(super) fn insert_weights(&self, weights: LoadedWeights) {
         let mut inner = self.lock();
         inner
             .loaded
@@ -80,13 +80,13 @@
         inner.loaded.push(weights);
     }
 
-    pub(super) fn remove(&self, manifest: Digest) {
+    pub(super) fn remove_weights(&self, manifest: Digest) {
         self.lock()
             .loaded
             .retain(|other| other.manifest != manifest);
     }
 
-    pub(super) fn find(&self, manifest: Digest) -> Option<LoadedWeights> {
+    pub(super) fn find_weights(&self, manifest: Digest) -> Option<LoadedWeights> {
         let inner = self.lock();
         let found = inner.loaded.iter().find(|it| it.manifest == manifest);
         found.cloned()
@@ -97,9 +97,11 @@
     }
 
     /// Caches a prompt and returns its hit share in percent.
-    pub(super) fn admit_prompt(&self, weights: Digest, prompt: &str) -> u64 {
+    pub(super) fn cache_prompt(&self, weights: Digest, prompt: &str) -> u64 {
         let mut inner = self.lock();
-        inner.cache.admit(weights.as_bytes(), prompt.as_bytes())
+        inner
+            .cache
+            .insert_prompt(weights.as_bytes(), prompt.as_bytes())
     }
 
     /// Registers a stream and returns its mark of being cancelled.
@@ -119,7 +121,7 @@
             .retain(|stream| !Arc::ptr_eq(&stream.cancelled, cancelled));
     }
 
-    pub(super) fn cancel(&self, request_id: &str) {
+    pub(super) fn cancel_streams(&self, request_id: &str) {
         for stream in &self.lock().streams {
             if stream.request_id == request_id {
                 stream.cancelled.store(true, Ordering::Relaxed);
@@ -127,7 +129,7 @@
         }
     }
 
-    pub(super) fn report(&self) -> EngineState {
+    pub(super) fn snapshot(&self) -> EngineState {
         let inner = self.lock();
         EngineState {
             loaded: inner.loaded.clone(),
@@ -135,14 +137,14 @@
             running: self.batch.running(),
             queued: self.batch.queued(),
             cached_blocks: inner.cache.len() as u32,
-            started: inner.cache.uses(),
-            prompt_blocks: inner.cache.looked_up(),
-            hit_blocks: inner.cache.hits(),
+            started: inner.cache.prompts(),
+            prompt_blocks: inner.cache.prompt_blocks(),
+            hit_blocks: inner.cache.hit_blocks(),
             role: inner.role,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, EngineInner> {
         self.inner.lock().expect("no holder of the lock panics")
     }
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -26,7 +26,7 @@
 use crate::standin::HttpServerHandle;
 
 /// Text in a body that makes the stand-in crash, if it may.
-pub const CRASH_MARK: &str = "[[crash]]";
+pub const CRASH_MARKER: &str = "[[crash]]";
 
 /// How the stand-in for a plain service starts.
 #[derive(Debug, Clone, Args)]
@@ -98,7 +98,7 @@
         execution
     }
 
-    fn next_fault(&mut self) -> Option<ReplyFault> {
+    fn take_next_fault(&mut self) -> Option<ReplyFault> {
         let faults = [
             (&mut self.faults.lose_reply, ReplyFault::Lost),
             (&mut self.faults.silent_reply, ReplyFault::Silent),
@@ -150,14 +150,14 @@
     let Ok(echo) = serde_json::from_slice::<Value>(&body) else {
         return HttpResponse::BadRequest().body("the body is not JSON");
     };
-    if state.options.may_crash && String::from_utf8_lossy(&body).contains(CRASH_MARK) {
+    if state.options.may_crash && String::from_utf8_lossy(&body).contains(CRASH_MARKER) {
         process::abort();
     }
     let key = header(&request, IDEMPOTENCY_KEY_HEADER);
     let (execution, fault) = {
         let mut ledger = state.ledger();
         let execution = ledger.execute(&key, &path, state.options.keeps_keys);
-        (execution, ledger.next_fault())
+        (execution, ledger.take_next_fault())
     };
     sleep(Duration::from_millis(state.options.delay_ms)).await;
     let answer = ServiceAnswer {
@@ -171,7 +171,7 @@
 async fn reply(mut answer: ServiceAnswer, fault: Option<ReplyFault>) -> HttpResponse {
     match fault {
         None => HttpResponse::Ok().json(answer),
-        Some(ReplyFault::Lost) => cut_reply(&answer),
+        Some(ReplyFault::Lost) => truncated_reply(&answer),
         Some(ReplyFault::Silent) => std::future::pending().await,
         Some(ReplyFault::Crossed) => {
             answer.request_id.push_str("-other");
@@ -181,7 +181,7 @@
 }
 
 /// An answer whose connection breaks half way through the body.
-fn cut_reply(answer: &ServiceAnswer) -> HttpResponse {
+fn truncated_reply(answer: &ServiceAnswer) -> HttpResponse {
     let whole = serde_json::to_vec(answer).unwrap_or_default();
     let half = Bytes::copy_from_slice(&whole[..whole.len() / 2]);
     let cut = io::Error::new(io::ErrorKind::ConnectionReset, "reply lost");
