--- a/src/standin/hosts.rs
+++ b/src/standin/hosts.rs
@@ -42,32 +42,32 @@
 }
 
 #[derive(Debug, Default)]
-struct Register {
-    /// Lists in order of change, each with the time it was made.
-    changes: Vec<(Instant, HostList)>,
+struct HostRegistry {
+    /// Lists in order of change, each with the time it was changed_at.
+    history: Vec<(Instant, HostList)>,
     faults: HostsFaults,
 }
 
-impl Register {
-    fn change(&mut self, edit: impl FnOnce(&mut Vec<HostRecord>)) {
+impl HostRegistry {
+    fn push_change(&mut self, edit: impl FnOnce(&mut Vec<HostRecord>)) {
         let mut list = self
-            .changes
+            .history
             .last()
             .map_or_else(HostList::default, |(_, list)| list.clone());
         edit(&mut list.hosts);
         list.version += 1;
-        self.changes.push((Instant::now(), list));
+        self.history.push((Instant::now(), list));
     }
 
-    fn shown(&mut self, lag: Duration) -> HostList {
-        let due = self
-            .changes
-            .partition_point(|(made, _)| made.elapsed() >= lag);
-        if due > 1 {
-            self.changes.drain(..due - 1);
+    fn visible_list(&mut self, lag: Duration) -> HostList {
+        let visible = self
+            .history
+            .partition_point(|(changed_at, _)| changed_at.elapsed() >= lag);
+        if visible > 1 {
+            self.history.drain(..visible - 1);
         }
-        let mut list = match self.changes.first() {
-            Some((made, list)) if made.elapsed() >= lag => list.clone(),
+        let mut list = match self.history.first() {
+            Some((changed_at, list)) if changed_at.elapsed() >= lag => list.clone(),
             _ => HostList::default(),
         };
         if self.faults.empty {
@@ -83,19 +83,19 @@
 #[derive(Debug)]
 struct HostsState {
     lag: Duration,
-    register: Mutex<Register>,
+    registry: Mutex<HostRegistry>,
 }
 
 impl HostsState {
-    fn register(&self) -> MutexGuard<'_, Register> {
-        self.register
+    fn registry(&self) -> MutexGuard<'_, HostRegistry> {
+        self.registry
             .lock()
-            .expect("no holder of the register panics")
+            .expect("no holder of the registry panics")
     }
 }
 
 #[derive(Debug, Deserialize)]
-struct ReadQuery {
+struct ListQuery {
     since: u64,
 }
 
@@ -107,33 +107,33 @@
 pub async fn start(options: HostsOptions) -> io::Result<HttpServerHandle> {
     let state = web::Data::from(Arc::new(HostsState {
         lag: Duration::from_millis(options.lag_ms),
-        register: Mutex::default(),
+        registry: Mutex::default(),
     }));
     serve(options.listen, &ServeOptions::default(), move |app| {
         app.app_data(state.clone())
-            .route("/v1/hosts", web::get().to(read))
-            .route("/v1/hosts/{name}", web::put().to(put))
-            .route("/v1/hosts/{name}", web::delete().to(delete))
+            .route("/v1/hosts", web::get().to(list_hosts))
+            .route("/v1/hosts/{name}", web::put().to(put_host))
+            .route("/v1/hosts/{name}", web::delete().to(delete_host))
             .route("/fault", web::post().to(set_faults));
     })
 }
 
-async fn read(state: web::Data<HostsState>, query: web::Query<ReadQuery>) -> HttpResponse {
-    let mut register = state.register();
-    if register.faults.down {
+async fn list_hosts(state: web::Data<HostsState>, query: web::Query<ListQuery>) -> HttpResponse {
+    let mut registry = state.registry();
+    if registry.faults.down {
         return HttpResponse::ServiceUnavailable().body("the list of hosts is down");
     }
-    let faulty = register.faults != HostsFaults::default();
-    let list = register.shown(state.lag);
-    if list.version == query.since && !faulty {
+    let has_faults = registry.faults != HostsFaults::default();
+    let list = registry.visible_list(state.lag);
+    if list.version == query.since && !has_faults {
         return HttpResponse::NotModified().finish();
     }
     HttpResponse::Ok().json(list)
 }
 
-async fn put(state: web::Data<HostsState>, record: web::Json<HostRecord>) -> HttpResponse {
+async fn put_host(state: web::Data<HostsState>, record: web::Json<HostRecord>) -> HttpResponse {
     let record = record.into_inner();
-    state.register().change(|hosts| {
+    state.registry().push_change(|hosts| {
         match hosts.binary_search_by(|host| host.name.cmp(&record.name)) {
             Ok(index) => hosts[index] = record,
             Err(index) => hosts.insert(index, record),
@@ -142,14 +142,14 @@
     HttpResponse::Ok().json("ok")
 }
 
-async fn delete(state: web::Data<HostsState>, name: web::Path<String>) -> HttpResponse {
+async fn delete_host(state: web::Data<HostsState>, name: web::Path<String>) -> HttpResponse {
     state
-        .register()
-        .change(|hosts| hosts.retain(|host| host.name != *name));
+        .registry()
+        .push_change(|hosts| hosts.retain(|host| host.name != *name));
     HttpResponse::Ok().json("ok")
 }
 
 async fn set_faults(state: web::Data<HostsState>, faults: web::Json<HostsFaults>) -> HttpResponse {
-    state.register().faults = faults.into_inner();
+    state.registry().faults = faults.into_inner();
     HttpResponse::Ok().json("ok")
 }
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -63,13 +63,13 @@
 }
 
 impl Stream {
-    fn next(&self) -> u64 {
+    fn next_offset(&self) -> u64 {
         self.earliest + self.records.len() as u64
     }
 
     fn trim(&mut self, retention: Duration) {
-        while let Some((written, _)) = self.records.front() {
-            if written.elapsed() < retention {
+        while let Some((appended_at, _)) = self.records.front() {
+            if appended_at.elapsed() < retention {
                 break;
             }
             self.records.pop_front();
@@ -77,33 +77,33 @@
         }
     }
 
-    fn slice(&self, from: u64, max: usize) -> LogSlice {
-        let first = from.max(self.earliest);
-        let skipped = usize::try_from(first - self.earliest).unwrap_or(usize::MAX);
+    fn read(&self, from: u64, max: usize) -> LogSlice {
+        let first_offset = from.max(self.earliest);
+        let skip_count = usize::try_from(first_offset - self.earliest).unwrap_or(usize::MAX);
         let records = self
             .records
             .iter()
-            .skip(skipped)
+            .skip(skip_count)
             .take(max)
-            .zip(first..)
+            .zip(first_offset..)
             .map(|((_, body), offset)| LogEntry::new(offset, body))
             .collect();
         LogSlice {
             earliest: self.earliest,
-            next: self.next(),
+            next: self.next_offset(),
             records,
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Book {
+struct LogStore {
     streams: Vec<Stream>,
     faults: LogFaults,
     stats: LogStats,
 }
 
-impl Book {
+impl LogStore {
     fn stream(&mut self, name: &str) -> &mut Stream {
         let found = self
             .streams
@@ -123,17 +123,17 @@
 #[derive(Debug)]
 struct LogState {
     retention: Duration,
-    book: Mutex<Book>,
+    store: Mutex<LogStore>,
 }
 
 impl LogState {
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().expect("no holder of the book panics")
+    fn store(&self) -> MutexGuard<'_, LogStore> {
+        self.store.lock().expect("no holder of the store panics")
     }
 
     /// Applies the delay, and returns whether the log is down.
-    async fn meet_faults(&self) -> bool {
-        let faults = self.book().faults.clone();
+    async fn delay_and_check_down(&self) -> bool {
+        let faults = self.store().faults.clone();
         sleep(Duration::from_millis(faults.delay_ms)).await;
         faults.down
     }
@@ -154,63 +154,67 @@
 pub async fn start(options: LogOptions) -> io::Result<HttpServerHandle> {
     let state = web::Data::from(Arc::new(LogState {
         retention: Duration::from_millis(options.retention_ms),
-        book: Mutex::default(),
+        store: Mutex::default(),
     }));
     serve(options.listen, &ServeOptions::default(), move |app| {
         app.app_data(state.clone())
             .app_data(web::PayloadConfig::new(8 << 20))
-            .route("/v1/streams/{stream}/records", web::post().to(append))
-            .route("/v1/streams/{stream}/records", web::get().to(read))
+            .route(
+                "/v1/streams/{stream}/records",
+                web::post().to(append_record),
+            )
+            .route("/v1/streams/{stream}/records", web::get().to(read_records))
             .route("/fault", web::post().to(set_faults))
             .route("/stats", web::get().to(show_stats));
     })
 }
 
-fn unavailable() -> HttpResponse {
+fn unavailable_response() -> HttpResponse {
     HttpResponse::ServiceUnavailable().body("the log is down")
 }
 
-async fn append(
+async fn append_record(
     state: web::Data<LogState>,
-    stream: web::Path<String>,
+    name: web::Path<String>,
     body: web::Bytes,
 ) -> HttpResponse {
-    if state.meet_faults().await {
-        return unavailable();
+    if state.delay_and_check_down().await {
+        return unavailable_response();
     }
-    let mut book = state.book();
-    let records = book.stream(&stream);
-    let offset = records.next();
-    records.records.push_back((Instant::now(), body.to_vec()));
-    book.stats.appends += 1;
-    if book.faults.lose_replies > 0 {
-        book.faults.lose_replies -= 1;
+    let mut store = state.store();
+    let stream = store.stream(&name);
+    let offset = stream.next_offset();
+    stream.records.push_back((Instant::now(), body.to_vec()));
+    store.stats.appends += 1;
+    if store.faults.lose_replies > 0 {
+        store.faults.lose_replies -= 1;
         return HttpResponse::GatewayTimeout().body("the reply was lost");
     }
     HttpResponse::Ok().json(serde_json::json!({ "offset": offset }))
 }
 
-async fn read(
+async fn read_records(
     state: web::Data<LogState>,
-    stream: web::Path<String>,
+    name: web::Path<String>,
     query: web::Query<ReadQuery>,
 ) -> HttpResponse {
-    if state.meet_faults().await {
-        return unavailable();
+    if state.delay_and_check_down().await {
+        return unavailable_response();
     }
-    state.book().stats.reads += 1;
+    state.store().stats.reads += 1;
     let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         {
-            let mut book = state.book();
-            if book.faults.down {
-                return unavailable();
+            let mut store = state.store();
+            if store.faults.down {
+                return unavailable_response();
             }
-            let records = book.stream(&stream);
-            records.trim(state.retention);
-            let late = Instant::now() >= deadline;
-            if records.next() > query.from || query.from < records.earliest || late {
-                return HttpResponse::Ok().json(records.slice(query.from, query.max));
+            let stream = store.stream(&name);
+            stream.trim(state.retention);
+            let deadline_passed = Instant::now() >= deadline;
+            if stream.next_offset() > query.from || query.from < stream.earliest || deadline_passed
+            {
+                return HttpResponse::Ok().json(stream.read(query.from, query.max));
             }
         }
         sleep(Duration::from_millis(POLL_MS)).await;
@@ -218,10 +222,10 @@
 }
 
 async fn set_faults(state: web::Data<LogState>, faults: web::Json<LogFaults>) -> HttpResponse {
-    state.book().faults = faults.into_inner();
+    state.store().faults = faults.into_inner();
     HttpResponse::Ok().json("ok")
 }
 
 async fn show_stats(state: web::Data<LogState>) -> HttpResponse {
-    HttpResponse::Ok().json(&state.book().stats)
+    HttpResponse::Ok().json(&state.store().stats)
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -7,6 +7,6 @@
 pub mod service;
 
 mod http_server_handle;
-mod origin_library;
+mod origin_store;
 
 pub use http_server_handle::HttpServerHandle;
--- a/src/standin/origin.rs
+++ b/src/standin/origin.rs
@@ -17,14 +17,14 @@
 use crate::links::ServeOptions;
 use crate::links::serve;
 use crate::standin::HttpServerHandle;
-use crate::standin::origin_library::ChunkAnswer;
-use crate::standin::origin_library::Library;
+use crate::standin::origin_store::ChunkAnswer;
+use crate::standin::origin_store::OriginStore;
 use crate::weights::Digest;
 
-pub use crate::standin::origin_library::OriginFaults;
-pub use crate::standin::origin_library::OriginStats;
-pub use crate::standin::origin_library::PublishRequest;
-pub use crate::standin::origin_library::RefusalFault;
+pub use crate::standin::origin_store::OriginFaults;
+pub use crate::standin::origin_store::OriginStats;
+pub use crate::standin::origin_store::PublishRequest;
+pub use crate::standin::origin_store::RefusalFault;
 
 /// How the origin starts.
 #[derive(Debug, Clone, Args)]
@@ -43,14 +43,12 @@
 #[derive(Debug)]
 struct OriginState {
     started: Instant,
-    library: Mutex<Library>,
+    store: Mutex<OriginStore>,
 }
 
 impl OriginState {
-    fn library(&self) -> MutexGuard<'_, Library> {
-        self.library
-            .lock()
-            .expect("no holder of the library panics")
+    fn store(&self) -> MutexGuard<'_, OriginStore> {
+        self.store.lock().expect("no holder of the store panics")
     }
 
     fn now_us(&self) -> u64 {
@@ -66,50 +64,53 @@
 pub async fn start(options: OriginOptions) -> io::Result<HttpServerHandle> {
     let state = web::Data::from(Arc::new(OriginState {
         started: Instant::now(),
-        library: Mutex::new(Library::new(options.rate_bytes_per_s, options.burst_bytes)),
+        store: Mutex::new(OriginStore::new(
+            options.rate_bytes_per_s,
+            options.burst_bytes,
+        )),
     }));
     serve(options.listen, &ServeOptions::default(), move |app| {
         app.app_data(state.clone())
             .route(
                 "/v1/models/{model}/versions/{version}/manifest",
-                web::get().to(manifest),
+                web::get().to(get_manifest),
             )
-            .route("/v1/chunks/{manifest}/{index}", web::get().to(chunk))
+            .route("/v1/chunks/{manifest}/{index}", web::get().to(get_chunk))
             .route("/v1/publish", web::post().to(publish))
             .route("/stats", web::get().to(show_stats))
             .route("/fault", web::post().to(set_faults));
     })
 }
 
-fn down() -> HttpResponse {
+fn down_response() -> HttpResponse {
     HttpResponse::InternalServerError().body("the origin is down")
 }
 
-async fn manifest(
+async fn get_manifest(
     state: web::Data<OriginState>,
     path: web::Path<(String, String)>,
 ) -> HttpResponse {
     let (model, version) = path.into_inner();
-    let mut library = state.library();
-    if library.is_down() {
-        return down();
+    let mut store = state.store();
+    if store.is_down() {
+        return down_response();
     }
-    match library.manifest(&model, &version) {
+    match store.manifest(&model, &version) {
         Some(manifest) => HttpResponse::Ok().json(manifest),
         None => HttpResponse::NotFound().body("no such version"),
     }
 }
 
-async fn chunk(state: web::Data<OriginState>, path: web::Path<(String, u32)>) -> HttpResponse {
+async fn get_chunk(state: web::Data<OriginState>, path: web::Path<(String, u32)>) -> HttpResponse {
     let (manifest, index) = path.into_inner();
     let Ok(manifest) = manifest.parse::<Digest>() else {
         return HttpResponse::BadRequest().body("the manifest is no digest");
     };
-    let answer = state.library().chunk(manifest, index, state.now_us());
+    let answer = state.store().chunk(manifest, index, state.now_us());
     match answer {
         ChunkAnswer::Send { bytes, wait_us } => {
             sleep(Duration::from_micros(wait_us)).await;
-            state.library().sent(bytes.len());
+            state.store().count_sent_chunk(bytes.len());
             HttpResponse::Ok()
                 .content_type("application/octet-stream")
                 .body(bytes)
@@ -122,7 +123,7 @@
                 .body("the origin limits its rate")
         }
         ChunkAnswer::Missing => HttpResponse::NotFound().body("no such chunk"),
-        ChunkAnswer::Down => down(),
+        ChunkAnswer::Down => down_response(),
     }
 }
 
@@ -130,20 +131,20 @@
     state: web::Data<OriginState>,
     request: web::Json<PublishRequest>,
 ) -> HttpResponse {
-    match state.library().publish(&request) {
+    match state.store().publish(&request) {
         Some(digest) => HttpResponse::Ok().json(json!({ "manifest": digest })),
         None => HttpResponse::BadRequest().body("sizes must be above 0"),
     }
 }
 
 async fn show_stats(state: web::Data<OriginState>) -> HttpResponse {
-    HttpResponse::Ok().json(state.library().stats())
+    HttpResponse::Ok().json(state.store().stats())
 }
 
 async fn set_faults(
     state: web::Data<OriginState>,
     faults: web::Json<OriginFaults>,
 ) -> HttpResponse {
-    state.library().set_faults(faults.into_inner());
+    state.store().set_faults(faults.into_inner());
     HttpResponse::Ok().json("ok")
 }
--- a/src/standin/origin_library.rs
+++ b/src/standin/origin_store.rs
@@ -75,7 +75,7 @@
 }
 
 #[derive(Debug)]
-struct Title {
+struct PublishedVersion {
     manifest: Manifest,
     digest: Digest,
     bytes: Bytes,
@@ -83,10 +83,10 @@
 
 /// All versions of the origin, its faults and its link.
 #[derive(Debug)]
-pub(super) struct Library {
-    titles: Vec<Title>,
+pub(super) struct OriginStore {
+    versions: Vec<PublishedVersion>,
     link: TokenBucket,
-    own_rate_bytes_per_s: u64,
+    configured_rate_bytes_per_s: u64,
     faults: OriginFaults,
     stats: OriginStats,
 }
@@ -100,12 +100,12 @@
     Down,
 }
 
-impl Library {
+impl OriginStore {
     pub(super) fn new(rate_bytes_per_s: u64, burst_bytes: u64) -> Self {
         Self {
-            titles: Vec::new(),
+            versions: Vec::new(),
             link: TokenBucket::new(rate_bytes_per_s, burst_bytes),
-            own_rate_bytes_per_s: rate_bytes_per_s,
+            configured_rate_bytes_per_s: rate_bytes_per_s,
             faults: OriginFaults::default(),
             stats: OriginStats::default(),
         }
@@ -126,17 +126,17 @@
             &bytes,
         );
         let digest = manifest.digest();
-        let title = Title {
+        let published = PublishedVersion {
             manifest,
             digest,
             bytes: bytes.into(),
         };
         match self
-            .titles
-            .binary_search_by_key(&digest, |title| title.digest)
+            .versions
+            .binary_search_by_key(&digest, |published| published.digest)
         {
-            Ok(at) => self.titles[at] = title,
-            Err(at) => self.titles.insert(at, title),
+            Ok(at) => self.versions[at] = published,
+            Err(at) => self.versions.insert(at, published),
         }
         Some(digest)
     }
@@ -145,10 +145,9 @@
         if self.faults.manifest_missing {
             return None;
         }
-        let found = self
-            .titles
-            .iter()
-            .find(|title| title.manifest.model == model && title.manifest.version == version)?;
+        let found = self.versions.iter().find(|published| {
+            published.manifest.model == model && published.manifest.version == version
+        })?;
         let mut manifest = found.manifest.clone();
         if self.faults.manifest_wrong {
             manifest.whole = Digest::of_bytes(b"another whole");
@@ -162,27 +161,27 @@
         if self.faults.down {
             return ChunkAnswer::Down;
         }
-        if let Some(refusal) = self.next_refusal() {
+        if let Some(refusal) = self.take_refusal() {
             return ChunkAnswer::Refuse(refusal);
         }
         let Ok(at) = self
-            .titles
-            .binary_search_by_key(&manifest, |title| title.digest)
+            .versions
+            .binary_search_by_key(&manifest, |published| published.digest)
         else {
             return ChunkAnswer::Missing;
         };
-        let title = &self.titles[at];
-        let Some(len) = title.manifest.chunk_len_bytes(index) else {
+        let published = &self.versions[at];
+        let Some(len) = published.manifest.chunk_len_bytes(index) else {
             return ChunkAnswer::Missing;
         };
-        let start = index as usize * title.manifest.chunk_bytes as usize;
-        let bytes = title.bytes.slice(start..start + len as usize);
-        let bytes = self.spoil(index, bytes);
+        let start = index as usize * published.manifest.chunk_bytes as usize;
+        let bytes = published.bytes.slice(start..start + len as usize);
+        let bytes = self.apply_chunk_faults(index, bytes);
         let wait_us = self.link.reserve(now_us, bytes.len() as u64);
         ChunkAnswer::Send { bytes, wait_us }
     }
 
-    pub(super) fn sent(&mut self, bytes: usize) {
+    pub(super) fn count_sent_chunk(&mut self, bytes: usize) {
         self.stats.chunks_sent += 1;
         self.stats.chunk_bytes_sent += bytes as u64;
     }
@@ -196,26 +195,28 @@
     }
 
     pub(super) fn set_faults(&mut self, faults: OriginFaults) {
-        let rate_bytes_per_s = faults.rate_bytes_per_s.unwrap_or(self.own_rate_bytes_per_s);
+        let rate_bytes_per_s = faults
+            .rate_bytes_per_s
+            .unwrap_or(self.configured_rate_bytes_per_s);
         self.link.set_rate(rate_bytes_per_s);
         self.faults = faults;
     }
 
-    fn next_refusal(&mut self) -> Option<RefusalFault> {
+    fn take_refusal(&mut self) -> Option<RefusalFault> {
         let refusal = self.faults.refuse.as_mut()?;
         refusal.count = refusal.count.checked_sub(1)?;
         Some(refusal.clone())
     }
 
-    fn spoil(&mut self, index: u32, bytes: Bytes) -> Bytes {
+    fn apply_chunk_faults(&mut self, index: u32, bytes: Bytes) -> Bytes {
         if self.faults.truncate_chunk == Some(index) {
             return bytes.slice(..bytes.len() / 2);
         }
         if self.faults.corrupt_chunk == Some(index) && self.faults.corrupt_times > 0 {
             self.faults.corrupt_times -= 1;
-            let mut spoiled = bytes.to_vec();
-            spoiled[0] ^= 1;
-            return spoiled.into();
+            let mut corrupted = bytes.to_vec();
+            corrupted[0] ^= 1;
+            return corrupted.into();
         }
         bytes
     }
