--- a/src/standin/engine/batch.rs
+++ b/src/standin/engine/batch.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::oneshot;
 
-/// The decode slots of an engine and the requests that wait for one.
+/// Fixed number of decode slots, granted to waiting requests by priority, then by arrival.
 #[derive(Debug)]
 pub(super) struct Batch {
     slots: u32,
@@ -14,11 +14,13 @@
 #[derive(Debug, Default)]
 struct BatchState {
     running: u32,
+    /// Requests for a slot so far; numbers them in order of arrival.
     arrivals: u64,
-    /// Sorted, next to run last.
+    /// Sorted by rank; the request to be granted next is the last.
     waiting: Vec<Waiter>,
 }
 
+/// A request that waits for a slot.
 #[derive(Debug)]
 struct Waiter {
     priority: u8,
@@ -34,7 +36,9 @@
         })
     }
 
-    /// Asks for a slot, which arrives by the receiver.
+    /// Queues a request for a slot; the receiver resolves when the slot is granted.
+    ///
+    /// Dropping the receiver withdraws the request.
     pub(super) fn request_slot(self: &Arc<Self>, priority: u8) -> oneshot::Receiver<Slot> {
         let (grant, granted) = oneshot::channel();
         let mut state = self.lock();
@@ -54,25 +58,30 @@
         granted
     }
 
+    /// Number of granted slots.
     pub(super) fn running(&self) -> u32 {
         self.lock().running
     }
 
+    /// Number of requests that wait for a slot.
     pub(super) fn queued(&self) -> u32 {
         self.lock().waiting.len() as u32
     }
 
+    /// Total number of slots.
     pub(super) fn slots(&self) -> u32 {
         self.slots
     }
 
+    /// Grants free slots until none is left or nobody waits.
     fn grant_free_slots(self: &Arc<Self>) {
         while let Some(waiter) = self.pop_next_waiter() {
-            // A refused grant comes back and frees its slot when dropped.
+            // If the receiver was dropped, `send` returns the slot and dropping it frees it.
             let _ = waiter.grant.send(Slot(self.clone()));
         }
     }
 
+    /// Removes the next waiter and counts it as running; `None` when no slot is free.
     fn pop_next_waiter(&self) -> Option<Waiter> {
         let mut state = self.lock();
         state.waiting.retain(|waiter| !waiter.grant.is_closed());
@@ -89,7 +98,7 @@
     }
 }
 
-/// A decode slot, freed when dropped.
+/// A granted decode slot; dropping it frees the slot.
 #[derive(Debug)]
 pub(super) struct Slot(Arc<Batch>);
 
--- a/src/standin/engine/generation.rs
+++ b/src/standin/engine/generation.rs
@@ -17,22 +17,24 @@
 use crate::clients::StreamEvent;
 use crate::weights::Digest;
 
-/// Interval of heartbeats while no token is due.
+/// Interval of heartbeat events while no token is due.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Part of the first token time that caching cannot save, in percent.
+/// Part of the time to the first token that remains when the whole prompt is cached, in percent.
 const UNCACHED_PERCENT: u64 = 10;
 
-/// Prompt that makes an engine crash when that is allowed.
+/// Marker in a prompt that aborts the process if `may_crash` is set.
 const CRASH_MARKER: &str = "[[crash]]";
 
-/// Text of a token, which a checker can recompute.
+/// Deterministic text of token `index`, which tests recompute to check an answer.
+///
+/// `whole` is the digest of the complete weights.
 pub fn token_text(whole: &Digest, prompt: &str, seed: u64, index: u32) -> String {
     let text = format!("{whole}{prompt}{seed}{index}");
     Digest::of_bytes(text.as_bytes()).to_string()[..8].to_owned()
 }
 
-/// One token stream; dropping it frees its slot.
+/// The token stream of one request; dropping it frees its decode slot.
 #[derive(Debug)]
 pub(super) struct Generation {
     engine: Arc<Engine>,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The next event; `None` after the last.
+    /// Waits for the next event of the stream; `None` after the final event.
     pub(super) async fn next(&mut self) -> Option<StreamEvent> {
         if self.ended {
             return None;
@@ -89,6 +91,7 @@
         Some(self.next_token())
     }
 
+    /// Waits at most one heartbeat interval for a slot; returns whether it was granted.
     async fn wait_for_slot(&mut self) -> bool {
         let Ok(Ok(slot)) = timeout(HEARTBEAT_INTERVAL, &mut self.granted).await else {
             return false;
@@ -106,6 +109,7 @@
         true
     }
 
+    /// Returns the token that is due and schedules the following one.
     fn next_token(&mut self) -> StreamEvent {
         let index = self.next_index;
         self.next_index += 1;
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Time of a decode step; it grows with the streams in the batch.
+    /// Time of one decode step; it grows with the number of streams in the batch.
     fn token_interval(&self) -> Duration {
         let options = &self.engine.options;
         let other_streams = u64::from(self.engine.batch.running().saturating_sub(1));
@@ -131,11 +135,13 @@
         self.scale_to_pace(options.token_ms * 1000 + slowdown_us)
     }
 
+    /// Scales a step by the injected pace, in percent of the normal time.
     fn scale_to_pace(&self, step_us: u64) -> Duration {
         let pace_percent = self.engine.pace_percent.load(Ordering::Relaxed);
         Duration::from_micros(step_us * pace_percent / 100)
     }
 
+    /// Ends the stream and returns its final event.
     fn end_event(&mut self) -> StreamEvent {
         self.ended = true;
         self.slot = None;
@@ -147,6 +153,7 @@
         }
     }
 
+    /// Ends the stream with an error event.
     fn error_event(&mut self, code: EngineFault) -> StreamEvent {
         self.ended = true;
         self.slot = None;
--- a/src/standin/engine/handlers.rs
+++ b/src/standin/engine/handlers.rs
@@ -26,13 +26,13 @@
 use crate::clients::UnloadOrder;
 use crate::weights::Digest;
 
-/// Time to read weights from their source.
+/// Longest time to read weights from their source.
 const SOURCE_READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Faults that can be switched on.
+/// Body of `POST /fault`.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct FaultInjection {
-    /// Time of every step in percent of the normal time.
+    /// Duration of every prefill and decode step, in percent of the normal duration.
     pace_percent: u64,
 }
 
@@ -51,7 +51,7 @@
         return HttpResponse::build(StatusCode::BAD_GATEWAY)
             .json(refusal_with(EngineFault::SourceFailed));
     };
-    // A later order may have arrived while the bytes were read.
+    // An order with a higher number may have arrived while the source was read.
     if let Err(refusal) = engine.accept_order(order.order) {
         return conflict(refusal);
     }
@@ -112,14 +112,15 @@
 #[post("/fault")]
 pub(super) async fn inject_fault(
     engine: Data<Engine>,
-    order: Json<FaultInjection>,
+    fault: Json<FaultInjection>,
 ) -> HttpResponse {
     engine
         .pace_percent
-        .store(order.pace_percent, Ordering::Relaxed);
+        .store(fault.pace_percent, Ordering::Relaxed);
     HttpResponse::Ok().json(())
 }
 
+/// Refusal that reports no highest order number.
 fn refusal_with(code: EngineFault) -> EngineRefusal {
     EngineRefusal {
         code,
@@ -131,7 +132,7 @@
     HttpResponse::Conflict().json(refusal)
 }
 
-/// Reads all bytes of `url` and returns their digest.
+/// Downloads `url` and returns the digest of its content; `None` when the download fails.
 async fn hash_source(url: &str) -> Option<Digest> {
     let client = awc::Client::builder().timeout(SOURCE_READ_TIMEOUT).finish();
     let mut response = client.get(url).send().await.ok()?;
--- a/src/standin/engine/mod.rs
+++ b/src/standin/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a model engine: continuous batching, a prompt prefix cache of
-//! limited memory, priorities, cancel, resume and fenced orders.
+//! Stand-in for a model engine. It simulates continuous batching, a bounded prompt
+//! prefix cache, priorities, cancellation, stream resumption and orders fenced by number.
 
 mod batch;
 mod generation;
@@ -25,14 +25,14 @@
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// Time a stopping engine gives to running streams, in seconds.
+/// Longest time a graceful stop waits for running streams, in seconds.
 const STOP_TIMEOUT_S: u64 = 10;
 
 /// Starts an engine stand-in.
 ///
 /// # Errors
 ///
-/// Returns the error of binding the address.
+/// The I/O error when the address cannot be bound.
 pub async fn start(options: EngineOptions) -> io::Result<HttpServerHandle> {
     let listen = options.listen;
     let state = web::Data::from(Arc::new(state::Engine::new(options)));
--- a/src/standin/engine/prefix_cache.rs
+++ b/src/standin/engine/prefix_cache.rs
@@ -1,10 +1,10 @@
-/// Prompt bytes in one cached block.
+/// Size of one cached prompt block, in bytes.
 const BLOCK_BYTES: usize = 64;
 
-/// Least recently used cache of prompt blocks.
+/// Cache of prompt blocks that evicts the least recently used block.
 #[derive(Debug)]
 pub struct PrefixCache {
-    /// Sorted by key.
+    /// Cached blocks, sorted by key.
     blocks: Vec<CachedBlock>,
     capacity_blocks: usize,
     prompts: u64,
@@ -15,11 +15,12 @@
 #[derive(Debug, Clone, Copy)]
 struct CachedBlock {
     key: u64,
+    /// Number of the prompt that used the block last.
     last_used_prompt: u64,
 }
 
 impl PrefixCache {
-    /// Empty cache of `capacity_blocks` blocks.
+    /// Creates an empty cache with room for `capacity_blocks` blocks.
     pub fn new(capacity_blocks: usize) -> Self {
         Self {
             blocks: Vec::new(),
@@ -35,27 +36,29 @@
         self.blocks.len()
     }
 
-    /// Whether nothing is cached.
+    /// Whether the cache holds no block.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Prompts admitted.
+    /// Number of prompts inserted since the start.
     pub fn prompts(&self) -> u64 {
         self.prompts
     }
 
-    /// Blocks looked up.
+    /// Number of blocks of all inserted prompts.
     pub fn prompt_blocks(&self) -> u64 {
         self.prompt_blocks
     }
 
-    /// Blocks found.
+    /// Number of blocks that were already cached when their prompt was inserted.
     pub fn hit_blocks(&self) -> u64 {
         self.hit_blocks
     }
 
-    /// Looks `prompt` up, caches it, and returns the hit share in percent.
+    /// Caches the blocks of `prompt` and returns the share found in the cache, in percent.
+    ///
+    /// Only a cached prefix counts: blocks after the first miss are not hits.
     pub fn insert_prompt(&mut self, weights: &[u8], prompt: &[u8]) -> u64 {
         self.prompts += 1;
         let keys = block_keys(weights, prompt);
@@ -71,6 +74,7 @@
         hits as u64 * 100 / keys.len() as u64
     }
 
+    /// Updates the last use of a block; returns whether it is cached.
     fn mark_used(&mut self, key: u64) -> bool {
         match self.blocks.binary_search_by_key(&key, |block| block.key) {
             Ok(at) => {
@@ -104,7 +108,7 @@
     }
 }
 
-/// Keys of the whole blocks of `prompt`; each depends on all blocks before it.
+/// Keys of the complete blocks of `prompt`; each key also covers all earlier blocks.
 fn block_keys(weights: &[u8], prompt: &[u8]) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     hasher.update(weights);
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -16,12 +16,12 @@
 use crate::clients::OrderNo;
 use crate::weights::Digest;
 
-/// State of one engine stand-in.
+/// One engine stand-in: options, decode slots and the state behind its lock.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) options: EngineOptions,
     pub(super) batch: Arc<Batch>,
-    /// Time of every step in percent of the normal time.
+    /// Injected duration of every prefill and decode step, in percent of the normal duration.
     pub(super) pace_percent: AtomicU64,
     inner: Mutex<EngineInner>,
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Accepts an order number, or refuses it when orders are checked.
+    /// Records an order number; refuses one below the highest if `checks_orders` is set.
     pub(super) fn accept_order(&self, order: OrderNo) -> Result<(), EngineRefusal> {
         let mut inner = self.lock();
         let stale = inner.highest_order > Some(order);
@@ -72,6 +72,7 @@
         Ok(())
     }
 
+    /// Adds loaded weights, replacing those with the same manifest.
     pub(super) fn insert_weights(&self, weights: LoadedWeights) {
         let mut inner = self.lock();
         inner
@@ -86,6 +87,7 @@
             .retain(|other| other.manifest != manifest);
     }
 
+    /// Loaded weights with this manifest.
     pub(super) fn find_weights(&self, manifest: Digest) -> Option<LoadedWeights> {
         let inner = self.lock();
         let found = inner.loaded.iter().find(|it| it.manifest == manifest);
@@ -96,7 +98,7 @@
         self.lock().role = role;
     }
 
-    /// Caches a prompt and returns its hit share in percent.
+    /// Inserts a prompt into the prefix cache and returns its hit share, in percent.
     pub(super) fn cache_prompt(&self, weights: Digest, prompt: &str) -> u64 {
         let mut inner = self.lock();
         inner
@@ -104,7 +106,7 @@
             .insert_prompt(weights.as_bytes(), prompt.as_bytes())
     }
 
-    /// Registers a stream and returns its mark of being cancelled.
+    /// Registers a stream and returns the flag that is set when it is cancelled.
     pub(super) fn open_stream(&self, request_id: &str) -> Arc<AtomicBool> {
         let cancelled = Arc::new(AtomicBool::new(false));
         self.lock().streams.push(RunningStream {
@@ -114,6 +116,7 @@
         cancelled
     }
 
+    /// Removes the stream that `open_stream` returned `cancelled` for.
     pub(super) fn close_stream(&self, cancelled: &Arc<AtomicBool>) {
         let mut inner = self.lock();
         inner
@@ -121,6 +124,7 @@
             .retain(|stream| !Arc::ptr_eq(&stream.cancelled, cancelled));
     }
 
+    /// Sets the cancel flag of every stream of the request.
     pub(super) fn cancel_streams(&self, request_id: &str) {
         for stream in &self.lock().streams {
             if stream.request_id == request_id {
@@ -129,6 +133,7 @@
         }
     }
 
+    /// Current state as `GET /v1/state` reports it.
     pub(super) fn snapshot(&self) -> EngineState {
         let inner = self.lock();
         EngineState {
--- a/src/standin/hosts.rs
+++ b/src/standin/hosts.rs
@@ -18,37 +18,39 @@
 use crate::links::serve;
 use crate::standin::HttpServerHandle;
 
-/// How the stand-in for the platform's list of hosts starts.
+/// Command-line options of the stand-in for the platform's list of hosts.
 #[derive(Debug, Clone, Args)]
 pub struct HostsOptions {
     /// Address to listen on.
     #[arg(long, value_name = "IP:PORT")]
     pub listen: SocketAddr,
-    /// Time until a change shows.
+    /// Delay until a change appears in the list, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 0)]
     pub lag_ms: u64,
 }
 
-/// Faults to order from the list.
+/// Faults to inject into the host list; body of `POST /fault`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HostsFaults {
-    /// Every read is answered 503.
+    /// Answers every read with status 503.
     pub down: bool,
-    /// Every read shows an empty list.
+    /// Answers every read with an empty list.
     pub empty: bool,
-    /// Every read shows only the first half.
+    /// Answers every read with only the first half of the list.
     pub halved: bool,
 }
 
+/// Versions of the host list and the injected faults.
 #[derive(Debug, Default)]
 struct HostRegistry {
-    /// Lists in order of change, each with the time it was changed_at.
+    /// Versions of the list in order, each with the time of its change.
     history: Vec<(Instant, HostList)>,
     faults: HostsFaults,
 }
 
 impl HostRegistry {
+    /// Appends a new version of the list that `edit` makes from the latest one.
     fn push_change(&mut self, edit: impl FnOnce(&mut Vec<HostRecord>)) {
         let mut list = self
             .history
@@ -59,12 +61,13 @@
         self.history.push((Instant::now(), list));
     }
 
+    /// Latest version older than `lag`, with the injected faults applied; drops older versions.
     fn visible_list(&mut self, lag: Duration) -> HostList {
-        let visible = self
+        let visible_count = self
             .history
             .partition_point(|(changed_at, _)| changed_at.elapsed() >= lag);
-        if visible > 1 {
-            self.history.drain(..visible - 1);
+        if visible_count > 1 {
+            self.history.drain(..visible_count - 1);
         }
         let mut list = match self.history.first() {
             Some((changed_at, list)) if changed_at.elapsed() >= lag => list.clone(),
@@ -96,10 +99,11 @@
 
 #[derive(Debug, Deserialize)]
 struct ListQuery {
+    /// Version that the client holds; it is answered with status 304.
     since: u64,
 }
 
-/// Starts the stand-in.
+/// Starts the stand-in for the host list.
 ///
 /// # Errors
 ///
--- a/src/standin/http_server_handle.rs
+++ b/src/standin/http_server_handle.rs
@@ -2,7 +2,7 @@
 
 use actix_web::dev::ServerHandle;
 
-/// A running HTTP server of this process: a role or a stand-in.
+/// Controls an HTTP server that runs in this process, such as a role's or a stand-in's.
 #[derive(Debug, Clone)]
 pub struct HttpServerHandle {
     address: SocketAddr,
@@ -10,27 +10,27 @@
 }
 
 impl HttpServerHandle {
-    /// Wraps a server that listens on `address`.
+    /// Handle of a server that listens on `address`.
     pub fn new(address: SocketAddr, server: ServerHandle) -> Self {
         Self { address, server }
     }
 
-    /// Address it listens on.
+    /// Address the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Base URL, without a trailing slash.
+    /// Base URL of the server, without a trailing slash.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Stops at once; open connections are cut.
+    /// Stops immediately and closes open connections.
     pub async fn kill(&self) {
         self.server.stop(false).await;
     }
 
-    /// Stops after the requests in progress.
+    /// Stops gracefully: requests in progress may finish first.
     pub async fn stop(&self) {
         self.server.stop(true).await;
     }
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -20,53 +20,58 @@
 use crate::links::serve;
 use crate::standin::HttpServerHandle;
 
-/// How often a waiting read looks for new records.
+/// Interval at which a waiting read checks for new records, in milliseconds.
 const POLL_MS: u64 = 10;
 
-/// How the stand-in for the platform's log starts.
+/// Command-line options of the stand-in for the platform's log.
 #[derive(Debug, Clone, Args)]
 pub struct LogOptions {
     /// Address to listen on.
     #[arg(long, value_name = "IP:PORT")]
     pub listen: SocketAddr,
-    /// Time a record is kept.
+    /// Time after which a record is trimmed, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 86_400_000)]
     pub retention_ms: u64,
 }
 
-/// Faults to order from the log.
+/// Faults to inject into the log; body of `POST /fault`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Every call is answered 503.
+    /// Answers every call with status 503.
     pub down: bool,
-    /// Delay of every call.
+    /// Delay of every call, in milliseconds.
     pub delay_ms: u64,
-    /// Appends that take effect and whose reply is lost.
+    /// Number of coming appends that are stored but answered with status 504.
     pub lose_replies: u32,
 }
 
-/// What the log has served.
+/// Calls the log has served since its start.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct LogStats {
-    /// Records appended.
+    /// Number of records appended.
     pub appends: u64,
-    /// Reads answered.
+    /// Number of reads received while the log was up.
     pub reads: u64,
 }
 
+/// One append-only stream of records.
 #[derive(Debug, Default)]
 struct Stream {
     name: String,
+    /// Offset of the first record that is still kept.
     earliest: u64,
+    /// Records with the time they were appended.
     records: VecDeque<(Instant, Vec<u8>)>,
 }
 
 impl Stream {
+    /// Offset of the record that is appended next.
     fn next_offset(&self) -> u64 {
         self.earliest + self.records.len() as u64
     }
 
+    /// Removes records that are older than `retention`.
     fn trim(&mut self, retention: Duration) {
         while let Some((appended_at, _)) = self.records.front() {
             if appended_at.elapsed() < retention {
@@ -77,6 +82,7 @@
         }
     }
 
+    /// At most `max` records, starting at `from` or at the earliest kept record.
     fn read(&self, from: u64, max: usize) -> LogSlice {
         let first_offset = from.max(self.earliest);
         let skip_count = usize::try_from(first_offset - self.earliest).unwrap_or(usize::MAX);
@@ -96,14 +102,17 @@
     }
 }
 
+/// All streams, the injected faults and the counters.
 #[derive(Debug, Default)]
 struct LogStore {
+    /// Sorted by name.
     streams: Vec<Stream>,
     faults: LogFaults,
     stats: LogStats,
 }
 
 impl LogStore {
+    /// Returns the stream called `name`; creates it if it does not exist.
     fn stream(&mut self, name: &str) -> &mut Stream {
         let found = self
             .streams
@@ -131,7 +140,7 @@
         self.store.lock().expect("no holder of the store panics")
     }
 
-    /// Applies the delay, and returns whether the log is down.
+    /// Waits for the injected delay and returns whether the log is down.
     async fn delay_and_check_down(&self) -> bool {
         let faults = self.store().faults.clone();
         sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -146,7 +155,7 @@
     wait_ms: u64,
 }
 
-/// Starts the stand-in.
+/// Starts the stand-in for the log.
 ///
 /// # Errors
 ///
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the platform, with faults to order.
+//! Small stand-ins for the services of the platform, with faults that tests can inject.
 
 pub mod engine;
 pub mod hosts;
--- a/src/standin/origin.rs
+++ b/src/standin/origin.rs
@@ -26,16 +26,16 @@
 pub use crate::standin::origin_store::PublishRequest;
 pub use crate::standin::origin_store::RefusalFault;
 
-/// How the origin starts.
+/// Command-line options of the origin stand-in.
 #[derive(Debug, Clone, Args)]
 pub struct OriginOptions {
     /// Address to listen on.
     #[arg(long, value_name = "IP:PORT")]
     pub listen: SocketAddr,
-    /// Rate of its link; 0 for no limit.
+    /// Rate of the origin's link in bytes per second; 0 means unlimited.
     #[arg(long, value_name = "BYTES", default_value_t = 0)]
     pub rate_bytes_per_s: u64,
-    /// Bytes its link lets pass at once after it was idle.
+    /// Bytes that the link sends without delay after it was idle.
     #[arg(long, value_name = "BYTES", default_value_t = 65_536)]
     pub burst_bytes: u64,
 }
@@ -51,12 +51,13 @@
         self.store.lock().expect("no holder of the store panics")
     }
 
+    /// Time since the start, in microseconds.
     fn now_us(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 }
 
-/// Starts the stand-in.
+/// Starts the stand-in for the origin of weights.
 ///
 /// # Errors
 ///
@@ -104,7 +105,7 @@
 async fn get_chunk(state: web::Data<OriginState>, path: web::Path<(String, u32)>) -> HttpResponse {
     let (manifest, index) = path.into_inner();
     let Ok(manifest) = manifest.parse::<Digest>() else {
-        return HttpResponse::BadRequest().body("the manifest is no digest");
+        return HttpResponse::BadRequest().body("the manifest is not a valid digest");
     };
     let answer = state.store().chunk(manifest, index, state.now_us());
     match answer {
--- a/src/standin/origin_store.rs
+++ b/src/standin/origin_store.rs
@@ -9,71 +9,72 @@
 use crate::weights::Digest;
 use crate::weights::Manifest;
 
-/// A version to make up.
+/// Request to publish a version whose content is generated from a seed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PublishRequest {
     /// Name of the model.
     pub model: String,
     /// Name of the version.
     pub version: String,
-    /// Length of the whole.
+    /// Size of the complete weights, in bytes.
     pub size_bytes: u64,
-    /// Length of each chunk but the last.
+    /// Size of each chunk but the last, in bytes.
     pub chunk_bytes: u32,
-    /// Seed of the bytes.
+    /// Seed of the generated content.
     pub seed: u64,
-    /// Manifest of the base model; adapters only.
+    /// Digest of the base model's manifest; set for adapters only.
     #[serde(default)]
     pub base: Option<Digest>,
 }
 
-/// RefusalFault to order from the origin.
+/// Refusal of coming chunk requests, as sent by an origin that limits its rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RefusalFault {
-    /// Status of the answers.
+    /// HTTP status of the answers.
     pub status: u16,
-    /// Value of `Retry-After`.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: u32,
-    /// How many requests are refused.
+    /// Number of requests still to refuse.
     pub count: u32,
 }
 
-/// Faults to order from the origin.
+/// Faults to inject into the origin; body of `POST /fault`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OriginFaults {
-    /// Every request is answered 500.
+    /// Answers every request for a manifest or chunk with status 500.
     pub down: bool,
-    /// Rate of the link instead of its own.
+    /// Rate of the link that replaces the configured rate.
     pub rate_bytes_per_s: Option<u64>,
-    /// This chunk is sent with a wrong byte, as often as `corrupt_times` says.
+    /// Index of a chunk that is sent with a wrong first byte, `corrupt_times` times.
     pub corrupt_chunk: Option<u32>,
-    /// How often the corrupted chunk is sent.
+    /// Number of times the corrupted chunk is still sent.
     pub corrupt_times: u32,
-    /// This chunk is sent without its second half.
+    /// Index of a chunk that is sent without its second half.
     pub truncate_chunk: Option<u32>,
-    /// The next requests for chunks are refused.
+    /// Refuses the next requests for chunks.
     pub refuse: Option<RefusalFault>,
-    /// Manifests are not found.
+    /// Answers every request for a manifest with status 404.
     pub manifest_missing: bool,
-    /// Manifests name another whole digest.
+    /// Sends manifests with a wrong digest of the complete weights.
     pub manifest_wrong: bool,
 }
 
-/// What the origin has served.
+/// What the origin has served since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginStats {
-    /// Requests for chunks, refused ones too.
+    /// Number of chunk requests received, including refused ones.
     pub chunk_requests: u64,
-    /// Chunks sent.
+    /// Number of chunks sent.
     pub chunks_sent: u64,
-    /// Bytes of chunks sent.
+    /// Total size of the chunks sent, in bytes.
     pub chunk_bytes_sent: u64,
-    /// Manifests sent.
+    /// Number of manifests sent.
     pub manifests_sent: u64,
 }
 
+/// A version with its content; `digest` is the digest of its manifest.
 #[derive(Debug)]
 struct PublishedVersion {
     manifest: Manifest,
@@ -81,9 +82,10 @@
     bytes: Bytes,
 }
 
-/// All versions of the origin, its faults and its link.
+/// Published versions, the rate limit of the link, injected faults and counters.
 #[derive(Debug)]
 pub(super) struct OriginStore {
+    /// Sorted by the digest of the manifest.
     versions: Vec<PublishedVersion>,
     link: TokenBucket,
     configured_rate_bytes_per_s: u64,
@@ -94,9 +96,13 @@
 /// Answer to a request for a chunk.
 #[derive(Debug)]
 pub(super) enum ChunkAnswer {
+    /// The bytes, to be sent after `wait_us` of the link's rate limit.
     Send { bytes: Bytes, wait_us: u64 },
+    /// An injected refusal.
     Refuse(RefusalFault),
+    /// The version or the chunk does not exist.
     Missing,
+    /// The fault `down` is set.
     Down,
 }
 
@@ -111,6 +117,8 @@
         }
     }
 
+    /// Generates and stores a version; returns the digest of its manifest, or `None`
+    /// when a size is 0.
     pub(super) fn publish(&mut self, request: &PublishRequest) -> Option<Digest> {
         let len = usize::try_from(request.size_bytes).ok()?;
         if len == 0 || request.chunk_bytes == 0 {
@@ -141,6 +149,7 @@
         Some(digest)
     }
 
+    /// Manifest of a version, with the injected faults applied.
     pub(super) fn manifest(&mut self, model: &str, version: &str) -> Option<Manifest> {
         if self.faults.manifest_missing {
             return None;
@@ -156,6 +165,7 @@
         Some(manifest)
     }
 
+    /// Looks a chunk up and reserves its bytes on the link.
     pub(super) fn chunk(&mut self, manifest: Digest, index: u32, now_us: u64) -> ChunkAnswer {
         self.stats.chunk_requests += 1;
         if self.faults.down {
@@ -194,6 +204,7 @@
         self.stats.clone()
     }
 
+    /// Replaces all injected faults.
     pub(super) fn set_faults(&mut self, faults: OriginFaults) {
         let rate_bytes_per_s = faults
             .rate_bytes_per_s
@@ -202,12 +213,14 @@
         self.faults = faults;
     }
 
+    /// Uses up one of the injected refusals, if any is left.
     fn take_refusal(&mut self) -> Option<RefusalFault> {
         let refusal = self.faults.refuse.as_mut()?;
         refusal.count = refusal.count.checked_sub(1)?;
         Some(refusal.clone())
     }
 
+    /// Truncates or corrupts the bytes if that fault is injected for the chunk.
     fn apply_chunk_faults(&mut self, index: u32, bytes: Bytes) -> Bytes {
         if self.faults.truncate_chunk == Some(index) {
             return bytes.slice(..bytes.len() / 2);
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -25,55 +25,57 @@
 use crate::links::serve;
 use crate::standin::HttpServerHandle;
 
-/// Text in a body that makes the stand-in crash, if it may.
+/// Marker in a request body that aborts the process if `may_crash` is set.
 pub const CRASH_MARKER: &str = "[[crash]]";
 
-/// How the stand-in for a plain service starts.
+/// Command-line options of the stand-in for a plain service.
 #[derive(Debug, Clone, Args)]
 pub struct ServiceOptions {
     /// Address to listen on.
     #[arg(long, value_name = "IP:PORT")]
     pub listen: SocketAddr,
-    /// Whether a key seen before replays its answer.
+    /// Answer a repeated idempotency key from the earlier execution instead of running again.
     #[arg(long)]
     pub keeps_keys: bool,
-    /// Time a call takes.
+    /// Processing time of each call, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 0)]
     pub delay_ms: u64,
-    /// Whether a body that holds the crash mark ends the process.
+    /// Abort the process on a body that contains `[[crash]]`.
     #[arg(long)]
     pub may_crash: bool,
 }
 
-/// Faults to order from the service; each number counts the calls left.
+/// Faults to inject into the service; each number counts the coming calls that it affects.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Calls that run and whose reply is cut off half way.
+    /// Calls that run and whose connection breaks halfway through the reply.
     pub lose_reply: u32,
-    /// Calls that run and are never answered.
+    /// Calls that run and never get a reply.
     pub silent_reply: u32,
-    /// Calls answered with the answer of another request.
+    /// Calls that get a reply with the id of another request.
     pub crossed_reply: u32,
 }
 
-/// One execution, as kept in the ledger.
+/// One execution of a call, as recorded in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// Idempotency key of the call; empty without one.
+    /// Idempotency key of the call; empty if the call had none.
     pub key: String,
-    /// Path called.
+    /// Path of the call.
     pub path: String,
-    /// Running number.
+    /// Sequence number of the execution, from 1.
     pub execution: u64,
 }
 
+/// Record of all executions, and the injected faults.
 #[derive(Debug, Default)]
 struct Ledger {
     executions: Vec<Execution>,
     faults: ServiceFaults,
 }
 
+/// Fault of the reply to a call that was executed.
 #[derive(Debug, Clone, Copy)]
 enum ReplyFault {
     Lost,
@@ -82,11 +84,13 @@
 }
 
 impl Ledger {
+    /// Records an execution and returns its number; with `keeps_keys`, a known key
+    /// returns the number of its first execution.
     fn execute(&mut self, key: &str, path: &str, keeps_keys: bool) -> u64 {
         if keeps_keys && !key.is_empty() {
-            let known = self.executions.iter().find(|done| done.key == key);
-            if let Some(done) = known {
-                return done.execution;
+            let found = self.executions.iter().find(|earlier| earlier.key == key);
+            if let Some(earlier) = found {
+                return earlier.execution;
             }
         }
         let execution = self.executions.len() as u64 + 1;
@@ -98,14 +102,15 @@
         execution
     }
 
+    /// Uses up one injected fault, if any is left.
     fn take_next_fault(&mut self) -> Option<ReplyFault> {
         let faults = [
             (&mut self.faults.lose_reply, ReplyFault::Lost),
             (&mut self.faults.silent_reply, ReplyFault::Silent),
             (&mut self.faults.crossed_reply, ReplyFault::Crossed),
         ];
-        let (left, fault) = faults.into_iter().find(|(left, _)| **left > 0)?;
-        *left -= 1;
+        let (remaining, fault) = faults.into_iter().find(|(remaining, _)| **remaining > 0)?;
+        *remaining -= 1;
         Some(fault)
     }
 }
@@ -122,7 +127,7 @@
     }
 }
 
-/// Starts the stand-in.
+/// Starts the stand-in for a plain service.
 ///
 /// # Errors
 ///
@@ -180,17 +185,18 @@
     }
 }
 
-/// An answer whose connection breaks half way through the body.
+/// Reply whose connection breaks halfway through the body.
 fn truncated_reply(answer: &ServiceAnswer) -> HttpResponse {
-    let whole = serde_json::to_vec(answer).unwrap_or_default();
-    let half = Bytes::copy_from_slice(&whole[..whole.len() / 2]);
-    let cut = io::Error::new(io::ErrorKind::ConnectionReset, "reply lost");
-    let chunks = stream::iter([Ok(half), Err(cut)]);
+    let complete = serde_json::to_vec(answer).unwrap_or_default();
+    let first_half = Bytes::copy_from_slice(&complete[..complete.len() / 2]);
+    let reset = io::Error::new(io::ErrorKind::ConnectionReset, "reply lost");
+    let chunks = stream::iter([Ok(first_half), Err(reset)]);
     HttpResponse::Ok()
         .content_type("application/json")
-        .body(SizedStream::new(whole.len() as u64, chunks))
+        .body(SizedStream::new(complete.len() as u64, chunks))
 }
 
+/// Value of a header; empty when it is missing or not text.
 fn header(request: &HttpRequest, name: &str) -> String {
     request
         .headers()
