--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -4,8 +4,8 @@
 use actix_web::http::Method;
 use serde_json::Value;
 
-use super::machine::Machine;
-use super::places::Places;
+use super::address_pool::AddressPool;
+use super::host_thread::HostThread;
 use crate::cli::CliError;
 use crate::conf::BackendSettings;
 use crate::conf::ClusterSettings;
@@ -37,27 +37,27 @@
 use crate::standin::service::ServiceOptions;
 use crate::weights::Digest;
 
-/// Bearer token of the team that operates the demonstration.
+/// Bearer token of the team that edits the configuration.
 pub const TEAM_TOKEN: &str = "demo-team-token";
 
-/// Plain service of the demonstration.
+/// Name of the plain service.
 pub const SERVICE: &str = "bookdesk";
 
 const SHARED_KEY: &str = "the shared key of the demonstration";
 const REGIONS: [&str; 2] = ["wa-coast", "or-north"];
 const DOMAINS_PER_REGION: usize = 2;
 const ENTRIES: usize = 2;
-const SERVICES: usize = 2;
+const SERVICE_HOSTS: usize = 2;
 
-/// Time between two rounds of gossip or polls of the host list.
-const ROUND_MS: u64 = 200;
+/// Interval of gossip rounds and of polls of the host list, in milliseconds.
+const GOSSIP_AND_POLL_MS: u64 = 200;
 
 const MIB: u64 = 1024 * 1024;
 const LINK_BYTES_PER_S: u64 = 64 * MIB;
 const LOG_RETENTION_MS: u64 = 3_600_000;
-const ANSWER_WAIT_MS: u64 = 5000;
+const ANSWER_TIMEOUT_MS: u64 = 5000;
 
-/// Stand-ins of the platform.
+/// The stand-ins for the platform's services.
 #[derive(Debug)]
 pub struct Platform {
     log: HttpServerHandle,
@@ -65,28 +65,28 @@
     origin: HttpServerHandle,
 }
 
-/// An endpoint process and the engine or service beside it.
+/// An endpoint and the engine or service beside it.
 #[derive(Debug)]
 struct Host {
     name: String,
-    machine: Machine<(HttpServerHandle, EndpointHandle)>,
+    thread: HostThread<(HttpServerHandle, EndpointHandle)>,
 }
 
-/// Every process of the demonstration.
+/// All processes of the demonstration, each host in its own thread.
 #[derive(Debug)]
 pub struct Fleet {
-    platform: Machine<Platform>,
-    entries: Vec<Machine<EntryHandle>>,
+    platform: HostThread<Platform>,
+    entries: Vec<HostThread<EntryHandle>>,
     engines: Vec<Host>,
     services: Vec<Host>,
     records: Vec<HostRecord>,
 }
 
 impl Fleet {
-    /// Starts the stand-ins, the entries, `hosts` engine hosts and the services.
+    /// Starts the stand-ins, the entries, `hosts` engine hosts and the service hosts.
     pub async fn start(hosts: u32) -> Result<Self, CliError> {
-        let mut places = Places::new();
-        let platform = start_platform(&mut places).map_err(failed)?;
+        let mut addresses = AddressPool::new();
+        let platform = start_platform(&mut addresses).map_err(start_error)?;
         let mut fleet = Self {
             platform,
             entries: Vec::new(),
@@ -95,41 +95,43 @@
             records: Vec::new(),
         };
         for index in 0..ENTRIES {
-            let process = process(HostRole::Entry, "entry", index, &mut places);
-            fleet.start_entry(process).map_err(failed)?;
+            let process = process_settings(HostRole::Entry, "entry", index, &mut addresses);
+            fleet.start_entry(process).map_err(start_error)?;
         }
         for index in 0..hosts as usize {
-            let process = process(HostRole::Endpoint, "engine", index, &mut places);
-            fleet.start_engine(process, places.next()).map_err(failed)?;
+            let process = process_settings(HostRole::Endpoint, "engine", index, &mut addresses);
+            fleet
+                .start_engine(process, addresses.next_address())
+                .map_err(start_error)?;
         }
-        for index in 0..SERVICES {
-            let process = process(HostRole::Endpoint, SERVICE, index, &mut places);
+        for index in 0..SERVICE_HOSTS {
+            let process = process_settings(HostRole::Endpoint, SERVICE, index, &mut addresses);
             fleet
-                .start_service(process, places.next())
-                .map_err(failed)?;
+                .start_service(process, addresses.next_address())
+                .map_err(start_error)?;
         }
-        fleet.register().await?;
+        fleet.register_hosts().await?;
         Ok(fleet)
     }
 
-    /// Tells the platform's list of every host.
-    async fn register(&self) -> Result<(), CliError> {
+    /// Adds every host to the platform's list of hosts.
+    async fn register_hosts(&self) -> Result<(), CliError> {
         let http = HttpClient::to_platform();
         for record in &self.records {
             let url = format!(
                 "{}/v1/hosts/{}",
-                self.platform.parts.hosts.url(),
+                self.platform.handles.hosts.url(),
                 record.name
             );
             let _: Value = http
-                .send_json(Method::PUT, &url, record, ANSWER_WAIT_MS)
+                .send_json(Method::PUT, &url, record, ANSWER_TIMEOUT_MS)
                 .await
                 .map_err(|error| CliError::Failed(format!("{url}: {error}")))?;
         }
         Ok(())
     }
 
-    fn record(&mut self, process: &ProcessSettings, service: Option<&str>) {
+    fn add_host_record(&mut self, process: &ProcessSettings, service: Option<&str>) {
         self.records.push(HostRecord {
             name: process.name.clone(),
             address: process.listen,
@@ -142,58 +144,67 @@
     }
 
     fn start_entry(&mut self, process: ProcessSettings) -> io::Result<()> {
-        self.record(&process, None);
-        let mut settings = EntrySettings::new(process, self.platform_settings(), cluster());
+        self.add_host_record(&process, None);
+        let mut settings =
+            EntrySettings::new(process, self.platform_settings(), cluster_settings());
         settings.teams.push(TeamSettings {
             name: "demo".to_owned(),
             token_digest: Digest::of_bytes(TEAM_TOKEN.as_bytes()),
             sections: vec!["*".to_owned()],
         });
-        let machine = Machine::start(move || entry::start(settings))?;
-        self.entries.push(machine);
+        let thread = HostThread::start(move || entry::start(settings))?;
+        self.entries.push(thread);
         Ok(())
     }
 
-    fn start_engine(&mut self, process: ProcessSettings, beside: SocketAddr) -> io::Result<()> {
-        self.record(&process, None);
+    fn start_engine(
+        &mut self,
+        process: ProcessSettings,
+        backend_address: SocketAddr,
+    ) -> io::Result<()> {
+        self.add_host_record(&process, None);
         let backend = BackendSettings::Engine {
-            url: format!("http://{beside}"),
+            url: format!("http://{backend_address}"),
             checks_orders: true,
         };
         let settings = self.endpoint_settings(process, backend);
         let name = settings.process.name.clone();
-        let machine = Machine::start(move || async move {
-            let backend = engine::start(EngineOptions::new(beside)).await?;
+        let thread = HostThread::start(move || async move {
+            let backend = engine::start(EngineOptions::new(backend_address)).await?;
             Ok((backend, endpoint::start(settings).await?))
         })?;
-        self.engines.push(Host { name, machine });
+        self.engines.push(Host { name, thread });
         Ok(())
     }
 
-    fn start_service(&mut self, process: ProcessSettings, beside: SocketAddr) -> io::Result<()> {
-        self.record(&process, Some(SERVICE));
+    fn start_service(
+        &mut self,
+        process: ProcessSettings,
+        backend_address: SocketAddr,
+    ) -> io::Result<()> {
+        self.add_host_record(&process, Some(SERVICE));
         let backend = BackendSettings::Service {
-            url: format!("http://{beside}"),
+            url: format!("http://{backend_address}"),
             name: SERVICE.to_owned(),
         };
         let settings = self.endpoint_settings(process, backend);
         let name = settings.process.name.clone();
         let options = ServiceOptions {
-            listen: beside,
+            listen: backend_address,
             keeps_keys: false,
             delay_ms: 5,
             may_crash: false,
         };
-        let machine = Machine::start(move || async move {
+        let thread = HostThread::start(move || async move {
             let backend = service::start(options).await?;
             Ok((backend, endpoint::start(settings).await?))
         })?;
-        self.services.push(Host { name, machine });
+        self.services.push(Host { name, thread });
         Ok(())
     }
 
     fn platform_settings(&self) -> PlatformSettings {
-        let platform = &self.platform.parts;
+        let platform = &self.platform.handles;
         PlatformSettings::new(
             platform.log.url(),
             platform.hosts.url(),
@@ -206,8 +217,12 @@
         process: ProcessSettings,
         backend: BackendSettings,
     ) -> EndpointSettings {
-        let mut settings =
-            EndpointSettings::new(process, self.platform_settings(), cluster(), backend);
+        let mut settings = EndpointSettings::new(
+            process,
+            self.platform_settings(),
+            cluster_settings(),
+            backend,
+        );
         settings.weights.up_bytes_per_s = LINK_BYTES_PER_S;
         settings.weights.down_bytes_per_s = LINK_BYTES_PER_S;
         settings
@@ -215,47 +230,50 @@
 
     /// Base URLs of the entries.
     pub fn entry_urls(&self) -> Vec<String> {
-        self.entries.iter().map(|entry| entry.parts.url()).collect()
+        self.entries
+            .iter()
+            .map(|entry| entry.handles.url())
+            .collect()
     }
 
     /// Base URL of the origin.
     pub fn origin_url(&self) -> String {
-        self.platform.parts.origin.url()
+        self.platform.handles.origin.url()
     }
 
     /// Name of the engine host with the most running requests.
-    pub fn busiest(&self) -> String {
-        let running = |host: &&Host| host.machine.parts.1.node().own().load.running;
+    pub fn busiest_engine(&self) -> String {
+        let running = |host: &&Host| host.thread.handles.1.node().own().load.running;
         let busiest = self.engines.iter().max_by_key(running);
         busiest.map_or_else(String::new, |host| host.name.clone())
     }
 
-    /// Stops the engine host called `name` without notice.
-    pub async fn kill(&mut self, name: &str) {
-        let Some(at) = self.engines.iter().position(|host| host.name == name) else {
+    /// Stops the engine host called `name` abruptly, as a crash would.
+    pub async fn kill_engine_host(&mut self, name: &str) {
+        let Some(index) = self.engines.iter().position(|host| host.name == name) else {
             return;
         };
-        let mut host = self.engines.remove(at);
+        let mut host = self.engines.remove(index);
         host.kill().await;
     }
 
-    /// Calls that the entries sent again.
-    pub fn retries(&self) -> u64 {
-        let counted = |entry: &Machine<EntryHandle>| {
-            let text = entry.parts.node().metrics().render();
-            retries_in(&text)
+    /// Number of sends that the entries repeated.
+    pub fn count_retries(&self) -> u64 {
+        let retries_of = |entry: &HostThread<EntryHandle>| {
+            let text = entry.handles.node().metrics().render();
+            sum_retry_counters(&text)
         };
-        self.entries.iter().map(counted).sum()
+        self.entries.iter().map(retries_of).sum()
     }
 
-    /// What the services executed, as they noted it themselves.
+    /// Executions recorded in the ledgers of the services.
     pub async fn executions(&self) -> Result<Vec<Execution>, CliError> {
         let http = HttpClient::to_platform();
         let mut executions = Vec::new();
         for host in &self.services {
-            let url = format!("{}/ledger", host.machine.parts.0.url());
+            let url = format!("{}/ledger", host.thread.handles.0.url());
             let ledger: Vec<Execution> = http
-                .get_json(&url, ANSWER_WAIT_MS)
+                .get_json(&url, ANSWER_TIMEOUT_MS)
                 .await
                 .map_err(|error| CliError::Failed(format!("{url}: {error}")))?;
             executions.extend(ledger);
@@ -263,13 +281,13 @@
         Ok(executions)
     }
 
-    /// Ends everything.
+    /// Stops all processes.
     pub async fn stop(mut self) {
         for host in self.engines.iter_mut().chain(&mut self.services) {
             host.kill().await;
         }
         for entry in &mut self.entries {
-            entry.parts.kill().await;
+            entry.handles.kill().await;
             entry.kill();
         }
         self.platform.kill();
@@ -278,28 +296,28 @@
 
 impl Host {
     async fn kill(&mut self) {
-        let (backend, endpoint) = &self.machine.parts;
+        let (backend, endpoint) = &self.thread.handles;
         endpoint.kill().await;
         backend.kill().await;
-        self.machine.kill();
+        self.thread.kill();
     }
 }
 
-fn start_platform(places: &mut Places) -> io::Result<Machine<Platform>> {
+fn start_platform(addresses: &mut AddressPool) -> io::Result<HostThread<Platform>> {
     let log_options = LogOptions {
-        listen: places.next(),
+        listen: addresses.next_address(),
         retention_ms: LOG_RETENTION_MS,
     };
     let hosts_options = HostsOptions {
-        listen: places.next(),
+        listen: addresses.next_address(),
         lag_ms: 0,
     };
     let origin_options = OriginOptions {
-        listen: places.next(),
+        listen: addresses.next_address(),
         rate_bytes_per_s: LINK_BYTES_PER_S,
         burst_bytes: MIB,
     };
-    Machine::start(move || async move {
+    HostThread::start(move || async move {
         Ok(Platform {
             log: log::start(log_options).await?,
             hosts: hosts::start(hosts_options).await?,
@@ -308,15 +326,21 @@
     })
 }
 
-/// Sum of the counters of retries in a metrics text.
-fn retries_in(text: &str) -> u64 {
+/// Sums the retry counters in a rendered metrics text.
+fn sum_retry_counters(text: &str) -> u64 {
     text.lines()
         .filter(|line| line.starts_with(Tally::Retries.name()))
         .filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok())
         .sum()
 }
 
-fn process(role: HostRole, kind: &str, index: usize, places: &mut Places) -> ProcessSettings {
+/// Settings of process `index` of its kind; the processes alternate between the regions.
+fn process_settings(
+    role: HostRole,
+    kind: &str,
+    index: usize,
+    addresses: &mut AddressPool,
+) -> ProcessSettings {
     let region = REGIONS[index % REGIONS.len()];
     let domain = index / REGIONS.len() % DOMAINS_PER_REGION + 1;
     let name = format!("{kind}-{}", index + 1);
@@ -325,17 +349,17 @@
         name,
         region,
         format!("{region}-{domain}"),
-        places.next(),
+        addresses.next_address(),
     )
 }
 
-fn cluster() -> ClusterSettings {
+fn cluster_settings() -> ClusterSettings {
     let mut cluster = ClusterSettings::new(SHARED_KEY);
-    cluster.gossip_ms = ROUND_MS;
-    cluster.hosts_poll_ms = ROUND_MS;
+    cluster.gossip_ms = GOSSIP_AND_POLL_MS;
+    cluster.hosts_poll_ms = GOSSIP_AND_POLL_MS;
     cluster
 }
 
-fn failed(error: io::Error) -> CliError {
+fn start_error(error: io::Error) -> CliError {
     CliError::Failed(format!("the demonstration cannot start: {error}"))
 }
--- a/src/cli/demo/mod.rs
+++ b/src/cli/demo/mod.rs
@@ -1,16 +1,16 @@
-//! The demonstration: every role and stand-in in one process on loopback.
+//! The demonstration: every role and stand-in runs in one process on loopback.
 //!
-//! A model is brought to a dozen hosts, calls of both kinds are sent, one host
-//! is stopped without notice in the middle of them, and what callers saw is
-//! compared with what the engines and the service did.
+//! It distributes a model to a dozen hosts, sends generate requests and service calls,
+//! kills one host while they run, and compares the answers that callers received with
+//! the published weights and with the executions that the service recorded.
 
+mod address_pool;
+mod call_results;
 mod callers;
 mod fleet;
-mod machine;
+mod host_thread;
 mod operator;
-mod places;
 mod report;
-mod tally;
 
 use std::time::Duration;
 use std::time::Instant;
@@ -27,18 +27,18 @@
 use crate::conf::LogFormat;
 use crate::observe::init_logging;
 
-/// Time that calls are sent before and again after a host is stopped.
-const CALLS_MS: u64 = 2000;
+/// Time that calls are sent before a host is killed, and again after it, in milliseconds.
+const CALL_PHASE_MS: u64 = 2000;
 
 const MIB: u64 = 1024 * 1024;
 
 /// Arguments of `demo`.
 #[derive(Debug, Args)]
 pub struct DemoArgs {
-    /// Hosts that get the model.
+    /// Number of hosts that the model is distributed to.
     #[arg(long, value_name = "N", default_value_t = 12, value_parser = clap::value_parser!(u32).range(2..=64))]
     hosts: u32,
-    /// Size of the model.
+    /// Size of the model in MiB.
     #[arg(long, value_name = "MIB", default_value_t = 32, value_parser = clap::value_parser!(u64).range(1..=1024))]
     model_mib: u64,
 }
@@ -46,34 +46,34 @@
 /// Runs `demo`.
 pub fn run(args: DemoArgs) -> Result<(), CliError> {
     init_logging(LogFormat::Text, log::LevelFilter::Error);
-    let report = System::new().block_on(play(&args))?;
+    let report = System::new().block_on(run_demo(&args))?;
     print!("{report}");
-    report.verdict()
+    report.run_checks()
 }
 
-async fn play(args: &DemoArgs) -> Result<Report, CliError> {
+async fn run_demo(args: &DemoArgs) -> Result<Report, CliError> {
     println!(
-        "starting 3 stand-ins of the platform, 2 entries and {} hosts",
+        "starting 3 stand-ins for the platform, 2 entries and {} hosts",
         args.hosts + 2
     );
     let mut fleet = Fleet::start(args.hosts).await?;
     let operator = Operator::new(&fleet);
     let size_bytes = args.model_mib * MIB;
-    let whole = operator.publish(size_bytes, args.hosts).await?;
+    let weights_digest = operator.publish(size_bytes, args.hosts).await?;
     let started = Instant::now();
     operator.watch_burst(args.hosts).await?;
     let burst_ms = elapsed_ms(started);
-    let origin_bytes = operator.origin_bytes().await?;
+    let origin_bytes = operator.fetch_origin_bytes().await?;
 
-    println!("sending calls; one host stops without notice in the middle");
-    let callers = Callers::start(fleet.entry_urls(), whole);
-    sleep(Duration::from_millis(CALLS_MS)).await;
-    let stopped = fleet.busiest();
-    fleet.kill(&stopped).await;
-    sleep(Duration::from_millis(CALLS_MS)).await;
-    let tally = callers.finish().await;
+    println!("sending calls; one host is killed while they run");
+    let callers = Callers::start(fleet.entry_urls(), weights_digest);
+    sleep(Duration::from_millis(CALL_PHASE_MS)).await;
+    let stopped = fleet.busiest_engine();
+    fleet.kill_engine_host(&stopped).await;
+    sleep(Duration::from_millis(CALL_PHASE_MS)).await;
+    let results = callers.finish().await;
     let executions = fleet.executions().await?;
-    let retries = fleet.retries();
+    let retries = fleet.count_retries();
     fleet.stop().await;
     Ok(Report {
         hosts: args.hosts,
@@ -81,7 +81,7 @@
         burst_ms,
         origin_bytes,
         stopped,
-        tally,
+        results,
         retries,
         executions,
     })
--- a/src/cli/demo/operator.rs
+++ b/src/cli/demo/operator.rs
@@ -21,36 +21,40 @@
 use crate::links::LinkError;
 use crate::weights::Digest;
 
-/// Branch whose callers call.
+/// Branch that the callers belong to.
 pub const BRANCH: &str = "dunes";
 
-/// Bearer token of that branch.
+/// Bearer token of the branch.
 pub const BRANCH_TOKEN: &str = "demo-branch-token";
 
-/// Model that is brought to the hosts.
+/// Name of the model that is distributed to the hosts.
 pub const MODEL: &str = "chat";
 
-/// Path whose calls may be repeated.
+/// Service path whose calls are idempotent.
 pub const LOOKUP_PATH: &str = "lookup";
 
-/// Path whose calls may not be repeated.
+/// Service path whose calls are not idempotent.
 pub const BOOKING_PATH: &str = "book";
 
 const VERSION: &str = "1";
 const CHUNK_BYTES: u32 = 1024 * 1024;
 const SEED: u64 = 1;
-const ANSWER_WAIT_MS: u64 = 5000;
+const ANSWER_TIMEOUT_MS: u64 = 5000;
 const POLL_MS: u64 = 50;
 
-/// HTTP status of an entry whose configuration is not confirmed yet.
-const NOT_READY: u16 = 503;
+/// HTTP status of an entry that has not confirmed its configuration yet.
+const STATUS_NOT_READY: u16 = 503;
 
-/// Time an entry has to confirm its configuration.
-const READY_LIMIT: Duration = Duration::from_secs(10);
-const BURST_LIMIT_MS: u64 = 15_000;
-const PERCENT: u64 = 100;
+/// Longest time an entry may take to confirm its configuration.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the operators of the demonstration do.
+/// Longest time until all hosts serve the model, in milliseconds.
+const BURST_TIMEOUT_MS: u64 = 15_000;
+
+/// Steps of the progress bar for each host; one step is one percent of the weights.
+const STEPS_PER_HOST: u64 = 100;
+
+/// Client of the operators: publishes weights, edits the configuration, reads the status.
 #[derive(Debug)]
 pub struct Operator {
     http: HttpClient,
@@ -58,18 +62,20 @@
     origin_url: String,
 }
 
+/// Answer of the origin to a publish request.
 #[derive(Debug, Deserialize)]
 struct Published {
     manifest: Digest,
 }
 
+/// Part of the origin's statistics that the demonstration reports.
 #[derive(Debug, Deserialize)]
-struct OriginStats {
+struct SentBytes {
     chunk_bytes_sent: u64,
 }
 
 impl Operator {
-    /// Operators of `fleet`.
+    /// Client of the first entry and the origin of `fleet`.
     pub fn new(fleet: &Fleet) -> Self {
         Self {
             http: HttpClient::to_platform(),
@@ -78,7 +84,9 @@
         }
     }
 
-    /// Publishes the weights and the document; answers the whole digest.
+    /// Publishes the weights and configures the model, the service and the branch.
+    ///
+    /// Returns the digest of the complete weights.
     pub async fn publish(&self, size_bytes: u64, replicas: u32) -> Result<Digest, CliError> {
         let publication = json!({
             "model": MODEL,
@@ -91,9 +99,9 @@
         let url = format!("{}/v1/publish", self.origin_url);
         let published: Published = self
             .http
-            .send_json(Method::POST, &url, &publication, ANSWER_WAIT_MS)
+            .send_json(Method::POST, &url, &publication, ANSWER_TIMEOUT_MS)
             .await
-            .map_err(failed)?;
+            .map_err(to_cli_error)?;
         let manifest = OriginClient::new(&self.origin_url)
             .manifest(MODEL, VERSION)
             .await
@@ -102,6 +110,7 @@
         Ok(manifest.whole)
     }
 
+    /// Creates the sections of the model, the service and the branch.
     async fn edit_document(&self, manifest: Digest, replicas: u32) -> Result<(), CliError> {
         let token_digest = Digest::of_bytes(BRANCH_TOKEN.as_bytes());
         let sections = [
@@ -125,13 +134,13 @@
             ),
         ];
         for (section, body) in sections {
-            self.edit(&section, body).await?;
+            self.put_section(&section, body).await?;
         }
         Ok(())
     }
 
-    /// Sends one edit, again until the entry is ready to take it.
-    async fn edit(&self, section: &str, body: String) -> Result<(), CliError> {
+    /// Creates a section; retries while the entry is not ready.
+    async fn put_section(&self, section: &str, body: String) -> Result<(), CliError> {
         let url = format!("{}{}", self.entry_url, section_path(section));
         let edit = json!(PutBody {
             edit_id: format!("demo {section}"),
@@ -145,73 +154,79 @@
                 .request(Method::PUT, &url)
                 .bearer_auth(TEAM_TOKEN)
                 .insert_header(("content-type", "application/json"));
-            let sent = HttpClient::exchange(request, edit.to_string(), ANSWER_WAIT_MS).await;
+            let sent = HttpClient::exchange(request, edit.to_string(), ANSWER_TIMEOUT_MS).await;
             match sent {
                 Ok(_) => return Ok(()),
                 Err(LinkError::Status { status, .. })
-                    if status == NOT_READY && started.elapsed() < READY_LIMIT => {}
-                Err(error) => return Err(failed(error)),
+                    if status == STATUS_NOT_READY && started.elapsed() < READY_TIMEOUT => {}
+                Err(error) => return Err(to_cli_error(error)),
             }
             sleep(Duration::from_millis(POLL_MS)).await;
         }
     }
 
-    /// Shows the burst until `hosts` hosts serve the model.
+    /// Shows the progress until `hosts` hosts serve the model.
+    ///
+    /// # Errors
+    ///
+    /// [`CliError::Failed`] when that takes too long.
     pub async fn watch_burst(&self, hosts: u32) -> Result<(), CliError> {
         let bar = progress_bar(hosts);
         let started = Instant::now();
         loop {
-            let view = self.status().await;
-            let serving = view.map_or(0, |view| show(&bar, &view));
+            let view = self.fetch_status().await;
+            let serving = view.map_or(0, |view| update_progress(&bar, &view));
             if serving >= hosts {
                 bar.finish();
                 return Ok(());
             }
-            if started.elapsed() > Duration::from_millis(BURST_LIMIT_MS) {
+            if started.elapsed() > Duration::from_millis(BURST_TIMEOUT_MS) {
                 bar.abandon();
-                let reason = format!("the model was not on {hosts} hosts in {BURST_LIMIT_MS} ms");
+                let reason = format!(
+                    "fewer than {hosts} hosts served the model after {BURST_TIMEOUT_MS} ms"
+                );
                 return Err(CliError::Failed(reason));
             }
             sleep(Duration::from_millis(POLL_MS)).await;
         }
     }
 
-    /// What the entry knows, unless it does not answer yet.
-    async fn status(&self) -> Option<StatusView> {
+    /// Status from the first entry; `None` when it does not answer.
+    async fn fetch_status(&self) -> Option<StatusView> {
         let url = format!("{}/v1/status", self.entry_url);
         let request = self.http.request(Method::GET, &url).bearer_auth(TEAM_TOKEN);
-        let answer = HttpClient::exchange(request, Bytes::new(), ANSWER_WAIT_MS).await;
+        let answer = HttpClient::exchange(request, Bytes::new(), ANSWER_TIMEOUT_MS).await;
         serde_json::from_slice(&answer.ok()?).ok()
     }
 
-    /// Bytes of chunks that the origin has sent.
-    pub async fn origin_bytes(&self) -> Result<u64, CliError> {
+    /// Total size of the chunks that the origin has sent, in bytes.
+    pub async fn fetch_origin_bytes(&self) -> Result<u64, CliError> {
         let url = format!("{}/stats", self.origin_url);
-        let stats: OriginStats = self
+        let stats: SentBytes = self
             .http
-            .get_json(&url, ANSWER_WAIT_MS)
+            .get_json(&url, ANSWER_TIMEOUT_MS)
             .await
-            .map_err(failed)?;
+            .map_err(to_cli_error)?;
         Ok(stats.chunk_bytes_sent)
     }
 }
 
 fn progress_bar(hosts: u32) -> ProgressBar {
-    let bar = ProgressBar::new(u64::from(hosts) * PERCENT);
+    let bar = ProgressBar::new(u64::from(hosts) * STEPS_PER_HOST);
     let style = ProgressStyle::with_template("model {bar:40} {percent}% {msg}")
-        .expect("the template is well formed");
+        .expect("the template is valid");
     bar.set_style(style);
     bar
 }
 
-/// Moves the bar and answers how many hosts serve the model.
-fn show(bar: &ProgressBar, view: &StatusView) -> u32 {
+/// Updates the bar and returns the number of hosts that serve the model.
+fn update_progress(bar: &ProgressBar, view: &StatusView) -> u32 {
     let present: u64 = view
         .hosts
         .iter()
         .flat_map(|host| &host.versions)
-        .filter(|served| served.model == MODEL)
-        .map(|served| u64::from(served.present_percent))
+        .filter(|held| held.model == MODEL)
+        .map(|held| u64::from(held.present_percent))
         .sum();
     bar.set_position(present);
     let serving = view
@@ -219,10 +234,10 @@
         .iter()
         .find(|model| model.name == MODEL)
         .map_or(0, |model| model.serving);
-    bar.set_message(format!("{serving} hosts serve"));
+    bar.set_message(format!("{serving} hosts serving"));
     serving
 }
 
-fn failed(error: LinkError) -> CliError {
+fn to_cli_error(error: LinkError) -> CliError {
     CliError::Failed(error.to_string())
 }
