--- a/src/cli/admin_client.rs
+++ b/src/cli/admin_client.rs
@@ -9,7 +9,7 @@
 use crate::links::LinkError;
 
 /// Time an entry has to answer, beyond the waiting it was asked for.
-const ANSWER_WAIT_MS: u64 = 20_000;
+const ANSWER_TIMEOUT_MS: u64 = 20_000;
 
 /// A team's client of the administration API.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
             Some(body) => serde_json::to_vec(body).map_err(malformed)?,
             None => Vec::new(),
         };
-        let answer = HttpClient::exchange(request, bytes, wait_ms + ANSWER_WAIT_MS).await?;
+        let answer = HttpClient::exchange(request, bytes, wait_ms + ANSWER_TIMEOUT_MS).await?;
         serde_json::from_slice(&answer).map_err(malformed)
     }
 
@@ -65,13 +65,13 @@
     }
 }
 
-/// Path of a section, with what a URL does not take escaped.
+/// Path of a section, with what a URL does not take percent_encode.
 pub fn section_path(name: &str) -> String {
-    format!("/v1/config/sections/{}", escaped(name))
+    format!("/v1/config/sections/{}", percent_encode(name))
 }
 
-/// `text` with every byte but letters, digits, `.`, `_` and `-` escaped.
-pub fn escaped(text: &str) -> String {
+/// `text` with every byte but letters, digits, `.`, `_` and `-` percent_encode.
+pub fn percent_encode(text: &str) -> String {
     let mut path = String::new();
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"._-".contains(&byte) {
@@ -84,7 +84,7 @@
 }
 
 /// The command's error for an answer that was no success.
-pub fn failed(error: LinkError) -> CliError {
+pub fn to_cli_error(error: LinkError) -> CliError {
     let LinkError::Status { status, body, .. } = &error else {
         return CliError::Failed(error.to_string());
     };
@@ -93,8 +93,8 @@
         (Some(code), Some(message)) => format!("{code}: {message}"),
         _ => format!("status {status}: {body}"),
     };
-    let winner = answer["details"]["winner"]["body"].as_str();
-    CliError::Failed(match winner {
+    let current_body = answer["details"]["winner"]["body"].as_str();
+    CliError::Failed(match current_body {
         Some(body) => {
             let revision = &answer["details"]["revision"];
             format!("{text}\nthe section is now, at revision {revision}:\n{body}")
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -34,13 +34,13 @@
 /// [`CliError::Failed`] when it cannot run or its result is not good.
 pub fn run(args: BenchArgs) -> Result<(), CliError> {
     match args.kind {
-        BenchKind::Control(bench) => control(&bench),
-        BenchKind::Weights(bench) => weights(&bench),
+        BenchKind::Control(bench) => run_control(&bench),
+        BenchKind::Weights(bench) => run_weights(&bench),
         BenchKind::Requests(args) => bench_requests::run(&args),
     }
 }
 
-fn control(bench: &ControlBench) -> Result<(), CliError> {
+fn run_control(bench: &ControlBench) -> Result<(), CliError> {
     let result = actix_rt::System::new()
         .block_on(bench.run())
         .map_err(|error| CliError::Failed(error.to_string()))?;
@@ -56,7 +56,7 @@
     Err(CliError::Failed(reason.to_owned()))
 }
 
-fn weights(bench: &WeightsBench) -> Result<(), CliError> {
+fn run_weights(bench: &WeightsBench) -> Result<(), CliError> {
     let result = actix_rt::System::new()
         .block_on(bench.run())
         .map_err(|error| CliError::Failed(error.to_string()))?;
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -10,9 +10,9 @@
 use super::CliError;
 use super::OperatorArgs;
 use super::admin_client::AdminClient;
-use super::admin_client::escaped;
-use super::admin_client::failed;
+use super::admin_client::percent_encode;
 use super::admin_client::section_path;
+use super::admin_client::to_cli_error;
 use crate::calls::Nonce;
 use crate::document::EditOutcome;
 use crate::entry::admin::AcceptedAnswer;
@@ -26,10 +26,10 @@
 use crate::links::LinkError;
 
 /// Sends of one edit whose outcome stays unknown.
-const MAX_SENDS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// HTTP status of an edit whose outcome is unknown.
-const OUTCOME_UNKNOWN: u16 = 504;
+const STATUS_OUTCOME_UNKNOWN: u16 = 504;
 
 /// Milliseconds in a second.
 const MS_PER_S: u64 = 1000;
@@ -142,18 +142,20 @@
     let command = args.command;
     let client = AdminClient::new(command.operator().clone())?;
     match command {
-        ConfigCommand::Show { sections, .. } => block_on(show(&client, sections)),
-        ConfigCommand::Get { section, .. } => block_on(get(&client, &section)),
-        ConfigCommand::Edit(edit_args) => block_on(edit(&client, edit_args)),
-        ConfigCommand::Diff { section, file, .. } => block_on(diff(&client, &section, file)),
+        ConfigCommand::Show { sections, .. } => block_on(show_document(&client, sections)),
+        ConfigCommand::Get { section, .. } => block_on(get_section(&client, &section)),
+        ConfigCommand::Edit(edit_args) => block_on(edit_section(&client, edit_args)),
+        ConfigCommand::Diff { section, file, .. } => {
+            block_on(diff_section(&client, &section, file))
+        }
         ConfigCommand::History { section, limit, .. } => {
-            block_on(history(&client, section.as_deref(), limit))
+            block_on(show_history(&client, section.as_deref(), limit))
         }
         ConfigCommand::Wait {
             revision,
             timeout_s,
             ..
-        } => block_on(wait(&client, revision, timeout_s)),
+        } => block_on(wait_in_force(&client, revision, timeout_s)),
     }
 }
 
@@ -161,8 +163,8 @@
     actix_rt::System::new().block_on(work)
 }
 
-async fn show(client: &AdminClient, only_sections: bool) -> Result<(), CliError> {
-    let answer: DocumentAnswer = client.get("/v1/config", 0).await.map_err(failed)?;
+async fn show_document(client: &AdminClient, only_sections: bool) -> Result<(), CliError> {
+    let answer: DocumentAnswer = client.get("/v1/config", 0).await.map_err(to_cli_error)?;
     if only_sections {
         for section in &answer.sections {
             println!("{}\t{}\t{}", section.revision, section.team, section.name);
@@ -182,10 +184,10 @@
     name: &str,
 ) -> Result<SectionAnswer, CliError> {
     let path = section_path(name);
-    client.get(&path, 0).await.map_err(failed)
+    client.get(&path, 0).await.map_err(to_cli_error)
 }
 
-async fn get(client: &AdminClient, name: &str) -> Result<(), CliError> {
+async fn get_section(client: &AdminClient, name: &str) -> Result<(), CliError> {
     let answer = read_section(client, name).await?;
     let Some(section) = answer.section else {
         let revision = answer.revision;
@@ -197,7 +199,7 @@
     Ok(())
 }
 
-async fn edit(client: &AdminClient, args: EditArgs) -> Result<(), CliError> {
+async fn edit_section(client: &AdminClient, args: EditArgs) -> Result<(), CliError> {
     let body = args.file.map(read_body).transpose()?;
     let base_revision = match args.base {
         Some(base) => base,
@@ -205,7 +207,7 @@
     };
     let edit_id = args.edit_id.unwrap_or_else(|| Nonce::random().to_string());
     eprintln!("edit id {edit_id}, base {base_revision}");
-    let accepted = submit(
+    let accepted = submit_edit(
         client,
         &args.section,
         &edit_id,
@@ -217,18 +219,18 @@
 }
 
 /// Sends an edit, again with the same id while its outcome is unknown.
-pub(super) async fn submit(
+pub(super) async fn submit_edit(
     client: &AdminClient,
     section: &str,
     edit_id: &str,
     base_revision: u64,
     body: Option<&str>,
 ) -> Result<AcceptedAnswer, CliError> {
-    let mut sends = 1;
+    let mut attempts = 1;
     loop {
         match send_edit(client, section, edit_id, base_revision, body).await {
-            Err(error) if sends < MAX_SENDS && is_outcome_unknown(&error) => sends += 1,
-            result => return result.map_err(failed),
+            Err(error) if attempts < MAX_ATTEMPTS && is_outcome_unknown(&error) => attempts += 1,
+            result => return result.map_err(to_cli_error),
         }
     }
 }
@@ -265,18 +267,18 @@
 fn is_outcome_unknown(error: &LinkError) -> bool {
     match error {
         LinkError::Broken(_) | LinkError::Timeout { .. } => true,
-        LinkError::Status { status, .. } => *status == OUTCOME_UNKNOWN,
+        LinkError::Status { status, .. } => *status == STATUS_OUTCOME_UNKNOWN,
         LinkError::NotSent(_) | LinkError::Malformed(_) => false,
     }
 }
 
-async fn diff(client: &AdminClient, name: &str, file: PathBuf) -> Result<(), CliError> {
+async fn diff_section(client: &AdminClient, name: &str, file: PathBuf) -> Result<(), CliError> {
     let body = json!({ "body": read_body(file)? });
     let path = format!("{}/diff", section_path(name));
     let answer: DiffAnswer = client
         .send(Method::POST, &path, Some(&body), 0)
         .await
-        .map_err(failed)?;
+        .map_err(to_cli_error)?;
     for change in &answer.changes {
         if let Some(before) = &change.before {
             println!("- {} = {before}", change.key);
@@ -293,16 +295,16 @@
     Err(CliError::Failed(faults.join("\n")))
 }
 
-async fn history(
+async fn show_history(
     client: &AdminClient,
     section: Option<&str>,
     limit: usize,
 ) -> Result<(), CliError> {
     let mut path = format!("/v1/config/history?limit={limit}");
     if let Some(section) = section {
-        path.push_str(&format!("&section={}", escaped(section)));
+        path.push_str(&format!("&section={}", percent_encode(section)));
     }
-    let answer: HistoryAnswer = client.get(&path, 0).await.map_err(failed)?;
+    let answer: HistoryAnswer = client.get(&path, 0).await.map_err(to_cli_error)?;
     for entry in &answer.edits {
         let decision = match entry.outcome {
             EditOutcome::Accepted { revision, .. } => format!("accepted as {revision}"),
@@ -320,19 +322,23 @@
     Ok(())
 }
 
-async fn wait(client: &AdminClient, revision: u64, timeout_s: u64) -> Result<(), CliError> {
+async fn wait_in_force(
+    client: &AdminClient,
+    revision: u64,
+    timeout_s: u64,
+) -> Result<(), CliError> {
     let wait_ms = timeout_s.saturating_mul(MS_PER_S);
     let path = format!("/v1/config/wait?revision={revision}&wait_ms={wait_ms}");
-    let answer: InForceAnswer = client.get(&path, wait_ms).await.map_err(failed)?;
-    let count = format!(
+    let answer: InForceAnswer = client.get(&path, wait_ms).await.map_err(to_cli_error)?;
+    let summary = format!(
         "in force on {} of {} processes",
         answer.in_force, answer.processes
     );
     if answer.lacking.is_empty() {
-        println!("{count}");
+        println!("{summary}");
         return Ok(());
     }
-    let reason = format!("{count}; not on {}", answer.lacking.join(", "));
+    let reason = format!("{summary}; not on {}", answer.lacking.join(", "));
     Err(CliError::Failed(reason))
 }
 
--- a/src/cli/endpoint.rs
+++ b/src/cli/endpoint.rs
@@ -22,7 +22,7 @@
     /// # Errors
     ///
     /// Returns [`CliError::Invalid`] with every fault of the file.
-    pub fn load(&self) -> Result<EndpointSettings, CliError> {
+    pub fn load_settings(&self) -> Result<EndpointSettings, CliError> {
         let settings = EndpointSettings::load(&self.settings)?;
         init_logging(settings.process.log_format, settings.process.log_level);
         Ok(settings)
@@ -35,7 +35,7 @@
 ///
 /// [`CliError`] when the settings are invalid or the address cannot be bound.
 pub fn run(args: EndpointArgs) -> Result<(), CliError> {
-    let settings = args.load()?;
+    let settings = args.load_settings()?;
     run_process(async move {
         let handle = endpoint::start(settings).await?;
         Ok(move || async move { handle.stop().await })
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -35,7 +35,7 @@
 pub use standin::StandinArgs;
 pub use standin::StandinKind;
 pub use status::StatusArgs;
-pub use stop_signal::stop_signal;
+pub use stop_signal::wait_for_stop_signal;
 pub use token::TokenArgs;
 
 /// Parses the arguments and runs the chosen subcommand.
--- a/src/cli/model.rs
+++ b/src/cli/model.rs
@@ -10,16 +10,16 @@
 use super::CliError;
 use super::OperatorArgs;
 use super::admin_client::AdminClient;
-use super::admin_client::failed;
+use super::admin_client::to_cli_error;
 use super::config::read_section;
-use super::config::submit;
+use super::config::submit_edit;
 use crate::calls::Nonce;
 use crate::entry::ModelView;
 use crate::entry::StatusView;
 use crate::weights::Digest;
 
 /// Time between two looks at the progress.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Arguments of `model`.
 #[derive(Debug, Args)]
@@ -68,29 +68,34 @@
 pub fn run(args: ModelArgs) -> Result<(), CliError> {
     let system = actix_rt::System::new();
     match args.command {
-        ModelCommand::List { operator } => system.block_on(list(&AdminClient::new(operator)?)),
+        ModelCommand::List { operator } => {
+            system.block_on(list_models(&AdminClient::new(operator)?))
+        }
         ModelCommand::Rollout(args) => {
             let client = AdminClient::new(args.operator.clone())?;
-            system.block_on(rollout(&client, &args))
+            system.block_on(start_rollout(&client, &args))
         }
     }
 }
 
-async fn models(client: &AdminClient) -> Result<Vec<ModelView>, CliError> {
-    let view: StatusView = client.get("/v1/status", 0).await.map_err(failed)?;
+async fn fetch_models(client: &AdminClient) -> Result<Vec<ModelView>, CliError> {
+    let view: StatusView = client.get("/v1/status", 0).await.map_err(to_cli_error)?;
     Ok(view.models)
 }
 
-async fn list(client: &AdminClient) -> Result<(), CliError> {
-    for model in models(client).await? {
+async fn list_models(client: &AdminClient) -> Result<(), CliError> {
+    for model in fetch_models(client).await? {
         let ModelView { name, version, .. } = &model;
         let manifest = model.manifest.short_hex();
-        println!("{name}\t{version}\t{manifest}\t{}", progress(&model));
+        println!(
+            "{name}\t{version}\t{manifest}\t{}",
+            describe_progress(&model)
+        );
     }
     Ok(())
 }
 
-async fn rollout(client: &AdminClient, args: &RolloutArgs) -> Result<(), CliError> {
+async fn start_rollout(client: &AdminClient, args: &RolloutArgs) -> Result<(), CliError> {
     let name = format!("model {}", args.model);
     let answer = read_section(client, &name).await?;
     let Some(section) = answer.section else {
@@ -99,10 +104,10 @@
     };
     let body = with_version(&section.body, &args.version, args.manifest);
     let edit_id = Nonce::random().to_string();
-    let accepted = submit(client, &name, &edit_id, answer.revision, Some(&body)).await?;
+    let accepted = submit_edit(client, &name, &edit_id, answer.revision, Some(&body)).await?;
     println!("accepted, revision {}", accepted.revision);
     if args.watch {
-        watch(client, args).await?;
+        watch_rollout(client, args).await?;
     }
     Ok(())
 }
@@ -111,7 +116,7 @@
 fn with_version(body: &str, version: &str, manifest: Digest) -> String {
     let mut lines: Vec<String> = body
         .lines()
-        .filter(|line| !matches!(key_of(line), "version" | "manifest"))
+        .filter(|line| !matches!(key_of_line(line), "version" | "manifest"))
         .map(str::to_owned)
         .collect();
     lines.push(format!("version = {version}"));
@@ -119,45 +124,50 @@
     lines.join("\n") + "\n"
 }
 
-fn key_of(line: &str) -> &str {
+fn key_of_line(line: &str) -> &str {
     line.split('=').next().unwrap_or_default().trim()
 }
 
 /// Shows the progress until every replica serves the version.
-async fn watch(client: &AdminClient, args: &RolloutArgs) -> Result<(), CliError> {
+async fn watch_rollout(client: &AdminClient, args: &RolloutArgs) -> Result<(), CliError> {
     let deadline = Instant::now() + Duration::from_secs(args.timeout_s);
     let style = ProgressStyle::with_template("{prefix} {bar:30} {pos}/{len} serving  {msg}")
         .expect("the template is valid");
     let bar = ProgressBar::new(0).with_style(style);
     bar.set_prefix(format!("{} {}", args.model, args.version));
     loop {
-        let all = models(client).await?;
+        let all = fetch_models(client).await?;
         let model = all.iter().find(|model| model.name == args.model);
         if let Some(model) = model.filter(|model| model.manifest == args.manifest) {
             bar.set_length(u64::from(model.wanted));
             bar.set_position(u64::from(model.serving));
-            bar.set_message(progress(model));
+            bar.set_message(describe_progress(model));
             if model.serving >= model.wanted {
                 bar.finish();
-                println!("{} {}: {}", model.name, model.version, progress(model));
+                println!(
+                    "{} {}: {}",
+                    model.name,
+                    model.version,
+                    describe_progress(model)
+                );
                 return Ok(());
             }
         }
         if Instant::now() >= deadline {
             bar.abandon();
-            let state = model.map_or_else(|| "not in force".to_owned(), progress);
+            let state = model.map_or_else(|| "not in force".to_owned(), describe_progress);
             let reason = format!(
                 "not every replica serves after {} s: {state}",
                 args.timeout_s
             );
             return Err(CliError::Failed(reason));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// How far a model has come, with the cause of each hold.
-fn progress(model: &ModelView) -> String {
+fn describe_progress(model: &ModelView) -> String {
     let mut text = format!(
         "{} of {} serving, {} verified, {} fetching, {} on other versions",
         model.serving, model.wanted, model.verified, model.fetching, model.other_versions
--- a/src/cli/process.rs
+++ b/src/cli/process.rs
@@ -2,7 +2,7 @@
 use std::io;
 
 use super::CliError;
-use super::stop_signal;
+use super::wait_for_stop_signal;
 
 /// Starts a role, waits for a stop signal, and stops it gracefully.
 ///
@@ -16,7 +16,7 @@
 ) -> Result<(), CliError> {
     let running = async {
         let stop = start.await?;
-        stop_signal().await?;
+        wait_for_stop_signal().await?;
         stop().await;
         Ok(())
     };
--- a/src/cli/settings.rs
+++ b/src/cli/settings.rs
@@ -40,7 +40,7 @@
 /// Runs `settings`.
 pub fn run(args: SettingsArgs) -> Result<(), CliError> {
     match args.command {
-        SettingsCommand::Check { files } => check(&files),
+        SettingsCommand::Check { files } => check_files(&files),
         SettingsCommand::Keys { role } => {
             print_keys(role);
             Ok(())
@@ -49,7 +49,7 @@
 }
 
 /// Checks all files before it fails, so that one run shows every fault.
-fn check(files: &[PathBuf]) -> Result<(), CliError> {
+fn check_files(files: &[PathBuf]) -> Result<(), CliError> {
     let mut faults = Vec::new();
     for file in files {
         match conf::check(file) {
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -5,7 +5,7 @@
 use super::CliError;
 use super::OperatorArgs;
 use super::admin_client::AdminClient;
-use super::admin_client::failed;
+use super::admin_client::to_cli_error;
 use crate::entry::HostView;
 use crate::entry::ModelView;
 use crate::entry::StatusView;
@@ -29,18 +29,18 @@
     let client = AdminClient::new(args.operator)?;
     let answer: Value = System::new()
         .block_on(client.get("/v1/status", 0))
-        .map_err(failed)?;
+        .map_err(to_cli_error)?;
     if args.json {
         println!("{answer}");
         return Ok(());
     }
     let view: StatusView = serde_json::from_value(answer)
         .map_err(|error| CliError::Failed(format!("the status is malformed: {error}")))?;
-    print(&view);
+    print_status(&view);
     Ok(())
 }
 
-fn print(view: &StatusView) {
+fn print_status(view: &StatusView) {
     let ready = if view.ready { "ready" } else { "not ready" };
     println!(
         "{} ({ready}) at configuration offset {}",
--- a/src/cli/stop_signal.rs
+++ b/src/cli/stop_signal.rs
@@ -10,7 +10,7 @@
 /// # Errors
 ///
 /// Returns an error when the signals cannot be listened for.
-pub async fn stop_signal() -> io::Result<()> {
+pub async fn wait_for_stop_signal() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let terminated = terminate.recv();
--- a/src/cli/token.rs
+++ b/src/cli/token.rs
@@ -24,12 +24,12 @@
 /// Runs `token`.
 pub fn run(args: TokenArgs) -> Result<(), CliError> {
     match args.command {
-        TokenCommand::Digest => digest(),
+        TokenCommand::Digest => print_digest(),
     }
 }
 
 /// The token comes by standard input, so that it shows in no process list.
-fn digest() -> Result<(), CliError> {
+fn print_digest() -> Result<(), CliError> {
     let mut token = String::new();
     io::stdin()
         .read_to_string(&mut token)
