--- a/src/cli/admin_client.rs
+++ b/src/cli/admin_client.rs
@@ -8,10 +8,10 @@
 use crate::links::HttpClient;
 use crate::links::LinkError;
 
-/// Time an entry has to answer, beyond the waiting it was asked for.
+/// Time an entry has to answer, in addition to a requested wait.
 const ANSWER_TIMEOUT_MS: u64 = 20_000;
 
-/// A team's client of the administration API.
+/// Client of the administration API of one entry, authenticated as one team.
 #[derive(Debug)]
 pub struct AdminClient {
     operator: OperatorArgs,
@@ -19,21 +19,23 @@
 }
 
 impl AdminClient {
-    /// Client of the entry and team that `operator` names.
+    /// Creates a client for the entry and token that `operator` names.
     ///
     /// # Errors
     ///
-    /// [`CliError::Invalid`] when there is no token.
+    /// [`CliError::Invalid`] when there is no token or its file cannot be read.
     pub fn new(operator: OperatorArgs) -> Result<Self, CliError> {
         let token = operator.token()?;
         Ok(Self { operator, token })
     }
 
-    /// Sends a request and decodes the answer; `wait_ms` is what the entry was asked to wait.
+    /// Sends a request and decodes the JSON answer.
+    ///
+    /// `wait_ms` is the time that the request asks the entry to wait; it extends the timeout.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no usable answer came.
+    /// [`LinkError`] when the request fails or the answer cannot be decoded.
     pub async fn send<A: DeserializeOwned>(
         &self,
         method: Method,
@@ -55,22 +57,22 @@
         serde_json::from_slice(&answer).map_err(malformed)
     }
 
-    /// Reads what is at `path`.
+    /// Sends a GET request for `path`; see [`AdminClient::send`].
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no usable answer came.
+    /// [`LinkError`] when the request fails or the answer cannot be decoded.
     pub async fn get<A: DeserializeOwned>(&self, path: &str, wait_ms: u64) -> Result<A, LinkError> {
         self.send(Method::GET, path, None::<&Value>, wait_ms).await
     }
 }
 
-/// Path of a section, with what a URL does not take percent_encode.
+/// URL path of a section, with its name percent-encoded.
 pub fn section_path(name: &str) -> String {
     format!("/v1/config/sections/{}", percent_encode(name))
 }
 
-/// `text` with every byte but letters, digits, `.`, `_` and `-` percent_encode.
+/// Percent-encodes every byte except ASCII letters, digits, `.`, `_` and `-`.
 pub fn percent_encode(text: &str) -> String {
     let mut path = String::new();
     for byte in text.bytes() {
@@ -83,7 +85,10 @@
     path
 }
 
-/// The command's error for an answer that was no success.
+/// Converts a failed request into the command's error.
+///
+/// An error answer yields its code and message; a conflict also yields the section that
+/// is in force.
 pub fn to_cli_error(error: LinkError) -> CliError {
     let LinkError::Status { status, body, .. } = &error else {
         return CliError::Failed(error.to_string());
@@ -97,7 +102,7 @@
     CliError::Failed(match current_body {
         Some(body) => {
             let revision = &answer["details"]["revision"];
-            format!("{text}\nthe section is now, at revision {revision}:\n{body}")
+            format!("{text}\nthe current section, at revision {revision}, is:\n{body}")
         }
         None => text,
     })
--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -17,7 +17,7 @@
 #[command(version, arg_required_else_help = true)]
 #[command(after_help = "Exit codes: 0 success, 1 the command failed, 2 wrong usage or settings.")]
 pub struct Args {
-    /// What to do.
+    /// Subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -25,24 +25,24 @@
 /// The subcommands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run an entry: addresses, permits, routing, administration.
+    /// Run an entry, which serves addresses, permits, routing and administration.
     Entry(EntryArgs),
-    /// Run an endpoint beside an engine or a plain service.
+    /// Run an endpoint for an engine or a plain service on the same host.
     Endpoint(EndpointArgs),
-    /// Show, edit and follow the configuration through an entry.
+    /// Show, edit and track the configuration through an entry.
     Config(ConfigArgs),
-    /// Roll a model out to its next version, and watch it.
+    /// List models, and roll out a new version of a model.
     Model(ModelArgs),
-    /// Show the hosts, models and configuration as an entry sees them.
+    /// Show the hosts, models and configuration that an entry knows.
     Status(StatusArgs),
-    /// Show the whole system at work, in this one process on loopback.
+    /// Run a demonstration of the whole system in one process on loopback.
     Demo(DemoArgs),
-    /// Run a stand-in for a service of the platform.
+    /// Run a stand-in for a platform service, an engine or a plain service.
     Standin(StandinArgs),
-    /// Measure the system on this machine.
+    /// Run a benchmark of the system on this machine.
     Bench(BenchArgs),
-    /// Check settings files, or list the keys they may hold.
+    /// Check settings files, or list the available keys.
     Settings(SettingsArgs),
-    /// Work with bearer tokens.
+    /// Compute digests of bearer tokens.
     Token(TokenArgs),
 }
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -11,27 +11,27 @@
 /// Arguments of `bench`.
 #[derive(Debug, Args)]
 pub struct BenchArgs {
-    /// What to measure.
+    /// Benchmark to run.
     #[command(subcommand)]
     pub kind: BenchKind,
 }
 
-/// The measurements.
+/// The benchmarks.
 #[derive(Debug, Subcommand)]
 pub enum BenchKind {
-    /// How fast changes of the configuration are in force, and what control costs.
+    /// Measure how fast configuration changes take effect, and the cost of control traffic.
     Control(ControlBench),
-    /// Time until all hosts serve a new version, and bytes read from the origin.
+    /// Measure the time until all hosts serve a new version, and the bytes read from the origin.
     Weights(WeightsBench),
-    /// Routing and fair shares under load and faults.
+    /// Measure routing and fair shares under load and faults.
     Requests(RequestsBenchArgs),
 }
 
-/// Runs a measurement; all its roles share this process.
+/// Runs a benchmark; all its roles run in this process.
 ///
 /// # Errors
 ///
-/// [`CliError::Failed`] when it cannot run or its result is not good.
+/// [`CliError::Failed`] when it cannot run or its result violates a requirement.
 pub fn run(args: BenchArgs) -> Result<(), CliError> {
     match args.kind {
         BenchKind::Control(bench) => run_control(&bench),
@@ -52,7 +52,7 @@
     if result.is_good() {
         return Ok(());
     }
-    let reason = "a process lacks the last change, or an offset went back";
+    let reason = "a process did not receive the last change, or an offset decreased";
     Err(CliError::Failed(reason.to_owned()))
 }
 
@@ -71,7 +71,7 @@
     match result.missing_hosts {
         0 => Ok(()),
         missing => {
-            let reason = format!("{missing} hosts do not serve the version");
+            let reason = format!("{missing} hosts do not serve the new version");
             Err(CliError::Failed(reason))
         }
     }
--- a/src/cli/bench_requests.rs
+++ b/src/cli/bench_requests.rs
@@ -8,21 +8,21 @@
 /// Arguments of `bench requests`.
 #[derive(Debug, Args)]
 pub struct RequestsBenchArgs {
-    /// What is done to the fleet and by whom.
+    /// Load and fault that the fleet is exposed to.
     #[arg(long)]
     pub scenario: RequestsScenario,
-    /// Which policies to measure.
+    /// Routing policies to measure.
     #[arg(long, default_value = "both")]
     pub policy: RequestsPolicy,
-    /// Seed of the arrivals.
+    /// Seed of the request arrivals.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Print one JSON object on one line.
+    /// Print the result as JSON on one line.
     #[arg(long)]
     pub json: bool,
 }
 
-/// Runs the measurement and prints its figures.
+/// Runs the benchmark and prints its result.
 pub(super) fn run(args: &RequestsBenchArgs) -> Result<(), CliError> {
     let bench = RequestsBench {
         scenario: args.scenario,
@@ -31,7 +31,7 @@
     };
     let result = actix_rt::System::new()
         .block_on(bench.run())
-        .map_err(|error| CliError::Failed(format!("the bench cannot start: {error}")))?;
+        .map_err(|error| CliError::Failed(format!("the benchmark cannot start: {error}")))?;
     let text = match args.json {
         true => serde_json::to_string(&result),
         false => serde_json::to_string_pretty(&result),
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -25,7 +25,7 @@
 use crate::entry::admin::SectionAnswer;
 use crate::links::LinkError;
 
-/// Sends of one edit whose outcome stays unknown.
+/// Maximum number of sends of an edit whose outcome stays unknown.
 const MAX_ATTEMPTS: usize = 3;
 
 /// HTTP status of an edit whose outcome is unknown.
@@ -37,63 +37,63 @@
 /// Arguments of `config`.
 #[derive(Debug, Args)]
 pub struct ConfigArgs {
-    /// What to do with the configuration.
+    /// Subcommand to run.
     #[command(subcommand)]
     command: ConfigCommand,
 }
 
 #[derive(Debug, Subcommand)]
 enum ConfigCommand {
-    /// Print the whole document, or its sections with their revisions.
+    /// Print the complete document, or a list of its sections with their revisions.
     Show {
-        /// Where to send it, and as whom.
+        /// Entry and token to use.
         #[command(flatten)]
         operator: OperatorArgs,
-        /// Print names, revisions and teams only.
+        /// List only the revision, team and name of each section.
         #[arg(long)]
         sections: bool,
     },
-    /// Print one section; its revision goes to standard error.
+    /// Print one section, and its revision on standard error.
     Get {
-        /// Where to send it, and as whom.
+        /// Entry and token to use.
         #[command(flatten)]
         operator: OperatorArgs,
-        /// Full name, such as "model chat".
+        /// Full name of the section, such as "model chat".
         section: String,
     },
     /// Replace, create or delete one section.
     Edit(EditArgs),
-    /// Compare a file with the section in force, and check it.
+    /// Validate a file and compare it with the section in force.
     Diff {
-        /// Where to send it, and as whom.
+        /// Entry and token to use.
         #[command(flatten)]
         operator: OperatorArgs,
-        /// Full name, such as "model chat".
+        /// Full name of the section, such as "model chat".
         section: String,
-        /// File with lines `key = value`.
+        /// File with the section's `key = value` lines.
         #[arg(long, value_name = "FILE")]
         file: PathBuf,
     },
-    /// Print decided edits, the latest first.
+    /// Print accepted and conflicting edits, latest first.
     History {
-        /// Where to send it, and as whom.
+        /// Entry and token to use.
         #[command(flatten)]
         operator: OperatorArgs,
-        /// Only edits of this section.
+        /// Print only edits of this section.
         #[arg(long, value_name = "NAME")]
         section: Option<String>,
-        /// Most edits to print.
+        /// Maximum number of edits to print.
         #[arg(long, default_value_t = 50)]
         limit: usize,
     },
     /// Wait until a revision is in force on every process.
     Wait {
-        /// Where to send it, and as whom.
+        /// Entry and token to use.
         #[command(flatten)]
         operator: OperatorArgs,
-        /// Revision, as `edit` printed it.
+        /// Revision to wait for, as printed by `edit`.
         revision: u64,
-        /// Longest wait in seconds.
+        /// Maximum time to wait, in seconds.
         #[arg(long, default_value_t = 20)]
         timeout_s: u64,
     },
@@ -101,21 +101,21 @@
 
 #[derive(Debug, Args)]
 struct EditArgs {
-    /// Where to send it, and as whom.
+    /// Entry and token to use.
     #[command(flatten)]
     operator: OperatorArgs,
-    /// Full name, such as "model chat".
+    /// Full name of the section, such as "model chat".
     section: String,
-    /// File with lines `key = value`.
+    /// File with the section's `key = value` lines.
     #[arg(long, value_name = "FILE", required_unless_present = "delete")]
     file: Option<PathBuf>,
     /// Delete the section.
     #[arg(long, conflicts_with = "file")]
     delete: bool,
-    /// Revision the edit was made from [default: the section's revision now].
+    /// Revision the edit is based on [default: the section's current revision].
     #[arg(long, value_name = "REVISION")]
     base: Option<u64>,
-    /// Id of an edit to send again.
+    /// Id of an earlier edit, to send that edit again.
     #[arg(long, value_name = "ID", requires = "base")]
     edit_id: Option<String>,
 }
@@ -137,7 +137,7 @@
 ///
 /// # Errors
 ///
-/// [`CliError`] when an argument is missing or the entry refuses.
+/// [`CliError`] when the token or a file is missing, or the entry refuses the request.
 pub fn run(args: ConfigArgs) -> Result<(), CliError> {
     let command = args.command;
     let client = AdminClient::new(command.operator().clone())?;
@@ -179,6 +179,7 @@
     Ok(())
 }
 
+/// Fetches a section; one that does not exist has a revision but no body.
 pub(super) async fn read_section(
     client: &AdminClient,
     name: &str,
@@ -191,7 +192,8 @@
     let answer = read_section(client, name).await?;
     let Some(section) = answer.section else {
         let revision = answer.revision;
-        let reason = format!("section [{name}] does not exist; it would be made from {revision}");
+        let reason =
+            format!("section [{name}] does not exist; create it with base revision {revision}");
         return Err(CliError::Failed(reason));
     };
     println!("{}", section.body.trim_end());
@@ -206,7 +208,7 @@
         None => read_section(client, &args.section).await?.revision,
     };
     let edit_id = args.edit_id.unwrap_or_else(|| Nonce::random().to_string());
-    eprintln!("edit id {edit_id}, base {base_revision}");
+    eprintln!("edit id {edit_id}, base revision {base_revision}");
     let accepted = submit_edit(
         client,
         &args.section,
@@ -218,7 +220,9 @@
     Ok(())
 }
 
-/// Sends an edit, again with the same id while its outcome is unknown.
+/// Submits an edit; sends it again with the same id while its outcome is unknown.
+///
+/// A repeated id gets its first outcome, so that no edit is applied twice.
 pub(super) async fn submit_edit(
     client: &AdminClient,
     section: &str,
@@ -235,6 +239,7 @@
     }
 }
 
+/// Sends an edit once; no `body` deletes the section.
 async fn send_edit(
     client: &AdminClient,
     section: &str,
@@ -263,7 +268,9 @@
     }
 }
 
-/// The same edit id may be sent again whatever became of the first send.
+/// Whether the edit may have been decided although no answer says so.
+///
+/// Such an edit is safe to send again under the same id.
 fn is_outcome_unknown(error: &LinkError) -> bool {
     match error {
         LinkError::Broken(_) | LinkError::Timeout { .. } => true,
@@ -287,7 +294,7 @@
             println!("+ {} = {after}", change.key);
         }
     }
-    eprintln!("against revision {}", answer.revision);
+    eprintln!("compared with revision {}", answer.revision);
     if answer.faults.is_empty() {
         return Ok(());
     }
--- a/src/cli/endpoint.rs
+++ b/src/cli/endpoint.rs
@@ -17,11 +17,11 @@
 }
 
 impl EndpointArgs {
-    /// Loads the settings and starts the log that they ask for.
+    /// Loads the settings and initialises logging as they state.
     ///
     /// # Errors
     ///
-    /// Returns [`CliError::Invalid`] with every fault of the file.
+    /// [`CliError::Invalid`] with every fault of the file.
     pub fn load_settings(&self) -> Result<EndpointSettings, CliError> {
         let settings = EndpointSettings::load(&self.settings)?;
         init_logging(settings.process.log_format, settings.process.log_level);
@@ -29,7 +29,7 @@
     }
 }
 
-/// Runs an endpoint until it is asked to stop.
+/// Runs an endpoint until a stop signal arrives.
 ///
 /// # Errors
 ///
--- a/src/cli/entry.rs
+++ b/src/cli/entry.rs
@@ -17,11 +17,11 @@
 }
 
 impl EntryArgs {
-    /// Loads the settings and starts the log that they ask for.
+    /// Loads the settings and initialises logging as they state.
     ///
     /// # Errors
     ///
-    /// Returns [`CliError::Invalid`] with every fault of the file.
+    /// [`CliError::Invalid`] with every fault of the file.
     pub fn load_settings(&self) -> Result<EntrySettings, CliError> {
         let settings = EntrySettings::load(&self.settings)?;
         init_logging(settings.process.log_format, settings.process.log_level);
@@ -29,7 +29,7 @@
     }
 }
 
-/// Runs an entry until it is asked to stop.
+/// Runs an entry until a stop signal arrives.
 ///
 /// # Errors
 ///
--- a/src/cli/errors.rs
+++ b/src/cli/errors.rs
@@ -3,10 +3,10 @@
 
 use crate::conf::SettingsFaults;
 
-/// Why a subcommand ended without success.
+/// Error of a subcommand; the text is printed for the user.
 #[derive(Debug)]
 pub enum CliError {
-    /// The command ran and failed; exit code 1.
+    /// The command failed while it ran; exit code 1.
     Failed(String),
     /// The arguments or settings are invalid; exit code 2.
     Invalid(String),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`CliError`] when the subcommand fails or its settings are invalid.
+/// [`CliError`] when the subcommand fails or its arguments or settings are invalid.
 pub fn run() -> Result<(), CliError> {
     match Args::parse().command {
         Command::Config(args) => config::run(args),
--- a/src/cli/model.rs
+++ b/src/cli/model.rs
@@ -18,7 +18,7 @@
 use crate::entry::StatusView;
 use crate::weights::Digest;
 
-/// Time between two looks at the progress.
+/// Interval at which the progress of a watched rollout is fetched.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Arguments of `model`.
@@ -30,12 +30,12 @@
 
 #[derive(Debug, Subcommand)]
 enum ModelCommand {
-    /// Print every model with its version and replicas.
+    /// Print every model with its version, manifest and rollout progress.
     List {
         #[command(flatten)]
         operator: OperatorArgs,
     },
-    /// Ask for another version of a model.
+    /// Change a model to another version.
     Rollout(RolloutArgs),
 }
 
@@ -51,10 +51,10 @@
     /// Digest of the version's manifest.
     #[arg(long, value_name = "DIGEST")]
     manifest: Digest,
-    /// Wait until every replica serves it, and show the progress.
+    /// Show the progress, and wait until every replica serves the version.
     #[arg(long)]
     watch: bool,
-    /// Longest watch in seconds.
+    /// Maximum time to watch, in seconds.
     #[arg(long, default_value_t = 600, requires = "watch")]
     timeout_s: u64,
 }
@@ -63,8 +63,8 @@
 ///
 /// # Errors
 ///
-/// [`CliError`] when an argument is missing, the entry refuses, or a watched
-/// rollout does not end in time.
+/// [`CliError`] when the token is missing, the entry refuses the request, or a watched
+/// rollout does not finish in time.
 pub fn run(args: ModelArgs) -> Result<(), CliError> {
     let system = actix_rt::System::new();
     match args.command {
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-/// The section's body with another version and manifest; other keys stay.
+/// Replaces the version and manifest in a section's body and keeps all other keys.
 fn with_version(body: &str, version: &str, manifest: Digest) -> String {
     let mut lines: Vec<String> = body
         .lines()
@@ -124,11 +124,12 @@
     lines.join("\n") + "\n"
 }
 
+/// Key of a `key = value` line.
 fn key_of_line(line: &str) -> &str {
     line.split('=').next().unwrap_or_default().trim()
 }
 
-/// Shows the progress until every replica serves the version.
+/// Shows the progress until every replica serves the version or the time is over.
 async fn watch_rollout(client: &AdminClient, args: &RolloutArgs) -> Result<(), CliError> {
     let deadline = Instant::now() + Duration::from_secs(args.timeout_s);
     let style = ProgressStyle::with_template("{prefix} {bar:30} {pos}/{len} serving  {msg}")
@@ -155,9 +156,12 @@
         }
         if Instant::now() >= deadline {
             bar.abandon();
-            let state = model.map_or_else(|| "not in force".to_owned(), describe_progress);
+            let state = model.map_or_else(
+                || "the version is not in force".to_owned(),
+                describe_progress,
+            );
             let reason = format!(
-                "not every replica serves after {} s: {state}",
+                "not every replica serves the version after {} s: {state}",
                 args.timeout_s
             );
             return Err(CliError::Failed(reason));
@@ -166,7 +170,7 @@
     }
 }
 
-/// How far a model has come, with the cause of each hold.
+/// Describes the rollout of a model: replicas by state, and the cause of each hold.
 fn describe_progress(model: &ModelView) -> String {
     let mut text = format!(
         "{} of {} serving, {} verified, {} fetching, {} on other versions",
--- a/src/cli/operator_args.rs
+++ b/src/cli/operator_args.rs
@@ -6,16 +6,16 @@
 
 use super::CliError;
 
-/// Variable that holds the token when no file is given.
+/// Environment variable that holds the token when no file is given.
 const TOKEN_VARIABLE: &str = "BERGAMOTFORK_TOKEN";
 
-/// Where an operator's command is sent, and as whom.
+/// Arguments that select the entry and the token of an administration command.
 #[derive(Debug, Clone, Args)]
 pub struct OperatorArgs {
-    /// Base URL of any entry, such as http://127.0.0.1:7101.
+    /// Base URL of an entry, such as http://127.0.0.1:7101; any entry will do.
     #[arg(long, value_name = "URL")]
     pub entry: String,
-    /// File that holds the team's bearer token; without it, the variable
+    /// File that holds the team's bearer token; by default the environment variable
     /// BERGAMOTFORK_TOKEN is used.
     #[arg(long, value_name = "FILE")]
     pub token_file: Option<PathBuf>,
@@ -27,7 +27,7 @@
         format!("{}{path}", self.entry.trim_end_matches('/'))
     }
 
-    /// The team's bearer token.
+    /// Reads the team's bearer token from the file or the environment.
     ///
     /// # Errors
     ///
@@ -41,7 +41,7 @@
         };
         let token = token.trim();
         if token.is_empty() {
-            let reason = format!("no token: give --token-file or set {TOKEN_VARIABLE}");
+            let reason = format!("no token: use --token-file or set {TOKEN_VARIABLE}");
             return Err(CliError::Invalid(reason));
         }
         Ok(token.to_owned())
--- a/src/cli/process.rs
+++ b/src/cli/process.rs
@@ -4,13 +4,13 @@
 use super::CliError;
 use super::wait_for_stop_signal;
 
-/// Starts a role, waits for a stop signal, and stops it gracefully.
+/// Starts a process, waits for a stop signal, and stops it.
 ///
-/// `start` resolves to the future that stops what it started.
+/// `start` resolves to a function that stops what was started.
 ///
 /// # Errors
 ///
-/// [`CliError::Failed`] when the role does not start.
+/// [`CliError::Failed`] when the start fails or signals cannot be handled.
 pub fn run_process<S: Future<Output = ()>>(
     start: impl Future<Output = io::Result<impl FnOnce() -> S>>,
 ) -> Result<(), CliError> {
--- a/src/cli/settings.rs
+++ b/src/cli/settings.rs
@@ -11,7 +11,7 @@
 /// Arguments of `settings`.
 #[derive(Debug, Args)]
 pub struct SettingsArgs {
-    /// What to do with settings.
+    /// Subcommand to run.
     #[command(subcommand)]
     command: SettingsCommand,
 }
@@ -24,9 +24,9 @@
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// List the keys of a role with their defaults and allowed values.
+    /// Print the keys of a role with their defaults and allowed values.
     Keys {
-        /// Role whose keys to list.
+        /// Role of the process.
         role: RoleArg,
     },
 }
@@ -38,6 +38,10 @@
 }
 
 /// Runs `settings`.
+///
+/// # Errors
+///
+/// [`CliError::Invalid`] with every fault of the files.
 pub fn run(args: SettingsArgs) -> Result<(), CliError> {
     match args.command {
         SettingsCommand::Check { files } => check_files(&files),
@@ -48,7 +52,7 @@
     }
 }
 
-/// Checks all files before it fails, so that one run shows every fault.
+/// Checks all files before failing, so that one run reports every fault.
 fn check_files(files: &[PathBuf]) -> Result<(), CliError> {
     let mut faults = Vec::new();
     for file in files {
@@ -70,6 +74,7 @@
     )))
 }
 
+/// Prints each key of a role with its default and allowed values.
 fn print_keys(role: RoleArg) {
     let role = match role {
         RoleArg::Entry => HostRole::Entry,
--- a/src/cli/standin.rs
+++ b/src/cli/standin.rs
@@ -19,27 +19,27 @@
 /// Arguments of `standin`.
 #[derive(Debug, Args)]
 pub struct StandinArgs {
-    /// Which service of the platform to stand in for.
+    /// Service that the stand-in replaces.
     #[command(subcommand)]
     pub kind: StandinKind,
 }
 
-/// A service of the platform, and its options.
+/// The stand-ins, each with its options.
 #[derive(Debug, Subcommand)]
 pub enum StandinKind {
-    /// The append-only log service.
+    /// Append-only log service of the platform.
     Log(LogOptions),
-    /// The list of live and leaving hosts.
+    /// The platform's list of live and leaving hosts.
     Hosts(HostsOptions),
-    /// The rate-limited origin of weights.
+    /// Rate-limited origin of model weights.
     Origin(OriginOptions),
-    /// A model engine.
+    /// Model engine.
     Engine(EngineOptions),
-    /// A plain service beside the engines.
+    /// Plain service, which an endpoint serves instead of an engine.
     Service(ServiceOptions),
 }
 
-/// Runs a stand-in until it is asked to stop.
+/// Runs a stand-in until a stop signal arrives.
 ///
 /// # Errors
 ///
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -15,7 +15,7 @@
 pub struct StatusArgs {
     #[command(flatten)]
     operator: OperatorArgs,
-    /// Print the whole answer as JSON.
+    /// Print the complete answer as JSON.
     #[arg(long)]
     json: bool,
 }
@@ -24,7 +24,8 @@
 ///
 /// # Errors
 ///
-/// [`CliError`] when an argument is missing or the entry refuses.
+/// [`CliError`] when the token is missing, the entry refuses the request, or its answer
+/// is malformed.
 pub fn run(args: StatusArgs) -> Result<(), CliError> {
     let client = AdminClient::new(args.operator)?;
     let answer: Value = System::new()
--- a/src/cli/stop_signal.rs
+++ b/src/cli/stop_signal.rs
@@ -5,11 +5,11 @@
 use futures_util::future::select;
 use futures_util::pin_mut;
 
-/// Waits until the process is asked to stop by SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Returns an error when the signals cannot be listened for.
+/// The I/O error when the signal handlers cannot be installed.
 pub async fn wait_for_stop_signal() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
