--- a/tests/cli/main.rs
+++ b/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! The command line as a user meets it.
+//! Exit codes and output of the `bergamotfork` program.
 
 use std::io::Write;
 use std::process::Command;
--- a/tests/demo/main.rs
+++ b/tests/demo/main.rs
@@ -1,11 +1,11 @@
-//! The demonstration as a newcomer runs it.
+//! The `demo` subcommand completes in time and all its checks pass.
 
 use std::process::Command;
 use std::process::Stdio;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time the demonstration may take.
+/// Longest time the demonstration may take.
 const LIMIT: Duration = Duration::from_secs(30);
 
 #[test]
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -1,5 +1,5 @@
-//! Settings files: the examples are valid and complete, and each bad file gives
-//! exactly the faults that its `; fault:` lines state.
+//! Settings files: the examples are valid and contain every key, and each file in `bad`
+//! yields exactly the faults that its `; fault:` lines list.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,27 +13,28 @@
 use bergamotfork::conf::EntrySettings;
 use bergamotfork::hosts::HostRole;
 
-fn files(folder: &str) -> Vec<PathBuf> {
+/// Settings files in `folder`, sorted by path.
+fn settings_files(folder: &str) -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     let mut files: Vec<PathBuf> = fs::read_dir(root)
         .expect("the folder exists")
         .map(|file| file.expect("the folder is readable").path())
-        .filter(|path| path.extension().is_some_and(|end| end == "ini"))
+        .filter(|path| path.extension().is_some_and(|extension| extension == "ini"))
         .collect();
     files.sort();
     assert!(!files.is_empty(), "{folder} holds no settings files");
     files
 }
 
-fn example(name: &str) -> PathBuf {
+fn example_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("examples")
         .join(name)
 }
 
-/// Faults of `file` as "[section] key value: problem".
-fn faults(file: &Path) -> BTreeSet<String> {
-    let found = conf::check(file).expect_err("the file is bad").0;
+/// Faults that the check reports for `file`, as "[section] key value: problem".
+fn reported_faults(file: &Path) -> BTreeSet<String> {
+    let found = conf::check(file).expect_err("the file has faults").0;
     let mut lines = BTreeSet::new();
     for fault in found {
         assert_eq!(fault.file, file);
@@ -48,7 +49,8 @@
     lines
 }
 
-fn expected(file: &Path) -> BTreeSet<String> {
+/// Faults that the `; fault:` lines of `file` list.
+fn expected_faults(file: &Path) -> BTreeSet<String> {
     let text = fs::read_to_string(file).expect("the file is readable");
     text.lines()
         .filter_map(|line| line.strip_prefix("; fault: "))
@@ -58,7 +60,7 @@
 
 #[test]
 fn check_examples() {
-    for file in files("examples") {
+    for file in settings_files("examples") {
         let role = conf::check(&file).unwrap_or_else(|faults| panic!("{faults}"));
         let name = file.file_name().unwrap_or_default().to_string_lossy();
         assert!(name.starts_with(conf::role_name(role)), "{name}");
@@ -67,15 +69,20 @@
 
 #[test]
 fn check_bad_files() {
-    for file in files("tests/settings/bad") {
-        assert_eq!(faults(&file), expected(&file), "{}", file.display());
+    for file in settings_files("tests/settings/bad") {
+        assert_eq!(
+            reported_faults(&file),
+            expected_faults(&file),
+            "{}",
+            file.display()
+        );
     }
 }
 
 #[test]
 fn check_missing_file() {
     let faults = conf::check("tests/settings/no-such-file.ini")
-        .expect_err("no file")
+        .expect_err("the file does not exist")
         .0;
     assert_eq!(faults.len(), 1);
     assert!(faults[0].problem.contains("cannot be read"));
@@ -83,8 +90,8 @@
 
 #[test]
 fn load_wrong_role() {
-    let faults = EntrySettings::load(example("endpoint-engine.ini"))
-        .expect_err("other role")
+    let faults = EntrySettings::load(example_path("endpoint-engine.ini"))
+        .expect_err("the file is for the other role")
         .0;
     assert!(
         faults
@@ -95,33 +102,34 @@
 
 #[test]
 fn load_entry_defaults() {
-    let read = EntrySettings::load(example("entry.ini")).expect("the example is valid");
-    let built = EntrySettings::new(
-        read.process.clone(),
-        read.platform.clone(),
-        ClusterSettings::new(read.cluster.shared_key.clone()),
+    let loaded = EntrySettings::load(example_path("entry.ini")).expect("the example is valid");
+    let constructed = EntrySettings::new(
+        loaded.process.clone(),
+        loaded.platform.clone(),
+        ClusterSettings::new(loaded.cluster.shared_key.clone()),
     );
-    assert_eq!(read.teams.len(), 2);
+    assert_eq!(loaded.teams.len(), 2);
     let without_teams = EntrySettings {
         teams: Vec::new(),
-        ..read
+        ..loaded
     };
-    assert_eq!(format!("{built:?}"), format!("{without_teams:?}"));
+    assert_eq!(format!("{constructed:?}"), format!("{without_teams:?}"));
 }
 
 #[test]
 fn load_endpoint_defaults() {
-    let read = EndpointSettings::load(example("endpoint-engine.ini")).expect("valid");
-    let built = EndpointSettings::new(
-        read.process.clone(),
-        read.platform.clone(),
-        ClusterSettings::new(read.cluster.shared_key.clone()),
+    let loaded =
+        EndpointSettings::load(example_path("endpoint-engine.ini")).expect("the example is valid");
+    let constructed = EndpointSettings::new(
+        loaded.process.clone(),
+        loaded.platform.clone(),
+        ClusterSettings::new(loaded.cluster.shared_key.clone()),
         BackendSettings::Engine {
-            url: read.backend.url().to_owned(),
+            url: loaded.backend.url().to_owned(),
             checks_orders: false,
         },
     );
-    assert_eq!(format!("{built:?}"), format!("{read:?}"));
+    assert_eq!(format!("{constructed:?}"), format!("{loaded:?}"));
 }
 
 #[test]
@@ -142,11 +150,15 @@
     for (role, names) in cases {
         let text: String = names
             .iter()
-            .map(|name| fs::read_to_string(example(name)).expect("the example exists"))
+            .map(|name| fs::read_to_string(example_path(name)).expect("the example exists"))
             .collect();
         for key in conf::declared_keys(role) {
             let line = format!("\n{} = ", key.key);
-            assert!(text.contains(&line), "{names:?} lack {}", key.key);
+            assert!(
+                text.contains(&line),
+                "key missing in {names:?}: {}",
+                key.key
+            );
         }
     }
 }
