--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -179,7 +179,7 @@
     Ok(())
 }
 
-/// Fetches a section; one that does not exist has a revision but no body.
+/// Fetches a section; the answer has a revision even if the section does not exist.
 pub(super) async fn read_section(
     client: &AdminClient,
     name: &str,
--- a/src/cli/demo/report.rs
+++ b/src/cli/demo/report.rs
@@ -85,6 +85,7 @@
         failures
     }
 
+    /// Results of each kind of call.
     fn kinds(&self) -> [&KindResults; 3] {
         let results = &self.results;
         [&results.generate, &results.lookups, &results.bookings]
--- a/src/standin/engine/batch.rs
+++ b/src/standin/engine/batch.rs
@@ -4,13 +4,14 @@
 
 use tokio::sync::oneshot;
 
-/// Fixed number of decode slots, granted to waiting requests by priority, then by arrival.
+/// Fixed number of decode slots, granted by priority, highest first, then by arrival.
 #[derive(Debug)]
 pub(super) struct Batch {
     slots: u32,
     state: Mutex<BatchState>,
 }
 
+/// Granted slots and waiting requests, behind the lock of the batch.
 #[derive(Debug, Default)]
 struct BatchState {
     running: u32,
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -26,6 +26,7 @@
     inner: Mutex<EngineInner>,
 }
 
+/// State behind the engine's lock.
 #[derive(Debug)]
 struct EngineInner {
     loaded: Vec<LoadedWeights>,
--- a/src/standin/hosts.rs
+++ b/src/standin/hosts.rs
@@ -83,6 +83,7 @@
     }
 }
 
+/// State shared by the request handlers.
 #[derive(Debug)]
 struct HostsState {
     lag: Duration,
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -129,6 +129,7 @@
     }
 }
 
+/// State shared by the request handlers.
 #[derive(Debug)]
 struct LogState {
     retention: Duration,
--- a/src/standin/origin.rs
+++ b/src/standin/origin.rs
@@ -40,6 +40,7 @@
     pub burst_bytes: u64,
 }
 
+/// State shared by the request handlers.
 #[derive(Debug)]
 struct OriginState {
     started: Instant,
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -34,7 +34,7 @@
     /// Address to listen on.
     #[arg(long, value_name = "IP:PORT")]
     pub listen: SocketAddr,
-    /// Answer a repeated idempotency key from the earlier execution instead of running again.
+    /// Answer a call with a known idempotency key by its first execution instead of a new one.
     #[arg(long)]
     pub keeps_keys: bool,
     /// Processing time of each call, in milliseconds.
@@ -78,8 +78,11 @@
 /// Fault of the reply to a call that was executed.
 #[derive(Debug, Clone, Copy)]
 enum ReplyFault {
+    /// The connection breaks halfway through the reply.
     Lost,
+    /// The call gets no reply.
     Silent,
+    /// The reply carries the id of another request.
     Crossed,
 }
 
@@ -115,6 +118,7 @@
     }
 }
 
+/// State shared by the request handlers.
 #[derive(Debug)]
 struct ServiceState {
     options: ServiceOptions,
