--- a/src/cli/demo/callers.rs
+++ b/src/cli/demo/callers.rs
@@ -248,9 +248,7 @@
     {
         let event: StreamEvent = match serde_json::from_slice(line) {
             Ok(event) => event,
-            Err(error) => {
-                return CallVerdict::Wrong(format!("malformed event: {error}"));
-            }
+            Err(error) => return CallVerdict::Wrong(format!("malformed event: {error}")),
         };
         match event {
             StreamEvent::Beat => {}
