--- a/src/cli/endpoint.rs
+++ b/src/cli/endpoint.rs
@@ -17,25 +17,25 @@
 }
 
 impl EndpointArgs {
-    /// Loads the settings and starts the log that they ask for.
+    /// Loads the settings and initialises logging as they state.
     ///
     /// # Errors
     ///
-    /// Returns [`CliError::Invalid`] with every fault of the file.
-    pub fn load(&self) -> Result<EndpointSettings, CliError> {
+    /// [`CliError::Invalid`] with every fault of the file.
+    pub fn load_settings(&self) -> Result<EndpointSettings, CliError> {
         let settings = EndpointSettings::load(&self.settings)?;
         init_logging(settings.process.log_format, settings.process.log_level);
         Ok(settings)
     }
 }
 
-/// Runs an endpoint until it is asked to stop.
+/// Runs an endpoint until a stop signal arrives.
 ///
 /// # Errors
 ///
 /// [`CliError`] when the settings are invalid or the address cannot be bound.
 pub fn run(args: EndpointArgs) -> Result<(), CliError> {
-    let settings = args.load()?;
+    let settings = args.load_settings()?;
     run_process(async move {
         let handle = endpoint::start(settings).await?;
         Ok(move || async move { handle.stop().await })
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -35,14 +35,14 @@
 pub use standin::StandinArgs;
 pub use standin::StandinKind;
 pub use status::StatusArgs;
-pub use stop_signal::stop_signal;
+pub use stop_signal::wait_for_stop_signal;
 pub use token::TokenArgs;
 
 /// Parses the arguments and runs the chosen subcommand.
 ///
 /// # Errors
 ///
-/// Returns [`CliError`] when the subcommand fails or its settings are invalid.
+/// [`CliError`] when the subcommand fails or its arguments or settings are invalid.
 pub fn run() -> Result<(), CliError> {
     match Args::parse().command {
         Command::Config(args) => config::run(args),
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -23,7 +23,7 @@
 use crate::node::Reporter;
 use crate::observe::Event;
 use crate::observe::emit_event;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// Largest body of a request from an entry or a peer, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
@@ -31,7 +31,7 @@
 /// Handle of a running endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointHandle {
-    server: Handle,
+    server: HttpServerHandle,
     state: Arc<EndpointState>,
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -25,12 +25,12 @@
 use crate::node::Reporter;
 use crate::observe::Event;
 use crate::observe::emit_event;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 /// Handle of a running entry.
 #[derive(Debug, Clone)]
 pub struct EntryHandle {
-    server: Handle,
+    server: HttpServerHandle,
     state: Arc<EntryState>,
 }
 
--- a/src/standin/engine/batch.rs
+++ b/src/standin/engine/batch.rs
@@ -4,21 +4,24 @@
 
 use tokio::sync::oneshot;
 
-/// The decode slots of an engine and the requests that wait for one.
+/// Fixed number of decode slots, granted by priority, highest first, then by arrival.
 #[derive(Debug)]
 pub(super) struct Batch {
     slots: u32,
-    inner: Mutex<Inner>,
+    state: Mutex<BatchState>,
 }
 
+/// Granted slots and waiting requests, behind the lock of the batch.
 #[derive(Debug, Default)]
-struct Inner {
+struct BatchState {
     running: u32,
+    /// Requests for a slot so far; numbers them in order of arrival.
     arrivals: u64,
-    /// Sorted, next to run last.
+    /// Sorted by rank; the request to be granted next is the last.
     waiting: Vec<Waiter>,
 }
 
+/// A request that waits for a slot.
 #[derive(Debug)]
 struct Waiter {
     priority: u8,
@@ -30,72 +33,79 @@
     pub(super) fn new(slots: u32) -> Arc<Self> {
         Arc::new(Self {
             slots,
-            inner: Mutex::default(),
+            state: Mutex::default(),
         })
     }
 
-    /// Asks for a slot, which arrives by the receiver.
-    pub(super) fn ask(self: &Arc<Self>, priority: u8) -> oneshot::Receiver<Slot> {
+    /// Queues a request for a slot; the receiver resolves when the slot is granted.
+    ///
+    /// Dropping the receiver withdraws the request.
+    pub(super) fn request_slot(self: &Arc<Self>, priority: u8) -> oneshot::Receiver<Slot> {
         let (grant, granted) = oneshot::channel();
-        let mut inner = self.lock();
-        inner.arrivals += 1;
-        let arrival = inner.arrivals;
-        let before = |other: &Waiter| (other.priority, u64::MAX - other.arrival);
+        let mut state = self.lock();
+        state.arrivals += 1;
+        let arrival = state.arrivals;
+        let rank_of = |other: &Waiter| (other.priority, u64::MAX - other.arrival);
         let rank = (priority, u64::MAX - arrival);
-        let at = inner.waiting.partition_point(|other| before(other) < rank);
+        let at = state.waiting.partition_point(|other| rank_of(other) < rank);
         let waiter = Waiter {
             priority,
             arrival,
             grant,
         };
-        inner.waiting.insert(at, waiter);
-        drop(inner);
-        self.fill();
+        state.waiting.insert(at, waiter);
+        drop(state);
+        self.grant_free_slots();
         granted
     }
 
+    /// Number of granted slots.
     pub(super) fn running(&self) -> u32 {
         self.lock().running
     }
 
+    /// Number of requests that wait for a slot.
     pub(super) fn queued(&self) -> u32 {
         self.lock().waiting.len() as u32
     }
 
+    /// Total number of slots.
     pub(super) fn slots(&self) -> u32 {
         self.slots
     }
 
-    fn fill(self: &Arc<Self>) {
-        while let Some(waiter) = self.take_next() {
-            // A refused grant comes back and frees its slot when dropped.
+    /// Grants free slots until none is left or nobody waits.
+    fn grant_free_slots(self: &Arc<Self>) {
+        while let Some(waiter) = self.pop_next_waiter() {
+            // If the receiver was dropped, `send` returns the slot and dropping it frees it.
             let _ = waiter.grant.send(Slot(self.clone()));
         }
     }
 
-    fn take_next(&self) -> Option<Waiter> {
-        let mut inner = self.lock();
-        inner.waiting.retain(|waiter| !waiter.grant.is_closed());
-        if inner.running == self.slots {
+    /// Removes the next waiter and counts it as running; `None` when no slot is free.
+    fn pop_next_waiter(&self) -> Option<Waiter> {
+        let mut state = self.lock();
+        state.waiting.retain(|waiter| !waiter.grant.is_closed());
+        if state.running == self.slots {
             return None;
         }
-        let waiter = inner.waiting.pop()?;
-        inner.running += 1;
+        let waiter = state.waiting.pop()?;
+        state.running += 1;
         Some(waiter)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the lock panics")
+    fn lock(&self) -> MutexGuard<'_, BatchState> {
+        self.state.lock().expect("no holder of the lock panics")
     }
 }
 
-/// A decode slot, freed when dropped.
+/// A granted decode slot; dropping it frees the slot.
 #[derive(Debug)]
 pub(super) struct Slot(Arc<Batch>);
 
 impl Drop for Slot {
     fn drop(&mut self) {
         self.0.lock().running -= 1;
-        self.0.fill();
+        self.0.grant_free_slots();
     }
 }
--- a/src/standin/engine/generation.rs
+++ b/src/standin/engine/generation.rs
@@ -17,22 +17,24 @@
 use crate::clients::StreamEvent;
 use crate::weights::Digest;
 
-/// Interval of heartbeats while no token is due.
-const BEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of heartbeat events while no token is due.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Part of the first token time that caching cannot save, in percent.
+/// Part of the time to the first token that remains when the whole prompt is cached, in percent.
 const UNCACHED_PERCENT: u64 = 10;
 
-/// Prompt that makes an engine crash when that is allowed.
-const CRASH_MARK: &str = "[[crash]]";
+/// Marker in a prompt that aborts the process if `may_crash` is set.
+const CRASH_MARKER: &str = "[[crash]]";
 
-/// Text of a token, which a checker can recompute.
+/// Deterministic text of token `index`, which tests recompute to check an answer.
+///
+/// `whole` is the digest of the complete weights.
 pub fn token_text(whole: &Digest, prompt: &str, seed: u64, index: u32) -> String {
     let text = format!("{whole}{prompt}{seed}{index}");
     Digest::of_bytes(text.as_bytes()).to_string()[..8].to_owned()
 }
 
-/// One token stream; dropping it frees its slot.
+/// The token stream of one request; dropping it frees its decode slot.
 #[derive(Debug)]
 pub(super) struct Generation {
     engine: Arc<Engine>,
@@ -51,7 +53,7 @@
     pub(super) fn new(engine: Arc<Engine>, order: GenerateOrder, weights: LoadedWeights) -> Self {
         let now = Instant::now();
         Self {
-            granted: engine.batch.ask(order.priority),
+            granted: engine.batch.request_slot(order.priority),
             slot: None,
             cancelled: engine.open_stream(&order.request_id),
             deadline: now + Duration::from_millis(order.deadline_ms),
@@ -64,49 +66,51 @@
         }
     }
 
-    /// The next event; `None` after the last.
+    /// Waits for the next event of the stream; `None` after the final event.
     pub(super) async fn next(&mut self) -> Option<StreamEvent> {
         if self.ended {
             return None;
         }
         if self.cancelled.load(Ordering::Relaxed) {
-            return Some(self.fail(EngineErrorCode::Cancelled));
+            return Some(self.error_event(EngineErrorCode::Cancelled));
         }
         if Instant::now() >= self.deadline {
-            return Some(self.fail(EngineErrorCode::DeadlinePassed));
+            return Some(self.error_event(EngineErrorCode::DeadlinePassed));
         }
         if self.slot.is_none() && !self.wait_for_slot().await {
             return Some(StreamEvent::Beat);
         }
         if self.next_index >= self.order.max_tokens {
-            return Some(self.end());
+            return Some(self.end_event());
         }
-        let beat_at = Instant::now() + BEAT_INTERVAL;
-        sleep_until(self.next_token_at.min(beat_at)).await;
-        if self.next_token_at > beat_at {
+        let heartbeat_at = Instant::now() + HEARTBEAT_INTERVAL;
+        sleep_until(self.next_token_at.min(heartbeat_at)).await;
+        if self.next_token_at > heartbeat_at {
             return Some(StreamEvent::Beat);
         }
-        Some(self.emit_event())
+        Some(self.next_token())
     }
 
+    /// Waits at most one heartbeat interval for a slot; returns whether it was granted.
     async fn wait_for_slot(&mut self) -> bool {
-        let Ok(Ok(slot)) = timeout(BEAT_INTERVAL, &mut self.granted).await else {
+        let Ok(Ok(slot)) = timeout(HEARTBEAT_INTERVAL, &mut self.granted).await else {
             return false;
         };
-        if self.engine.options.may_crash && self.order.prompt.contains(CRASH_MARK) {
+        if self.engine.options.may_crash && self.order.prompt.contains(CRASH_MARKER) {
             process::abort();
         }
         self.slot = Some(slot);
         let hit_percent = self
             .engine
-            .admit_prompt(self.weights.manifest, &self.order.prompt);
+            .cache_prompt(self.weights.manifest, &self.order.prompt);
         let miss_percent = (100 - hit_percent).max(UNCACHED_PERCENT);
         let first_token_us = self.engine.options.first_token_ms * 10 * miss_percent;
-        self.next_token_at = Instant::now() + self.paced(first_token_us);
+        self.next_token_at = Instant::now() + self.scale_to_pace(first_token_us);
         true
     }
 
-    fn emit_event(&mut self) -> StreamEvent {
+    /// Returns the token that is due and schedules the following one.
+    fn next_token(&mut self) -> StreamEvent {
         let index = self.next_index;
         self.next_index += 1;
         self.next_token_at += self.token_interval();
@@ -121,21 +125,24 @@
         }
     }
 
-    /// Time of a decode step; it grows with the streams in the batch.
+    /// Time of one decode step; it grows with the number of streams in the batch.
     fn token_interval(&self) -> Duration {
         let options = &self.engine.options;
-        let others = u64::from(self.engine.batch.running().saturating_sub(1));
+        let other_streams = u64::from(self.engine.batch.running().saturating_sub(1));
         let slots = u64::from(self.engine.batch.slots());
-        let slowdown_us = options.token_ms * 10 * options.batch_slowdown_percent * others / slots;
-        self.paced(options.token_ms * 1000 + slowdown_us)
+        let slowdown_us =
+            options.token_ms * 10 * options.batch_slowdown_percent * other_streams / slots;
+        self.scale_to_pace(options.token_ms * 1000 + slowdown_us)
     }
 
-    fn paced(&self, step_us: u64) -> Duration {
+    /// Scales a step by the injected pace, in percent of the normal time.
+    fn scale_to_pace(&self, step_us: u64) -> Duration {
         let pace_percent = self.engine.pace_percent.load(Ordering::Relaxed);
         Duration::from_micros(step_us * pace_percent / 100)
     }
 
-    fn end(&mut self) -> StreamEvent {
+    /// Ends the stream and returns its final event.
+    fn end_event(&mut self) -> StreamEvent {
         self.ended = true;
         self.slot = None;
         StreamEvent::End {
@@ -146,7 +153,8 @@
         }
     }
 
-    fn fail(&mut self, code: EngineErrorCode) -> StreamEvent {
+    /// Ends the stream with an error event.
+    fn error_event(&mut self, code: EngineErrorCode) -> StreamEvent {
         self.ended = true;
         self.slot = None;
         StreamEvent::Error {
--- a/src/standin/engine/mod.rs
+++ b/src/standin/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a model engine: continuous batching, a prompt prefix cache of
-//! limited memory, priorities, cancel, resume and fenced orders.
+//! Stand-in for a model engine. It simulates continuous batching, a bounded prompt
+//! prefix cache, priorities, cancellation, stream resumption and orders fenced by number.
 
 mod batch;
 mod generation;
@@ -16,7 +16,7 @@
 use actix_web::HttpServer;
 use actix_web::web;
 
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
 pub use generation::token_text;
 pub use options::EngineOptions;
@@ -25,15 +25,15 @@
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// Time a stopping engine gives to running streams, in seconds.
+/// Longest time a graceful stop waits for running streams, in seconds.
 const STOP_TIMEOUT_S: u64 = 10;
 
 /// Starts an engine stand-in.
 ///
 /// # Errors
 ///
-/// Returns the error of binding the address.
-pub async fn start(options: EngineOptions) -> io::Result<Handle> {
+/// The I/O error when the address cannot be bound.
+pub async fn start(options: EngineOptions) -> io::Result<HttpServerHandle> {
     let listen = options.listen;
     let state = web::Data::from(Arc::new(state::Engine::new(options)));
     let server = HttpServer::new(move || {
@@ -46,7 +46,7 @@
             .service(handlers::state)
             .service(handlers::generate)
             .service(handlers::cancel)
-            .service(handlers::fault_order)
+            .service(handlers::inject_fault)
     })
     .workers(1)
     .disable_signals()
@@ -54,7 +54,7 @@
     .bind(listen)?;
     let address: SocketAddr = server.addrs()[0];
     let server = server.run();
-    let handle = Handle::new(address, server.handle());
+    let handle = HttpServerHandle::new(address, server.handle());
     actix_rt::spawn(server);
     Ok(handle)
 }
--- a/src/standin/engine/state.rs
+++ b/src/standin/engine/state.rs
@@ -16,18 +16,19 @@
 use crate::clients::LoadedWeights;
 use crate::weights::Digest;
 
-/// State of one engine stand-in.
+/// One engine stand-in: options, decode slots and the state behind its lock.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) options: EngineOptions,
     pub(super) batch: Arc<Batch>,
-    /// Time of every step in percent of the normal time.
+    /// Injected duration of every prefill and decode step, in percent of the normal duration.
     pub(super) pace_percent: AtomicU64,
-    inner: Mutex<Inner>,
+    inner: Mutex<EngineInner>,
 }
 
+/// State behind the engine's lock.
 #[derive(Debug)]
-struct Inner {
+struct EngineInner {
     loaded: Vec<LoadedWeights>,
     highest_order: Option<FencingNumber>,
     role: EngineRole,
@@ -43,7 +44,7 @@
 
 impl Engine {
     pub(super) fn new(options: EngineOptions) -> Self {
-        let inner = Inner {
+        let inner = EngineInner {
             loaded: Vec::new(),
             highest_order: None,
             role: EngineRole::Both,
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Accepts an order number, or refuses it when orders are checked.
-    pub(super) fn accept(&self, order: FencingNumber) -> Result<(), EngineRefusal> {
+    /// Records an order number; refuses one below the highest if `checks_orders` is set.
+    pub(super) fn accept_order(&self, order: FencingNumber) -> Result<(), EngineRefusal> {
         let mut inner = self.lock();
         let stale = inner.highest_order > Some(order);
         if stale && self.options.checks_orders {
@@ -72,7 +73,8 @@
         Ok(())
     }
 
-    pub(super) fn insert(&self, weights: LoadedWeights) {
+    /// Adds loaded weights, replacing those with the same manifest.
+    pub(super) fn insert_weights(&self, weights: LoadedWeights) {
         let mut inner = self.lock();
         inner
             .loaded
@@ -80,13 +82,14 @@
         inner.loaded.push(weights);
     }
 
-    pub(super) fn remove(&self, manifest: Digest) {
+    pub(super) fn remove_weights(&self, manifest: Digest) {
         self.lock()
             .loaded
             .retain(|other| other.manifest != manifest);
     }
 
-    pub(super) fn find(&self, manifest: Digest) -> Option<LoadedWeights> {
+    /// Loaded weights with this manifest.
+    pub(super) fn find_weights(&self, manifest: Digest) -> Option<LoadedWeights> {
         let inner = self.lock();
         let found = inner.loaded.iter().find(|it| it.manifest == manifest);
         found.cloned()
@@ -96,13 +99,15 @@
         self.lock().role = role;
     }
 
-    /// Caches a prompt and returns its hit share in percent.
-    pub(super) fn admit_prompt(&self, weights: Digest, prompt: &str) -> u64 {
+    /// Inserts a prompt into the prefix cache and returns its hit share, in percent.
+    pub(super) fn cache_prompt(&self, weights: Digest, prompt: &str) -> u64 {
         let mut inner = self.lock();
-        inner.cache.admit(weights.as_bytes(), prompt.as_bytes())
+        inner
+            .cache
+            .insert_prompt(weights.as_bytes(), prompt.as_bytes())
     }
 
-    /// Registers a stream and returns its mark of being cancelled.
+    /// Registers a stream and returns the flag that is set when it is cancelled.
     pub(super) fn open_stream(&self, request_id: &str) -> Arc<AtomicBool> {
         let cancelled = Arc::new(AtomicBool::new(false));
         self.lock().streams.push(RunningStream {
@@ -112,6 +117,7 @@
         cancelled
     }
 
+    /// Removes the stream that `open_stream` returned `cancelled` for.
     pub(super) fn close_stream(&self, cancelled: &Arc<AtomicBool>) {
         let mut inner = self.lock();
         inner
@@ -119,7 +125,8 @@
             .retain(|stream| !Arc::ptr_eq(&stream.cancelled, cancelled));
     }
 
-    pub(super) fn cancel(&self, request_id: &str) {
+    /// Sets the cancel flag of every stream of the request.
+    pub(super) fn cancel_streams(&self, request_id: &str) {
         for stream in &self.lock().streams {
             if stream.request_id == request_id {
                 stream.cancelled.store(true, Ordering::Relaxed);
@@ -127,7 +134,8 @@
         }
     }
 
-    pub(super) fn report(&self) -> EngineState {
+    /// Current state as `GET /v1/state` reports it.
+    pub(super) fn snapshot(&self) -> EngineState {
         let inner = self.lock();
         EngineState {
             loaded: inner.loaded.clone(),
@@ -135,14 +143,14 @@
             running: self.batch.running(),
             queued: self.batch.queued(),
             cached_blocks: inner.cache.len() as u32,
-            started: inner.cache.uses(),
-            prompt_blocks: inner.cache.looked_up(),
-            hit_blocks: inner.cache.hits(),
+            started: inner.cache.prompts(),
+            prompt_blocks: inner.cache.prompt_blocks(),
+            hit_blocks: inner.cache.hit_blocks(),
             role: inner.role,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, EngineInner> {
         self.inner.lock().expect("no holder of the lock panics")
     }
 }
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -18,58 +18,63 @@
 use crate::clients::RawLogRecord;
 use crate::links::ServeOptions;
 use crate::links::serve;
-use crate::standin::Handle;
+use crate::standin::HttpServerHandle;
 
-/// How often a waiting read looks for new records.
+/// Interval at which a waiting read checks for new records, in milliseconds.
 const POLL_MS: u64 = 10;
 
-/// How the stand-in for the platform's log starts.
+/// Command-line options of the stand-in for the platform's log.
 #[derive(Debug, Clone, Args)]
 pub struct LogOptions {
     /// Address to listen on.
     #[arg(long, value_name = "IP:PORT")]
     pub listen: SocketAddr,
-    /// Time a record is kept.
+    /// Time after which a record is trimmed, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 86_400_000)]
     pub retention_ms: u64,
 }
 
-/// Faults to order from the log.
+/// Faults to inject into the log; body of `POST /fault`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Every call is answered 503.
+    /// Answers every call with status 503.
     pub down: bool,
-    /// Delay of every call.
+    /// Delay of every call, in milliseconds.
     pub delay_ms: u64,
-    /// Appends that take effect and whose reply is lost.
+    /// Number of coming appends that are stored but answered with status 504.
     pub lose_replies: u32,
 }
 
-/// What the log has served.
+/// Calls the log has served since its start.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct LogStats {
-    /// Records appended.
+    /// Number of records appended.
     pub appends: u64,
-    /// Reads answered.
+    /// Number of reads received while the log was up.
     pub reads: u64,
 }
 
+/// One append-only stream of records.
 #[derive(Debug, Default)]
 struct Stream {
     name: String,
+    /// Offset of the first record that is still kept.
     earliest: u64,
+    /// Records with the time they were appended.
     records: VecDeque<(Instant, Vec<u8>)>,
 }
 
 impl Stream {
-    fn next(&self) -> u64 {
+    /// Offset of the record that is appended next.
+    fn next_offset(&self) -> u64 {
         self.earliest + self.records.len() as u64
     }
 
+    /// Removes records that are older than `retention`.
     fn trim(&mut self, retention: Duration) {
-        while let Some((written, _)) = self.records.front() {
-            if written.elapsed() < retention {
+        while let Some((appended_at, _)) = self.records.front() {
+            if appended_at.elapsed() < retention {
                 break;
             }
             self.records.pop_front();
@@ -77,33 +82,37 @@
         }
     }
 
-    fn slice(&self, from: u64, max: usize) -> LogReadResponse {
-        let first = from.max(self.earliest);
-        let skipped = usize::try_from(first - self.earliest).unwrap_or(usize::MAX);
+    /// At most `max` records, starting at `from` or at the earliest kept record.
+    fn read(&self, from: u64, max: usize) -> LogReadResponse {
+        let first_offset = from.max(self.earliest);
+        let skip_count = usize::try_from(first_offset - self.earliest).unwrap_or(usize::MAX);
         let records = self
             .records
             .iter()
-            .skip(skipped)
+            .skip(skip_count)
             .take(max)
-            .zip(first..)
+            .zip(first_offset..)
             .map(|((_, body), offset)| RawLogRecord::new(offset, body))
             .collect();
         LogReadResponse {
             earliest: self.earliest,
-            next: self.next(),
+            next: self.next_offset(),
             records,
         }
     }
 }
 
+/// All streams, the injected faults and the counters.
 #[derive(Debug, Default)]
-struct Book {
+struct LogStore {
+    /// Sorted by name.
     streams: Vec<Stream>,
     faults: LogFaults,
     stats: LogStats,
 }
 
-impl Book {
+impl LogStore {
+    /// Returns the stream called `name`; creates it if it does not exist.
     fn stream(&mut self, name: &str) -> &mut Stream {
         let found = self
             .streams
@@ -120,20 +129,21 @@
     }
 }
 
+/// State shared by the request handlers.
 #[derive(Debug)]
 struct LogState {
     retention: Duration,
-    book: Mutex<Book>,
+    store: Mutex<LogStore>,
 }
 
 impl LogState {
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().expect("no holder of the book panics")
+    fn store(&self) -> MutexGuard<'_, LogStore> {
+        self.store.lock().expect("no holder of the store panics")
     }
 
-    /// Applies the delay, and returns whether the log is down.
-    async fn meet_faults(&self) -> bool {
-        let faults = self.book().faults.clone();
+    /// Waits for the injected delay and returns whether the log is down.
+    async fn delay_and_check_down(&self) -> bool {
+        let faults = self.store().faults.clone();
         sleep(Duration::from_millis(faults.delay_ms)).await;
         faults.down
     }
@@ -146,71 +156,75 @@
     wait_ms: u64,
 }
 
-/// Starts the stand-in.
+/// Starts the stand-in for the log.
 ///
 /// # Errors
 ///
 /// The I/O error when the address cannot be bound.
-pub async fn start(options: LogOptions) -> io::Result<Handle> {
+pub async fn start(options: LogOptions) -> io::Result<HttpServerHandle> {
     let state = web::Data::from(Arc::new(LogState {
         retention: Duration::from_millis(options.retention_ms),
-        book: Mutex::default(),
+        store: Mutex::default(),
     }));
     serve(options.listen, &ServeOptions::default(), move |app| {
         app.app_data(state.clone())
             .app_data(web::PayloadConfig::new(8 << 20))
-            .route("/v1/streams/{stream}/records", web::post().to(append))
-            .route("/v1/streams/{stream}/records", web::get().to(read))
+            .route(
+                "/v1/streams/{stream}/records",
+                web::post().to(append_record),
+            )
+            .route("/v1/streams/{stream}/records", web::get().to(read_records))
             .route("/fault", web::post().to(set_faults))
             .route("/stats", web::get().to(show_stats));
     })
 }
 
-fn unavailable() -> HttpResponse {
+fn unavailable_response() -> HttpResponse {
     HttpResponse::ServiceUnavailable().body("the log is down")
 }
 
-async fn append(
+async fn append_record(
     state: web::Data<LogState>,
-    stream: web::Path<String>,
+    name: web::Path<String>,
     body: web::Bytes,
 ) -> HttpResponse {
-    if state.meet_faults().await {
-        return unavailable();
+    if state.delay_and_check_down().await {
+        return unavailable_response();
     }
-    let mut book = state.book();
-    let records = book.stream(&stream);
-    let offset = records.next();
-    records.records.push_back((Instant::now(), body.to_vec()));
-    book.stats.appends += 1;
-    if book.faults.lose_replies > 0 {
-        book.faults.lose_replies -= 1;
+    let mut store = state.store();
+    let stream = store.stream(&name);
+    let offset = stream.next_offset();
+    stream.records.push_back((Instant::now(), body.to_vec()));
+    store.stats.appends += 1;
+    if store.faults.lose_replies > 0 {
+        store.faults.lose_replies -= 1;
         return HttpResponse::GatewayTimeout().body("the reply was lost");
     }
     HttpResponse::Ok().json(serde_json::json!({ "offset": offset }))
 }
 
-async fn read(
+async fn read_records(
     state: web::Data<LogState>,
-    stream: web::Path<String>,
+    name: web::Path<String>,
     query: web::Query<ReadQuery>,
 ) -> HttpResponse {
-    if state.meet_faults().await {
-        return unavailable();
+    if state.delay_and_check_down().await {
+        return unavailable_response();
     }
-    state.book().stats.reads += 1;
+    state.store().stats.reads += 1;
     let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         {
-            let mut book = state.book();
-            if book.faults.down {
-                return unavailable();
+            let mut store = state.store();
+            if store.faults.down {
+                return unavailable_response();
             }
-            let records = book.stream(&stream);
-            records.trim(state.retention);
-            let late = Instant::now() >= deadline;
-            if records.next() > query.from || query.from < records.earliest || late {
-                return HttpResponse::Ok().json(records.slice(query.from, query.max));
+            let stream = store.stream(&name);
+            stream.trim(state.retention);
+            let deadline_passed = Instant::now() >= deadline;
+            if stream.next_offset() > query.from || query.from < stream.earliest || deadline_passed
+            {
+                return HttpResponse::Ok().json(stream.read(query.from, query.max));
             }
         }
         sleep(Duration::from_millis(POLL_MS)).await;
@@ -218,10 +232,10 @@
 }
 
 async fn set_faults(state: web::Data<LogState>, faults: web::Json<LogFaults>) -> HttpResponse {
-    state.book().faults = faults.into_inner();
+    state.store().faults = faults.into_inner();
     HttpResponse::Ok().json("ok")
 }
 
 async fn show_stats(state: web::Data<LogState>) -> HttpResponse {
-    HttpResponse::Ok().json(&state.book().stats)
+    HttpResponse::Ok().json(&state.store().stats)
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the platform, with faults to order.
+//! Small stand-ins for the services of the platform, with faults that tests can inject.
 
 pub mod engine;
 pub mod hosts;
@@ -6,7 +6,7 @@
 pub mod origin;
 pub mod service;
 
-mod handle;
-mod origin_library;
+mod http_server_handle;
+mod origin_store;
 
-pub use handle::Handle;
+pub use http_server_handle::HttpServerHandle;
