--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -68,7 +68,7 @@
 
 /// Results of the sends of one request so far.
 #[derive(Debug, Default)]
-pub(super) struct SendHistory {
+pub(super) struct AttemptHistory {
     failed_connections: u32,
     /// Whether a replica may have run the request.
     pub(super) may_have_run: bool,
@@ -88,7 +88,7 @@
         mut request: AdmittedRequest,
     ) -> ConnectionReuse {
         let mut relay = StreamRelay::new(request.facts.last_event_id, request.deadline);
-        let mut history = SendHistory::default();
+        let mut history = AttemptHistory::default();
         if self.is_refused_as_suspect(&request) {
             let outcome = RequestOutcome {
                 status: 503,
@@ -220,7 +220,7 @@
         request: &mut AdmittedRequest,
         chosen: &ChosenReplica,
         send_outcome: SendOutcome,
-        history: &mut SendHistory,
+        history: &mut AttemptHistory,
     ) -> Option<SendOutcome> {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
@@ -290,7 +290,7 @@
 
     /// Whether one more send is allowed; a send that may repeat work is taken out of
     /// the retry budget.
-    fn try_take_retry(&self, request: &AdmittedRequest, history: &SendHistory) -> bool {
+    fn try_take_retry(&self, request: &AdmittedRequest, history: &AttemptHistory) -> bool {
         if request.left_ms() == 0 {
             return false;
         }
@@ -321,7 +321,7 @@
         chosen: &ChosenReplica,
         relay: &StreamRelay,
         end: StreamEnd,
-        history: &mut SendHistory,
+        history: &mut AttemptHistory,
     ) -> Option<ConnectionReuse> {
         let now_ms = self.state.borrow().now_ms();
         match end {
--- a/src/gateway/request_outcome.rs
+++ b/src/gateway/request_outcome.rs
@@ -5,9 +5,9 @@
 use crate::gateway::Dialect;
 use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::exchange::ReplicaResponse;
+use crate::gateway::forward::AttemptHistory;
 use crate::gateway::forward::ConnectionReuse;
 use crate::gateway::forward::Gateway;
-use crate::gateway::forward::SendHistory;
 use crate::gateway::local_response::local_response;
 use crate::gateway::local_response::outcome_label;
 use crate::gateway::relay::StreamRelay;
@@ -33,7 +33,7 @@
         client: &mut Connection,
         request: &AdmittedRequest,
         relay: &StreamRelay,
-        mut history: SendHistory,
+        mut history: AttemptHistory,
         cause: &'static str,
         retry_after_ms: u64,
     ) -> ConnectionReuse {
@@ -73,7 +73,7 @@
     pub(super) fn abort_stream(
         &self,
         request: &AdmittedRequest,
-        history: &SendHistory,
+        history: &AttemptHistory,
         cause: &str,
     ) -> ConnectionReuse {
         let outcome = RequestOutcome {
@@ -89,7 +89,7 @@
     pub(super) fn client_disconnected(
         &self,
         request: &AdmittedRequest,
-        history: &SendHistory,
+        history: &AttemptHistory,
     ) -> ConnectionReuse {
         let outcome = RequestOutcome {
             status: 0,
@@ -105,7 +105,7 @@
         &self,
         client: &mut Connection,
         request: &AdmittedRequest,
-        history: &SendHistory,
+        history: &AttemptHistory,
         response: ReplicaResponse,
     ) -> ConnectionReuse {
         let close = self.closes_connection(request);
@@ -132,7 +132,7 @@
         &self,
         client: &mut Connection,
         request: &AdmittedRequest,
-        history: &SendHistory,
+        history: &AttemptHistory,
         outcome: RequestOutcome<'_>,
     ) -> ConnectionReuse {
         let close = self.closes_connection(request);
@@ -159,7 +159,7 @@
     pub(super) fn log_request_end(
         &self,
         request: &AdmittedRequest,
-        history: &SendHistory,
+        history: &AttemptHistory,
         outcome: &RequestOutcome<'_>,
         stream: Option<(f64, u64)>,
     ) {
