--- a/src/gateway/client_listener.rs
+++ b/src/gateway/client_listener.rs
@@ -9,11 +9,11 @@
 use crate::fleet::Route;
 use crate::gateway::Credential;
 use crate::gateway::Dialect;
-use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::forward::ConnectionReuse;
 use crate::gateway::forward::Gateway;
 use crate::gateway::local_response::local_response;
 use crate::gateway::process::STOP_ACCEPT_TIME;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::http1::BodyDecoder;
 use crate::http1::Connection;
 use crate::http1::Framing;
@@ -118,7 +118,7 @@
             }
         };
         gateway.state.borrow_mut().active_requests += 1;
-        let reuse = match admit_request(gateway, head, body, received_at) {
+        let reuse = match route_request(gateway, head, body, received_at) {
             Ok(request) => gateway.forward(&mut client, *request).await,
             Err((head, refusal)) => refuse(&client, gateway, &head, &refusal).await,
         };
@@ -188,13 +188,14 @@
         .await
 }
 
-/// Matches a request to a route and identifies its client; the error is the refusal.
-fn admit_request<D: Dialect>(
+/// Matches a request to a route and a service, and identifies its client; the error is
+/// the refusal.
+fn route_request<D: Dialect>(
     gateway: &Gateway<D>,
     head: RequestHead,
     body: Vec<u8>,
     received_at: Instant,
-) -> Result<Box<AdmittedRequest>, (RequestHead, LocalRefusal)> {
+) -> Result<Box<RoutedRequest>, (RequestHead, LocalRefusal)> {
     let mut state = gateway.state.borrow_mut();
     if state
         .stopping_since
@@ -246,7 +247,7 @@
     );
     let fingerprint = fingerprint(&target, &body);
     let is_late = waited_before_ms > 0;
-    Ok(Box::new(AdmittedRequest {
+    Ok(Box::new(RoutedRequest {
         fingerprint,
         head,
         body,
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -6,7 +6,7 @@
 use crate::gateway::Dialect;
 use crate::gateway::ResponseFacts;
 use crate::gateway::SendFacts;
-use crate::gateway::admitted_request::AdmittedRequest;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::http1::BodyDecoder;
 use crate::http1::Connection;
 use crate::http1::Headers;
@@ -87,7 +87,7 @@
 /// response can't be taken for the response to another request.
 pub async fn send_to_replica(
     dialect: &impl Dialect,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     address: SocketAddr,
     facts: &SendFacts<'_>,
     head_deadline: Instant,
@@ -135,7 +135,7 @@
 fn reject_response(
     response: &ResponseFacts,
     head: &ResponseHead,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     facts: &SendFacts<'_>,
 ) -> Option<SendOutcome> {
     let is_other_attempt = response
@@ -184,7 +184,7 @@
 /// Encodes the request with the headers for the replica.
 fn request_bytes(
     dialect: &impl Dialect,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     facts: &SendFacts<'_>,
 ) -> Vec<u8> {
     let head = &request.head;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -9,7 +9,6 @@
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
 use crate::gateway::SendFacts;
-use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::exchange;
 use crate::gateway::exchange::ReplicaResponse;
 use crate::gateway::exchange::SendOutcome;
@@ -17,6 +16,7 @@
 use crate::gateway::relay::StreamEnd;
 use crate::gateway::relay::StreamRelay;
 use crate::gateway::request_outcome::RequestOutcome;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::http1::Connection;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -85,7 +85,7 @@
     pub async fn forward(
         &self,
         client: &mut Connection,
-        mut request: AdmittedRequest,
+        mut request: RoutedRequest,
     ) -> ConnectionReuse {
         let mut relay = StreamRelay::new(request.facts.last_event_id, request.deadline);
         let mut history = AttemptHistory::default();
@@ -153,7 +153,7 @@
     }
 
     /// Whether the request is refused because it is suspected of several crashes.
-    fn is_refused_as_suspect(&self, request: &AdmittedRequest) -> bool {
+    fn is_refused_as_suspect(&self, request: &RoutedRequest) -> bool {
         let state = self.state.borrow();
         state
             .suspects
@@ -166,7 +166,7 @@
     async fn send(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         relay: &StreamRelay,
         chosen: &ChosenReplica,
     ) -> Option<SendOutcome> {
@@ -207,7 +207,7 @@
     }
 
     /// Whether the retry budget of the request's service allows one more send.
-    fn has_retry_budget(&self, request: &AdmittedRequest) -> bool {
+    fn has_retry_budget(&self, request: &RoutedRequest) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         state.retry_budget(&request.service).can_resend(now_ms)
@@ -217,7 +217,7 @@
     /// to the client, or None after a failed attempt.
     fn record_outcome(
         &self,
-        request: &mut AdmittedRequest,
+        request: &mut RoutedRequest,
         chosen: &ChosenReplica,
         send_outcome: SendOutcome,
         history: &mut AttemptHistory,
@@ -290,7 +290,7 @@
 
     /// Whether one more send is allowed; a send that may repeat work is taken out of
     /// the retry budget.
-    fn try_take_retry(&self, request: &AdmittedRequest, history: &AttemptHistory) -> bool {
+    fn try_take_retry(&self, request: &RoutedRequest, history: &AttemptHistory) -> bool {
         if request.left_ms() == 0 {
             return false;
         }
@@ -317,7 +317,7 @@
     /// resume the stream.
     fn finish_stream(
         &self,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         chosen: &ChosenReplica,
         relay: &StreamRelay,
         end: StreamEnd,
@@ -376,7 +376,7 @@
 }
 
 /// Logs a send that failed or that the replica refused.
-fn log_failed_attempt(request: &AdmittedRequest, chosen: &ChosenReplica, cause: &str) {
+fn log_failed_attempt(request: &RoutedRequest, chosen: &ChosenReplica, cause: &str) {
     LogLine::new(Event::AttemptFailed)
         .text("id", &request.facts.attempt_id)
         .text("replica", &chosen.id)
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -6,7 +6,6 @@
 //! names and record formats of the platform are behind the traits in `ports`,
 //! which an adapter implements.
 
-mod admitted_request;
 mod client_listener;
 mod event_splitter;
 mod exchange;
@@ -25,6 +24,7 @@
 mod relay;
 mod reload;
 mod request_outcome;
+mod routed_request;
 mod settings;
 mod state;
 mod topic_records;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -9,9 +9,9 @@
 use crate::fleet::admit_request;
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
-use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::forward::Gateway;
 use crate::gateway::relay::StreamObserver;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::observe::Event;
 use crate::observe::LogLine;
 
@@ -77,7 +77,7 @@
     /// the client should retry, in ms.
     pub(super) fn choose_replica(
         &self,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         has_begun: bool,
     ) -> Result<ChosenReplica, (&'static str, u64)> {
         let mut state = self.state.borrow_mut();
@@ -167,7 +167,7 @@
     /// Counts and logs a send to the chosen replica.
     pub(super) fn register_send<'a>(
         &'a self,
-        request: &mut AdmittedRequest,
+        request: &mut RoutedRequest,
         chosen: &ChosenReplica,
     ) -> InFlightGuard<'a> {
         let mut state = self.state.borrow_mut();
--- a/src/gateway/request_outcome.rs
+++ b/src/gateway/request_outcome.rs
@@ -3,7 +3,6 @@
 use tokio::time::Instant;
 
 use crate::gateway::Dialect;
-use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::exchange::ReplicaResponse;
 use crate::gateway::forward::AttemptHistory;
 use crate::gateway::forward::ConnectionReuse;
@@ -12,6 +11,7 @@
 use crate::gateway::local_response::outcome_label;
 use crate::gateway::relay::StreamRelay;
 use crate::gateway::relay::response_head;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::http1::Connection;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -31,7 +31,7 @@
     pub(super) async fn end_attempts(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         relay: &StreamRelay,
         mut history: AttemptHistory,
         cause: &'static str,
@@ -72,7 +72,7 @@
     /// shows the client that it is incomplete.
     pub(super) fn abort_stream(
         &self,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         history: &AttemptHistory,
         cause: &str,
     ) -> ConnectionReuse {
@@ -88,7 +88,7 @@
     /// Ends a request whose client closed its connection.
     pub(super) fn client_disconnected(
         &self,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         history: &AttemptHistory,
     ) -> ConnectionReuse {
         let outcome = RequestOutcome {
@@ -104,7 +104,7 @@
     pub(super) async fn send_replica_response(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         history: &AttemptHistory,
         response: ReplicaResponse,
     ) -> ConnectionReuse {
@@ -131,7 +131,7 @@
     pub(super) async fn send_local_response(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         history: &AttemptHistory,
         outcome: RequestOutcome<'_>,
     ) -> ConnectionReuse {
@@ -150,7 +150,7 @@
     }
 
     /// Whether the client's connection is closed after the response to `request`.
-    pub(super) fn closes_connection(&self, request: &AdmittedRequest) -> bool {
+    pub(super) fn closes_connection(&self, request: &RoutedRequest) -> bool {
         request.head.wants_close() || self.state.borrow().stopping_since.is_some()
     }
 
@@ -158,7 +158,7 @@
     /// event, in ms, and the number of events.
     pub(super) fn log_request_end(
         &self,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         history: &AttemptHistory,
         outcome: &RequestOutcome<'_>,
         stream: Option<(f64, u64)>,
--- a/src/gateway/admitted_request.rs
+++ b/src/gateway/routed_request.rs
@@ -9,16 +9,16 @@
 use crate::http1::RequestHead;
 use crate::weights::Digest;
 
-/// A completely received request that may be sent to a replica.
+/// A completely received request with the route, service and client that it belongs to.
 #[derive(Debug)]
-pub struct AdmittedRequest {
+pub struct RoutedRequest {
     /// Head as the client sent it.
     pub head: RequestHead,
     /// Complete body.
     pub body: Vec<u8>,
     /// Values decoded from its headers.
     pub facts: RequestFacts,
-    /// Configuration under which it was admitted.
+    /// Configuration by which it was routed.
     pub catalog: Rc<Catalog>,
     /// Route that it matched.
     pub route: Route,
@@ -43,7 +43,7 @@
     pub sends: u32,
 }
 
-impl AdmittedRequest {
+impl RoutedRequest {
     /// Time until the final response is due, in ms.
     pub fn left_ms(&self) -> u64 {
         let left = self.deadline.saturating_duration_since(Instant::now());
