--- a/src/gateway/fetch.rs
+++ b/src/gateway/fetch.rs
@@ -26,8 +26,8 @@
 ) {
     let (from, is_known) = {
         let state = state.borrow();
-        let ledger = state.ledger(topic);
-        (ledger.end_offset(), ledger.has_listing())
+        let table = state.topic_table(topic);
+        (table.end_offset(), table.has_listing())
     };
     let from = if is_known { from } else { 0 };
     let target = format!("{RECORDS_PATH}/{}/{from}", topic.label());
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -16,10 +16,10 @@
 /// State of a process that is kept up to date from the records of the topics.
 pub trait TopicSink {
     /// Newest records of a topic.
-    fn ledger(&self, topic: Topic) -> &TopicTable;
+    fn topic_table(&self, topic: Topic) -> &TopicTable;
     /// Newest records of a topic, for changes.
-    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable;
-    /// Updates the state after the newest record of `key` changed in the ledger.
+    fn topic_table_mut(&mut self, topic: Topic) -> &mut TopicTable;
+    /// Updates the state after the newest record of `key` changed in its table.
     fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder);
     /// Applies a listing: the newest record of each key of a topic.
     fn handle_listing(
@@ -29,10 +29,13 @@
         end_offset: u64,
         decoder: &impl RecordDecoder,
     ) {
-        for key in self.ledger_mut(topic).apply_listing(records, end_offset) {
+        for key in self
+            .topic_table_mut(topic)
+            .apply_listing(records, end_offset)
+        {
             self.handle_change(topic, &key, decoder);
         }
-        self.ledger_mut(topic).mark_listed();
+        self.topic_table_mut(topic).mark_listed();
     }
 
     /// Applies records that follow those already applied; `next_offset` is the offset
@@ -142,7 +145,7 @@
     source: &mut impl RecordSource,
     decoder: &impl RecordDecoder,
 ) -> Result<bool, SourceError> {
-    let from = state.borrow().ledger(topic).end_offset();
+    let from = state.borrow().topic_table(topic).end_offset();
     let wait = if topic == Topic::Replicas {
         MAX_REPLICAS_READ_WAIT
     } else {
--- a/src/gateway/handlers.rs
+++ b/src/gateway/handlers.rs
@@ -112,14 +112,14 @@
         let topic = Topic::from_label(label)?;
         let offset = offset.parse().ok()?;
         let state = self.state.borrow();
-        let ledger = state.ledger(topic);
-        let end_offset = ledger.end_offset();
+        let table = state.topic_table(topic);
+        let end_offset = table.end_offset();
         let mut last = self.last_records.borrow_mut();
         let is_same = last.as_ref().is_some_and(|packed| {
             packed.topic == topic && packed.offset == offset && packed.end_offset == end_offset
         });
         if !is_same {
-            let bytes = RecordsReply::since(ledger, offset).pack();
+            let bytes = RecordsReply::since(table, offset).pack();
             *last = Some(PackedRecords {
                 topic,
                 offset,
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -121,7 +121,7 @@
 fn entry_targets(state: &GatewayState) -> Vec<SocketAddr> {
     let own = state.settings.internal;
     let registered = state
-        .ledger(Topic::Members)
+        .topic_table(Topic::Members)
         .records_since(0)
         .filter_map(|record| {
             rmp_serde::from_slice::<EntryRegistration>(record.value.as_deref()?).ok()
--- a/src/gateway/records_reply.rs
+++ b/src/gateway/records_reply.rs
@@ -48,17 +48,17 @@
 
 impl RecordsReply {
     /// Reply to a process that has the topic up to `offset`: the changes since then,
-    /// or all records if `ledger` does not hold every change since then.
-    pub fn since(ledger: &TopicTable, offset: u64) -> Self {
+    /// or all records if `table` does not hold every change since then.
+    pub fn since(table: &TopicTable, offset: u64) -> Self {
         let copy = |r: &TopicRecord| (r.key.clone(), r.offset, r.value.clone());
-        let is_listing = offset < ledger.complete_from_offset();
+        let is_listing = offset < table.complete_from_offset();
         Self {
             records: if is_listing {
-                ledger.live_records().map(copy).collect()
+                table.live_records().map(copy).collect()
             } else {
-                ledger.records_since(offset).map(copy).collect()
+                table.records_since(offset).map(copy).collect()
             },
-            end_offset: ledger.end_offset(),
+            end_offset: table.end_offset(),
             is_listing,
         }
     }
@@ -86,7 +86,7 @@
         rmp_serde::from_slice(&plain).map_err(RecordsReplyError::Encoding)
     }
 
-    /// The records, to be applied to a ledger.
+    /// The records, to be applied to a table.
     pub fn into_records(self) -> Vec<TopicRecord> {
         self.records
             .into_iter()
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -100,7 +100,7 @@
     /// Wakes the task that sends heartbeats.
     pub update_notice: Rc<Notify>,
     /// Newest records of each topic, in the order of `Topic::ALL`.
-    pub(super) ledgers: [TopicTable; 3],
+    pub(super) topic_tables: [TopicTable; 3],
     // Ascending by name of the service.
     pub(super) retry_budgets: Vec<(String, SharedRetryBudget)>,
     // Ascending by name of the service.
@@ -140,7 +140,7 @@
             stop_notice: Rc::new(Notify::new()),
             weights_notice: Rc::new(Notify::new()),
             update_notice: Rc::new(Notify::new()),
-            ledgers: Default::default(),
+            topic_tables: Default::default(),
             retry_budgets: Vec::new(),
             request_rates: Vec::new(),
             longest_deadlines_ms: Vec::new(),
@@ -176,13 +176,13 @@
     pub fn is_ready(&self) -> bool {
         self.stopping_since.is_none()
             && self.catalog.is_some()
-            && self.ledgers[Topic::Replicas as usize].has_listing()
+            && self.topic_tables[Topic::Replicas as usize].has_listing()
             && (self.weights.are_times_exact() || self.now_ms() >= DECLARATION_AGE_WAIT_MS)
     }
 
     /// Offsets after the last record of each topic, in the order of `Topic::ALL`.
     pub fn end_offsets(&self) -> [u64; 3] {
-        Topic::ALL.map(|topic| self.ledger(topic).end_offset())
+        Topic::ALL.map(|topic| self.topic_table(topic).end_offset())
     }
 
     /// Marks `topic` as being fetched from another process; false if it already is.
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -18,16 +18,16 @@
 const EXPIRY_TOLERANCE_MS: u64 = 1_600;
 
 impl TopicSink for GatewayState {
-    fn ledger(&self, topic: Topic) -> &TopicTable {
-        &self.ledgers[topic as usize]
+    fn topic_table(&self, topic: Topic) -> &TopicTable {
+        &self.topic_tables[topic as usize]
     }
 
-    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable {
-        &mut self.ledgers[topic as usize]
+    fn topic_table_mut(&mut self, topic: Topic) -> &mut TopicTable {
+        &mut self.topic_tables[topic as usize]
     }
 
     fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
-        let Some(record) = self.ledger(topic).get(key) else {
+        let Some(record) = self.topic_table(topic).get(key) else {
             return;
         };
         let value = record.value.clone();
@@ -58,11 +58,11 @@
         let mut changed = Vec::new();
         for record in records {
             let key = record.key.clone();
-            if self.ledgers[topic as usize].apply_record(record) && !changed.contains(&key) {
+            if self.topic_tables[topic as usize].apply_record(record) && !changed.contains(&key) {
                 changed.push(key);
             }
         }
-        self.ledgers[topic as usize].advance_end_offset(next_offset);
+        self.topic_tables[topic as usize].advance_end_offset(next_offset);
         for key in changed {
             self.handle_change(topic, &key, decoder);
         }
@@ -78,7 +78,7 @@
         }
         for id in std::mem::take(&mut self.expired_replicas) {
             let is_listed = self
-                .ledger(Topic::Replicas)
+                .topic_table(Topic::Replicas)
                 .get(&id)
                 .is_some_and(|record| record.value.is_some());
             if !is_listed {
@@ -131,7 +131,7 @@
             model,
             version,
             offset,
-            is_after_listing: self.ledger(Topic::Operator).has_listing(),
+            is_after_listing: self.topic_table(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -146,7 +146,7 @@
             let state = state.borrow();
             let is_known = TOPICS
                 .iter()
-                .all(|topic| state.ledger(*topic).has_listing());
+                .all(|topic| state.topic_table(*topic).has_listing());
             let now_ms = state.now_ms();
             let is_without_entries = state.last_heartbeat_ms().is_none_or(|last_received_ms| {
                 now_ms.saturating_sub(last_received_ms) >= ENTRIES_TIMEOUT_MS
@@ -187,7 +187,7 @@
                 let (is_behind, now_ms) = {
                     let state = state.borrow();
                     let is_behind = heartbeat.ends[topic as usize]
-                        > state.ledger(topic).end_offset()
+                        > state.topic_table(topic).end_offset()
                         && (topic == Topic::Operator || state.has_missing_pieces());
                     (is_behind, state.now_ms())
                 };
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -99,7 +99,7 @@
     pub pending_order: Option<(String, u64)>,
     /// Declared versions of weights.
     pub declared: Declarations,
-    ledgers: [TopicTable; 3],
+    topic_tables: [TopicTable; 3],
     started_at: Instant,
 }
 
@@ -117,7 +117,7 @@
             entries: Vec::new(),
             pending_order: None,
             declared: Declarations::default(),
-            ledgers: Default::default(),
+            topic_tables: Default::default(),
             started_at: Instant::now(),
         }))
     }
@@ -350,7 +350,7 @@
             model,
             version,
             offset,
-            is_after_listing: self.ledger(Topic::Operator).has_listing(),
+            is_after_listing: self.topic_table(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
@@ -359,16 +359,16 @@
 }
 
 impl TopicSink for StagingState {
-    fn ledger(&self, topic: Topic) -> &TopicTable {
-        &self.ledgers[topic as usize]
+    fn topic_table(&self, topic: Topic) -> &TopicTable {
+        &self.topic_tables[topic as usize]
     }
 
-    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable {
-        &mut self.ledgers[topic as usize]
+    fn topic_table_mut(&mut self, topic: Topic) -> &mut TopicTable {
+        &mut self.topic_tables[topic as usize]
     }
 
     fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
-        let Some(record) = self.ledgers[topic as usize].get(key) else {
+        let Some(record) = self.topic_tables[topic as usize].get(key) else {
             return;
         };
         let value = record.value.clone();
@@ -406,10 +406,10 @@
     ) {
         for record in records {
             let key = record.key.clone();
-            if self.ledgers[topic as usize].apply_record(record) {
+            if self.topic_tables[topic as usize].apply_record(record) {
                 self.handle_change(topic, &key, decoder);
             }
         }
-        self.ledgers[topic as usize].advance_end_offset(next_offset);
+        self.topic_tables[topic as usize].advance_end_offset(next_offset);
     }
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -211,10 +211,10 @@
 
 #[test]
 fn records_reply_round_trip() {
-    let mut ledger = TopicTable::default();
-    ledger.apply_record(record(7, None));
-    ledger.advance_end_offset(9);
-    let packed = RecordsReply::since(&ledger, 3).pack();
+    let mut table = TopicTable::default();
+    table.apply_record(record(7, None));
+    table.advance_end_offset(9);
+    let packed = RecordsReply::since(&table, 3).pack();
     let reply = RecordsReply::unpack(&packed).unwrap();
     assert_eq!((reply.end_offset, reply.is_listing), (9, false));
     assert_eq!(reply.into_records(), [record(7, None)]);
@@ -242,9 +242,9 @@
 
 #[test]
 fn records_reply_invalid_bytes() {
-    let mut ledger = TopicTable::default();
-    ledger.apply_record(record(3, Some("x")));
-    let packed = RecordsReply::since(&ledger, 0).pack();
+    let mut table = TopicTable::default();
+    table.apply_record(record(3, Some("x")));
+    let packed = RecordsReply::since(&table, 0).pack();
     assert!(matches!(
         RecordsReply::unpack(&packed[..2]),
         Err(RecordsReplyError::InvalidLength(2))
