--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -85,7 +85,7 @@
     let mut must_list = true;
     let mut failures = 0u32;
     loop {
-        if !must_list && state.borrow().has_reader() {
+        if !must_list && state.borrow().has_other_reader() {
             if !state.borrow().is_topic_unavailable(topic) {
                 tokio::time::sleep(READER_CHECK_INTERVAL).await;
                 continue;
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -243,7 +243,7 @@
     }
     for topic in Topic::ALL {
         let is_behind = ends[topic as usize] > own_end_offsets[topic as usize]
-            && (is_same_domain || current.is_outdated(topic));
+            && (is_same_domain || current.fetches_across_domains(topic));
         if is_behind && current.try_begin_fetch(topic) {
             let state = state.clone();
             let decoder = decoder.clone();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -53,7 +53,7 @@
 pub use ports::SendFacts;
 pub use ports::SourceError;
 pub use ports::TopicRead;
-pub use process::run;
+pub use process::run_entry_process;
 pub use records_reply::RecordsReply;
 pub use records_reply::RecordsReplyError;
 pub use reload::wait_for_changed_settings;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// When an address can't be bound or a signal handler can't be installed.
-pub async fn run<S: RecordSource + 'static>(
+pub async fn run_entry_process<S: RecordSource + 'static>(
     settings: GatewaySettings,
     dialect: Rc<impl Dialect + 'static>,
     decoder: Rc<impl RecordDecoder + 'static>,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -214,7 +214,7 @@
 
     /// Whether another entry of the failure domain reads the store on behalf of this
     /// one, and the heartbeats keep the replicas' records recent.
-    pub fn has_reader(&self) -> bool {
+    pub fn has_other_reader(&self) -> bool {
         let settings = &self.settings;
         let now_ms = self.now_ms();
         self.peers.has_other_reader(
@@ -227,7 +227,7 @@
 
     /// Whether `topic` is also fetched from entries of other failure domains: the
     /// replicas' records once they are old, the other topics always.
-    pub fn is_outdated(&self, topic: Topic) -> bool {
+    pub fn fetches_across_domains(&self, topic: Topic) -> bool {
         topic != Topic::Replicas || self.replicas_age_ms() >= REPLICAS_OUTDATED_MS
     }
 
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -94,7 +94,7 @@
     /// another entry that reads on its behalf.
     fn is_expiry_tolerated(&mut self) -> bool {
         let now_ms = self.now_ms();
-        if self.unavailable_topics[Topic::Replicas as usize] && !self.has_reader() {
+        if self.unavailable_topics[Topic::Replicas as usize] && !self.has_other_reader() {
             self.store_unreachable_ms = Some(now_ms);
         }
         self.store_unreachable_ms
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -170,7 +170,7 @@
         2,
         &AddressDecoder,
     );
-    assert!(state.has_reader());
+    assert!(state.has_other_reader());
     assert_eq!(replica_count(&state), 1);
     state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &AddressDecoder);
     assert_eq!(replica_count(&state), 0);
@@ -191,7 +191,7 @@
 /// Guards against all entries reading the store at once when heartbeats stop because
 /// a link is saturated: their reads would keep it saturated.
 #[test]
-fn has_reader_staggered_takeover() {
+fn has_other_reader_staggered_takeover() {
     let names: Vec<String> = (0..12).map(|index| format!("entry-{index}")).collect();
     let readers = |age_ms: u64| {
         let reads = |own: &&String| {
