--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -38,7 +38,7 @@
 pub(super) struct InFlightGuard<'a> {
     state: &'a RefCell<GatewayState>,
     key: ReplicaKey,
-    ticket: u64,
+    send_id: u64,
 }
 
 impl StreamObserver for InFlightGuard<'_> {
@@ -47,7 +47,7 @@
         let now_ms = state.now_ms();
         state
             .replicas
-            .record_answer_start(self.key, self.ticket, now_ms);
+            .record_answer_start(self.key, self.send_id, now_ms);
     }
 
     fn has_replica_failed(&self, silence: Duration) -> bool {
@@ -68,7 +68,7 @@
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.replicas.record_end(self.key, self.ticket, now_ms);
+        state.replicas.record_end(self.key, self.send_id, now_ms);
     }
 }
 
@@ -85,7 +85,7 @@
         let now_ms = state.now_ms();
         let model = request.facts.model.as_deref();
         let required = model.and_then(|model| state.required_version(model));
-        let expected = model.and_then(|model| state.expected_version(model));
+        let upcoming = model.and_then(|model| state.upcoming_version(model));
         let service = request.catalog.service(&request.service);
         let mut usable: Vec<(ReplicaKey, &Replica)> = state
             .replicas
@@ -100,9 +100,9 @@
                     })
             })
             .collect();
-        if let (Some(model), Some(expected)) = (model, expected) {
+        if let (Some(model), Some(upcoming)) = (model, upcoming) {
             usable.retain(|(_, replica)| {
-                replica.weights_version(model, now_ms) >= expected
+                replica.weights_version(model, now_ms) >= upcoming
                     || replica.has_free_slots(0.0, now_ms)
             });
         }
@@ -113,11 +113,12 @@
             0 => usable.len().max(1),
             free_replicas => free_replicas,
         };
-        let others_per_ms = state.others_rate_per_ms(&request.service) / candidate_count as f64;
-        if let (Some(model), Some(expected)) = (model, expected) {
+        let peer_requests_per_replica_ms =
+            state.peer_requests_per_ms(&request.service) / candidate_count as f64;
+        if let (Some(model), Some(upcoming)) = (model, upcoming) {
             usable.retain(|(_, replica)| {
-                replica.weights_version(model, now_ms) >= expected
-                    || replica.has_free_slots(others_per_ms, now_ms)
+                replica.weights_version(model, now_ms) >= upcoming
+                    || replica.has_free_slots(peer_requests_per_replica_ms, now_ms)
             });
         }
         let admission = admit_request(&AdmissionInput {
@@ -126,7 +127,7 @@
             engine: service.and_then(|service| service.engine.as_ref()),
             failure_domain: &state.settings.failure_domain,
             entry_count: state.entry_count(),
-            peer_requests_per_ms: others_per_ms,
+            peer_requests_per_ms: peer_requests_per_replica_ms,
             prompt_tokens: request.facts.prompt_tokens,
             waited_ms: request.waited_ms(),
             was_refused_before: request.waited_before_ms > 0,
@@ -172,7 +173,7 @@
     ) -> InFlightGuard<'a> {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        let ticket = state
+        let send_id = state
             .replicas
             .record_send(chosen.key, chosen.predicted_ms, now_ms);
         if request.sends == 0 && request.tried_replicas.is_empty() {
@@ -193,7 +194,7 @@
         InFlightGuard {
             state: &self.state,
             key: chosen.key,
-            ticket,
+            send_id,
         }
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -50,7 +50,7 @@
 /// Time before the bound from which engines without the new weights get only
 /// requests that can begin at once, in ms: `WEIGHTS_REQUIRED_MARGIN_MS` and the
 /// longest wait at an engine.
-const WEIGHTS_EXPECTED_MARGIN_MS: u64 = 3_000;
+const WEIGHTS_UPCOMING_MARGIN_MS: u64 = 3_000;
 
 /// Age of the replicas' records from which they are fetched also from entries of
 /// other failure domains, in ms.
@@ -111,7 +111,7 @@
     pub(super) unavailable_topics: [bool; 3],
     /// Last time at which the store was found unavailable to this entry and to any
     /// that reads on its behalf.
-    pub(super) store_unreachable_ms: Option<u64>,
+    pub(super) store_unavailable_ms: Option<u64>,
     /// Ids of replicas that stay in use although their records expired.
     pub(super) expired_replicas: Vec<String>,
     broken_connections: Vec<BrokenConnection>,
@@ -145,7 +145,7 @@
             request_rates: Vec::new(),
             longest_deadlines_ms: Vec::new(),
             unavailable_topics: [false; 3],
-            store_unreachable_ms: None,
+            store_unavailable_ms: None,
             expired_replicas: Vec::new(),
             broken_connections: Vec::new(),
             fetching: [false; 3],
@@ -296,7 +296,7 @@
 
     /// Estimated rate of requests for `service` at all other entries, per ms: each is
     /// assumed to get as many as this one.
-    pub fn others_rate_per_ms(&self, service: &str) -> f64 {
+    pub fn peer_requests_per_ms(&self, service: &str) -> f64 {
         let others = f64::from(self.entry_count() - 1);
         match self
             .request_rates
@@ -401,8 +401,8 @@
 
     /// Version of `model` that will soon be required: engines without it get only
     /// requests that can begin at once.
-    pub fn expected_version(&self, model: &str) -> Option<u64> {
-        self.version_due_in(model, WEIGHTS_EXPECTED_MARGIN_MS)
+    pub fn upcoming_version(&self, model: &str) -> Option<u64> {
+        self.version_due_in(model, WEIGHTS_UPCOMING_MARGIN_MS)
     }
 
     /// Newest version of `model` whose bound ends within `ahead_ms`, or has ended.
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -95,10 +95,10 @@
     fn is_expiry_tolerated(&mut self) -> bool {
         let now_ms = self.now_ms();
         if self.unavailable_topics[Topic::Replicas as usize] && !self.has_other_reader() {
-            self.store_unreachable_ms = Some(now_ms);
+            self.store_unavailable_ms = Some(now_ms);
         }
-        self.store_unreachable_ms
-            .is_some_and(|store_unreachable_ms| now_ms < store_unreachable_ms + EXPIRY_TOLERANCE_MS)
+        self.store_unavailable_ms
+            .is_some_and(|store_unavailable_ms| now_ms < store_unavailable_ms + EXPIRY_TOLERANCE_MS)
     }
 
     /// Applies a configuration or a declaration of weights.
