--- a/src/fleet/shared_retry_budget.rs
+++ b/src/fleet/shared_retry_budget.rs
@@ -1,17 +1,17 @@
 /// Buckets of a window, by which old counts expire.
 const BUCKETS: usize = 10;
 
-/// Budget for resending requests, shared by all entries.
+/// Budget for retries of requests, shared by all entries.
 ///
-/// Within any window, all entries together may resend `resend_ratio` of the requests
-/// plus `extra_resends`. Each entry may spend the ratio of its own requests and an
-/// equal share of the extra resends.
+/// Within any window, all entries together may retry `retry_ratio` of the requests
+/// plus `extra_retries`. Each entry may spend the ratio of its own requests and an
+/// equal share of the extra retries.
 #[derive(Debug)]
 pub struct SharedRetryBudget {
-    resend_ratio: f64,
-    extra_resends: f64,
+    retry_ratio: f64,
+    extra_retries: f64,
     bucket_ms: u64,
-    // Number of the bucket, requests and resends.
+    // Number of the bucket, requests and retries.
     buckets: [(u64, u32, u32); BUCKETS],
     // Largest number of entries within the last window, and when it was observed.
     max_entry_count: u32,
@@ -20,10 +20,10 @@
 
 impl SharedRetryBudget {
     /// Budget with the given limits for each window of `window_ms`.
-    pub fn new(resend_ratio: f64, extra_resends: f64, window_ms: u64) -> Self {
+    pub fn new(retry_ratio: f64, extra_retries: f64, window_ms: u64) -> Self {
         Self {
-            resend_ratio,
-            extra_resends,
+            retry_ratio,
+            extra_retries,
             bucket_ms: (window_ms / BUCKETS as u64).max(1),
             buckets: [(0, 0, 0); BUCKETS],
             max_entry_count: 1,
@@ -31,10 +31,10 @@
         }
     }
 
-    /// Changes the limits; requests and resends already counted stay.
-    pub fn set_limits(&mut self, resend_ratio: f64, extra_resends: f64) {
-        self.resend_ratio = resend_ratio;
-        self.extra_resends = extra_resends;
+    /// Changes the limits; requests and retries already counted stay.
+    pub fn set_limits(&mut self, retry_ratio: f64, extra_retries: f64) {
+        self.retry_ratio = retry_ratio;
+        self.extra_retries = extra_retries;
     }
 
     /// Updates the number of entries that share the budget. The largest number within
@@ -52,21 +52,21 @@
         self.bucket(now_ms).1 += 1;
     }
 
-    /// Whether one more resend is within the budget.
-    pub fn can_resend(&self, now_ms: u64) -> bool {
+    /// Whether one more retry is within the budget.
+    pub fn can_retry(&self, now_ms: u64) -> bool {
         let newest = now_ms / self.bucket_ms + 1;
         let oldest = (newest + 1).saturating_sub(BUCKETS as u64);
         let current_buckets = self.buckets.iter().filter(|bucket| bucket.0 >= oldest);
-        let (requests, resends) =
+        let (requests, retries) =
             current_buckets.fold((0, 0), |sum, bucket| (sum.0 + bucket.1, sum.1 + bucket.2));
-        let allowed = self.resend_ratio * f64::from(requests)
-            + self.extra_resends / f64::from(self.max_entry_count);
-        f64::from(resends) + 1.0 <= allowed
+        let allowed = self.retry_ratio * f64::from(requests)
+            + self.extra_retries / f64::from(self.max_entry_count);
+        f64::from(retries) + 1.0 <= allowed
     }
 
-    /// Takes one resend out of the budget; returns false when the budget is spent.
-    pub fn try_resend(&mut self, now_ms: u64) -> bool {
-        if !self.can_resend(now_ms) {
+    /// Takes one retry out of the budget; returns false when the budget is spent.
+    pub fn try_retry(&mut self, now_ms: u64) -> bool {
+        if !self.can_retry(now_ms) {
             return false;
         }
         self.bucket(now_ms).2 += 1;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -210,7 +210,7 @@
     fn has_retry_budget(&self, request: &RoutedRequest) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.retry_budget(&request.service).can_resend(now_ms)
+        state.retry_budget(&request.service).can_retry(now_ms)
     }
 
     /// Records the outcome of a send; returns a response or stream that is to be sent
@@ -306,7 +306,7 @@
         let entries = state.entry_count();
         let budget = state.retry_budget(&request.service);
         budget.set_entry_count(entries, now_ms);
-        let allowed = budget.try_resend(now_ms);
+        let allowed = budget.try_retry(now_ms);
         if allowed {
             self.metrics.retried(history.last_cause);
         }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -40,7 +40,7 @@
     settings.grace_ms = new.grace_ms;
     settings.directory_ttl_s = new.directory_ttl_s;
     settings.retry_ratio = new.retry_ratio;
-    settings.retry_extra = new.retry_extra;
+    settings.extra_retries = new.extra_retries;
     settings.weights_apply_ms = new.weights_apply_ms;
     settings.max_client_connections = new.max_client_connections;
     let needs_restart = settings.front != new.front
@@ -48,7 +48,7 @@
         || settings.failure_domain != new.failure_domain
         || settings.retry_window_ms != new.retry_window_ms;
     for (_, budget) in &mut state.retry_budgets {
-        budget.set_limits(new.retry_ratio, new.retry_extra);
+        budget.set_limits(new.retry_ratio, new.extra_retries);
     }
     LogLine::new(Event::SettingsReloaded)
         .number("grace_ms", new.grace_ms)
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -26,7 +26,7 @@
     /// Retries that the budget allows, as a share of the requests.
     pub retry_ratio: f64,
     /// Further retries that all entries together may send within a window.
-    pub retry_extra: f64,
+    pub extra_retries: f64,
     /// Window of the retry budget, in ms.
     pub retry_window_ms: u64,
     /// Time after its declaration within which every response must come from a new
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -270,7 +270,7 @@
                 let settings = &self.settings;
                 let budget = SharedRetryBudget::new(
                     settings.retry_ratio,
-                    settings.retry_extra,
+                    settings.extra_retries,
                     settings.retry_window_ms,
                 );
                 self.retry_budgets.insert(at, (service.to_owned(), budget));
--- a/tests/fleet/retries.rs
+++ b/tests/fleet/retries.rs
@@ -4,33 +4,33 @@
 const WINDOW_MS: u64 = 10_000;
 
 /// All requests fail at every entry, such as when replicas reset their connections. The
-/// entries together stay within the ratio and the extra resends of any window.
+/// entries together stay within the ratio and the extra retries of any window.
 #[test]
-fn shared_retry_budget_try_resend_all_entries_stay_within_limits() {
+fn shared_retry_budget_try_retry_all_entries_stay_within_limits() {
     let entries = 6;
     let mut budgets: Vec<SharedRetryBudget> = (0..entries)
         .map(|_| SharedRetryBudget::new(0.2, 100.0, WINDOW_MS))
         .collect();
-    let mut resends: Vec<u64> = Vec::new();
+    let mut retries: Vec<u64> = Vec::new();
     for now_ms in (0..30_000u64).step_by(20) {
         for budget in &mut budgets {
             budget.set_entry_count(entries, now_ms);
             budget.record_request(now_ms);
-            if budget.try_resend(now_ms) {
-                resends.push(now_ms);
+            if budget.try_retry(now_ms) {
+                retries.push(now_ms);
             }
         }
     }
     let requests_in_window = (WINDOW_MS / 20) as usize * entries as usize;
     for start in (0..20_000u64).step_by(100) {
-        let sent = resends
+        let sent = retries
             .iter()
             .filter(|at| (start..start + WINDOW_MS).contains(at))
             .count();
         let allowed = requests_in_window / 5 + 100;
         assert!(sent <= allowed, "{sent} of {allowed} from {start} ms on");
     }
-    assert!(!resends.is_empty());
+    assert!(!retries.is_empty());
 }
 
 #[test]
@@ -39,10 +39,10 @@
     budget.set_entry_count(6, 0);
     // The entries that failed may have spent their share within this window.
     budget.set_entry_count(1, 1_000);
-    let sent = (0..10).filter(|_| budget.try_resend(1_000)).count();
+    let sent = (0..10).filter(|_| budget.try_retry(1_000)).count();
     assert_eq!(sent, 2);
     budget.set_entry_count(1, 11_000);
-    let later = (0..20).filter(|_| budget.try_resend(11_500)).count();
+    let later = (0..20).filter(|_| budget.try_retry(11_500)).count();
     assert_eq!(later, 12);
 }
 
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -102,7 +102,7 @@
         grace_ms: 1_000,
         directory_ttl_s: 1,
         retry_ratio: 0.1,
-        retry_extra: 1.0,
+        extra_retries: 1.0,
         retry_window_ms: 1_000,
         weights_apply_ms: 8_000,
         link_mbps: 100.0,
