--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -68,7 +68,7 @@
     NotRun,
     /// Another replica than the expected one uses the address; the request did not
     /// run.
-    Misplaced,
+    WrongReplica,
     /// The replica has another version of the weights than the expected one; the
     /// request did not run.
     OtherWeights,
@@ -150,10 +150,10 @@
         return Some(if is_expected_replica {
             SendOutcome::OtherWeights
         } else {
-            SendOutcome::Misplaced
+            SendOutcome::WrongReplica
         });
     }
-    if response.is_not_run && head.status >= 400 {
+    if response.was_not_run && head.status >= 400 {
         return Some(SendOutcome::NotRun);
     }
     if !response.is_signed {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -242,7 +242,7 @@
                 state.replicas.record_refusal(chosen.key, now_ms);
                 "other_weights"
             }
-            SendOutcome::Misplaced => {
+            SendOutcome::WrongReplica => {
                 request.sends += 1;
                 state.replicas.record_wrong_replica(chosen.key, now_ms);
                 "misplaced"
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -42,7 +42,7 @@
 }
 
 impl StreamObserver for InFlightGuard<'_> {
-    fn first_event(&self) {
+    fn record_events_sent(&self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         state
--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -64,7 +64,7 @@
     /// Whether the response has the replica's signature.
     pub is_signed: bool,
     /// Whether the replica states that it did not run the request.
-    pub is_not_run: bool,
+    pub was_not_run: bool,
     /// Whether the request reached another replica than the expected one, or one
     /// with another version of the weights.
     pub is_misdirected: bool,
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -29,7 +29,7 @@
 /// Observer of the part of a stream that one replica sends.
 pub trait StreamObserver {
     /// Called when events were sent to the client; only the first call has an effect.
-    fn first_event(&self);
+    fn record_events_sent(&self);
     /// Whether a replica that has been silent for that long counts as failed.
     fn has_replica_failed(&self, silence: Duration) -> bool;
 }
@@ -103,7 +103,7 @@
                 return end;
             }
             if events < self.events {
-                observer.first_event();
+                observer.record_events_sent();
             }
             if let Err(error) = decoded {
                 return StreamEnd::Broken(error.label());
