--- a/src/contracts/branch_share.rs
+++ b/src/contracts/branch_share.rs
@@ -18,7 +18,7 @@
 impl BranchShare {
     /// Share of a branch that has no section in the configuration: the smallest weight
     /// and no burst limit.
-    pub fn without_contract(branch: impl Into<String>) -> Self {
+    pub fn unconfigured(branch: impl Into<String>) -> Self {
         Self {
             branch: branch.into(),
             weight: 1,
--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -192,7 +192,7 @@
             Err(at) => {
                 let key = BranchKey(self.queues.len() as u32);
                 self.queues.push(BranchQueue {
-                    share: BranchShare::without_contract(name),
+                    share: BranchShare::unconfigured(name),
                     virtual_time: 0,
                     waiting: VecDeque::new(),
                     waiting_tokens: 0,
