--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -131,9 +131,9 @@
 }
 
 impl UsageRatio {
-    fn update(&mut self, work: &FinishedRequest) {
-        let used_tokens = work.used_tokens.min(work.cost_tokens);
-        let latest = used_tokens * 1000 / work.cost_tokens.max(1);
+    fn update(&mut self, finished: &FinishedRequest) {
+        let used_tokens = finished.used_tokens.min(finished.cost_tokens);
+        let latest = used_tokens * 1000 / finished.cost_tokens.max(1);
         let average = |known| (known * (SMOOTHING_DIVISOR - 1) + latest) / SMOOTHING_DIVISOR;
         self.permille = Some(self.permille.map_or(latest, average));
     }
@@ -209,11 +209,11 @@
     pub fn push(&mut self, request: QueuedRequest<T>, now_ms: u64) -> PushOutcome<T> {
         let wait_ms = self.estimated_wait_ms(request.branch);
         let service_ms = self.estimated_service_ms(request.cost_tokens);
-        let ready_ms = now_ms + wait_ms * WAIT_MARGIN_PERCENT / 100 + service_ms;
+        let complete_ms = now_ms + wait_ms * WAIT_MARGIN_PERCENT / 100 + service_ms;
         let queue = &self.queues[request.branch.index()];
         let reason = if request.deadline_ms <= now_ms {
             QueueRefusal::DeadlinePassed
-        } else if ready_ms > request.deadline_ms {
+        } else if complete_ms > request.deadline_ms {
             QueueRefusal::DeadlineTooNear
         } else if queue.waiting.len() >= self.limits.max_waiting_per_branch {
             QueueRefusal::BranchQueueFull
@@ -261,15 +261,15 @@
     }
 
     /// Frees the slot of a request and updates the averages with its usage.
-    pub fn finish(&mut self, work: FinishedRequest) {
-        let queue = &mut self.queues[work.branch.index()];
+    pub fn finish(&mut self, finished: FinishedRequest) {
+        let queue = &mut self.queues[finished.branch.index()];
         queue.running -= 1;
         self.running -= 1;
-        if let Some(held_ms) = work.held_ms {
-            queue.usage.update(&work);
-            self.usage.update(&work);
+        if let Some(held_ms) = finished.held_ms {
+            queue.usage.update(&finished);
+            self.usage.update(&finished);
             self.wait_estimator
-                .record_finished(work.cost_tokens, held_ms);
+                .record_finished(finished.cost_tokens, held_ms);
         }
     }
 
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -120,11 +120,12 @@
         {
             Ok(at) => {
                 let peer = &mut self.peers[at];
-                let is_change = now_ms.saturating_sub(peer.last_received_ms) >= ENTRY_TIMEOUT_MS
+                let has_reappeared = now_ms.saturating_sub(peer.last_received_ms)
+                    >= ENTRY_TIMEOUT_MS
                     || peer.heartbeat.incarnation != heartbeat.incarnation;
                 peer.heartbeat = heartbeat;
                 peer.last_received_ms = now_ms;
-                is_change
+                has_reappeared
             }
             Err(at) => {
                 self.peers.insert(
--- a/src/gateway/fetch.rs
+++ b/src/gateway/fetch.rs
@@ -24,12 +24,12 @@
     peer: SocketAddr,
     decoder: &impl RecordDecoder,
 ) {
-    let (from, is_known) = {
+    let (from, has_listing) = {
         let state = state.borrow();
         let table = state.topic_table(topic);
         (table.end_offset(), table.has_listing())
     };
-    let from = if is_known { from } else { 0 };
+    let from = if has_listing { from } else { 0 };
     let target = format!("{RECORDS_PATH}/{}/{from}", topic.label());
     let mut client = Client::new(peer, Duration::ZERO);
     let reply = match client.ask(&Ask::get(&target, FETCH_TIMEOUT)).await {
@@ -51,7 +51,7 @@
         }
     };
     let end_offset = reply.end_offset;
-    let is_listing = reply.is_listing || !is_known;
+    let is_listing = reply.is_listing || !has_listing;
     let records = reply.into_records();
     LogLine::new(Event::RecordsPulled)
         .text("topic", topic.label())
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -126,7 +126,7 @@
         .filter_map(|record| {
             rmp_serde::from_slice::<EntryRegistration>(record.value.as_deref()?).ok()
         })
-        .map(|member| member.internal);
+        .map(|registration| registration.internal);
     let received = state.peers.all_entries().map(|peer| peer.internal);
     registered
         .chain(received)
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -142,16 +142,19 @@
 
 /// Registers this entry in the store, so that the others can discover it.
 async fn register_entry(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
-    let member = {
+    let registration = {
         let settings = &state.borrow().settings;
         EntryRegistration {
             name: settings.name.clone(),
             internal: settings.internal,
         }
     };
-    let value = rmp_serde::to_vec(&member).expect("a member holds only plain data");
+    let value = rmp_serde::to_vec(&registration).expect("a registration holds only plain data");
     loop {
-        match source.publish(Topic::Members, &member.name, &value).await {
+        match source
+            .publish(Topic::Members, &registration.name, &value)
+            .await
+        {
             Ok(()) => return,
             Err(error) => log::debug!("cannot register this entry: {error}"),
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -284,7 +284,7 @@
     pub fn count_request(&mut self, service: &str) {
         let now_ms = self.now_ms();
         let request_rates = &mut self.request_rates;
-        let at = match request_rates.binary_search_by(|d| d.0.as_str().cmp(service)) {
+        let at = match request_rates.binary_search_by(|rate| rate.0.as_str().cmp(service)) {
             Ok(at) => at,
             Err(at) => {
                 request_rates.insert(at, (service.to_owned(), RateMeter::default()));
@@ -300,7 +300,7 @@
         let others = f64::from(self.entry_count() - 1);
         match self
             .request_rates
-            .binary_search_by(|d| d.0.as_str().cmp(service))
+            .binary_search_by(|rate| rate.0.as_str().cmp(service))
         {
             Ok(at) => self.request_rates[at].1.events_per_ms(self.now_ms()) * others,
             Err(_) => 0.0,
@@ -319,7 +319,7 @@
     /// route that sends its first request.
     pub fn waited_before_ms(&mut self, route: &str, deadline_ms: u64) -> u64 {
         let longest = &mut self.longest_deadlines_ms;
-        let longest_ms = match longest.binary_search_by(|entry| entry.0.as_str().cmp(route)) {
+        let longest_ms = match longest.binary_search_by(|known| known.0.as_str().cmp(route)) {
             Ok(at) => {
                 longest[at].1 = longest[at].1.max(deadline_ms);
                 longest[at].1
@@ -338,7 +338,7 @@
     pub fn record_broken_connection(&mut self, fingerprint: Digest, replica: &str) {
         let now_ms = self.now_ms();
         self.broken_connections
-            .retain(|entry| now_ms.saturating_sub(entry.at_ms) < BROKEN_CONNECTION_WINDOW_MS);
+            .retain(|broken| now_ms.saturating_sub(broken.at_ms) < BROKEN_CONNECTION_WINDOW_MS);
         if self.broken_connections.len() >= MAX_BROKEN_CONNECTIONS {
             self.broken_connections.remove(0);
         }
@@ -360,24 +360,24 @@
     pub fn suspect_broken_connections(&mut self, replica: &str) {
         let now_ms = self.now_ms();
         let broken_connections = std::mem::take(&mut self.broken_connections);
-        for entry in broken_connections {
-            if now_ms.saturating_sub(entry.at_ms) >= BROKEN_CONNECTION_WINDOW_MS {
+        for broken in broken_connections {
+            if now_ms.saturating_sub(broken.at_ms) >= BROKEN_CONNECTION_WINDOW_MS {
                 continue;
             }
-            if entry.replica != replica {
-                self.broken_connections.push(entry);
+            if broken.replica != replica {
+                self.broken_connections.push(broken);
                 continue;
             }
             LogLine::new(Event::CrashSuspected)
                 .text("replica", replica)
-                .text("fingerprint", entry.fingerprint.to_string())
+                .text("fingerprint", broken.fingerprint.to_string())
                 .write();
             let crash = CrashId {
-                endpoint: entry.replica,
-                incarnation: entry.incarnation,
+                endpoint: broken.replica,
+                incarnation: broken.incarnation,
                 crash_no: CrashId::PROCESS_CRASH,
             };
-            self.suspects.add_crash(entry.fingerprint, crash, now_ms);
+            self.suspects.add_crash(broken.fingerprint, crash, now_ms);
         }
     }
 
--- a/src/staging/manifest.rs
+++ b/src/staging/manifest.rs
@@ -17,7 +17,7 @@
 
 /// Additional delay of each further host before it requests a manifest from the
 /// origin, so that not all hosts request it at once.
-const MANIFEST_SLOT_DELAY: Duration = Duration::from_millis(120);
+const MANIFEST_RANK_DELAY: Duration = Duration::from_millis(120);
 
 /// Delay before a failed search for a manifest is repeated.
 const MANIFEST_RETRY_DELAY: Duration = Duration::from_millis(150);
@@ -32,7 +32,7 @@
         if let Some(known) = self.known_manifest() {
             return Some(self.store_manifest(known));
         }
-        let slot = {
+        let rank = {
             let state = self.state.borrow();
             let names: Vec<String> = state
                 .replicas
@@ -42,7 +42,7 @@
             let own = state.settings.replica.to_string();
             rendezvous_rank(&own, names.iter().map(String::as_str), self.version)
         };
-        let mut delay = MANIFEST_SLOT_DELAY * u32::try_from(slot).unwrap_or(u32::MAX).min(16);
+        let mut delay = MANIFEST_RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX).min(16);
         loop {
             if !self.is_wanted() {
                 return None;
@@ -60,7 +60,7 @@
                 }
                 tokio::time::sleep(MANIFEST_RETRY_DELAY).await;
             } else {
-                let step = delay.min(MANIFEST_SLOT_DELAY);
+                let step = delay.min(MANIFEST_RANK_DELAY);
                 tokio::time::sleep(step).await;
                 delay -= step;
             }
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -79,11 +79,11 @@
     engine: impl EnginePort,
     origin: impl OriginPort,
     decoder: Rc<impl RecordDecoder + 'static>,
-    source: impl Fn() -> S,
+    new_source: impl Fn() -> S,
     mut changed: impl FnMut() -> Option<StagingSettings>,
 ) -> io::Result<()> {
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
-    let mut hangup = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())?;
+    let mut hang_up = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())?;
     let metrics = Rc::new(Metrics::new());
     let state = StagingState::new(settings.clone());
     for address in [settings.internal, settings.metrics] {
@@ -97,7 +97,7 @@
     let socket = Rc::new(UdpSocket::bind(settings.internal).await?);
     actix_rt::spawn(read_store_without_entries(
         state.clone(),
-        source(),
+        new_source(),
         decoder.clone(),
     ));
     actix_rt::spawn(receive_datagrams(state.clone(), socket.clone(), decoder));
@@ -117,7 +117,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            reloaded = wait_for_changed_settings(&mut hangup, &mut changed) => {
+            reloaded = wait_for_changed_settings(&mut hang_up, &mut changed) => {
                 state.borrow_mut().settings.weights_apply_ms = reloaded.weights_apply_ms;
                 LogLine::new(Event::SettingsReloaded)
                     .number("weights_apply_ms", reloaded.weights_apply_ms)
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -162,19 +162,20 @@
             .filter(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_TIMEOUT_MS)
             .collect();
         let region = self.settings.region(&self.settings.failure_domain);
-        let is_near = |entry: &&&KnownEntry| self.settings.region(&entry.failure_domain) == region;
-        let near: Vec<RelayEntry> = available
+        let is_in_region =
+            |entry: &&&KnownEntry| self.settings.region(&entry.failure_domain) == region;
+        let in_region: Vec<RelayEntry> = available
             .iter()
-            .filter(is_near)
+            .filter(is_in_region)
             .map(|e| e.to_relay_entry())
             .collect();
-        if near.is_empty() {
+        if in_region.is_empty() {
             return available
                 .iter()
                 .map(|entry| entry.to_relay_entry())
                 .collect();
         }
-        near
+        in_region
     }
 
     /// Returns the monotonic time of the last heartbeat of any entry, in ms.
--- a/src/staging/swarm_fetches.rs
+++ b/src/staging/swarm_fetches.rs
@@ -116,13 +116,13 @@
     ) -> Vec<PieceFetch> {
         // Pieces that are being fetched from an entry need not be planned.
         let mut held_or_expected = have.clone();
-        let mut planned = Vec::new();
+        let mut swarm_in_flight = Vec::new();
         for fetch in in_flight {
             match fetch.source {
                 PieceSource::Entry(_) => {
                     held_or_expected.insert(fetch.index);
                 }
-                PieceSource::Swarm(source) => planned.push(ChunkFetch {
+                PieceSource::Swarm(source) => swarm_in_flight.push(ChunkFetch {
                     chunk: fetch.index,
                     source,
                 }),
@@ -136,7 +136,7 @@
                 .filter(|block| block.0 == PieceSource::Swarm(source));
             blocks.map(|block| block.1).max().unwrap_or(0)
         };
-        let neighbours: Vec<PeerState> = (0u32..)
+        let peers: Vec<PeerState> = (0u32..)
             .zip(&swarm.addresses)
             .map(|(index, address)| {
                 let key = PeerKey(index);
@@ -145,7 +145,7 @@
                         && peer.model == self.model
                         && peer.version == self.version
                 });
-                let is_lost = match reported {
+                let has_timed_out = match reported {
                     Some(peer) => now_ms.saturating_sub(peer.last_received_ms) >= PEER_TIMEOUT_MS,
                     None => now_ms.saturating_sub(started_ms) >= PEER_STARTUP_MS,
                 };
@@ -159,7 +159,7 @@
                         ),
                     queued_reads: 0,
                     blocked_until_ms: blocked_until(ChunkSource::Peer(key)),
-                    unavailable: is_lost && key != swarm.own_key,
+                    unavailable: has_timed_out && key != swarm.own_key,
                 }
             })
             .collect();
@@ -169,8 +169,8 @@
             local: swarm.own_key,
             ranking: &swarm.primary_holders,
             held_chunks: &held_or_expected,
-            in_flight: &planned,
-            peers: &neighbours,
+            in_flight: &swarm_in_flight,
+            peers: &peers,
             // While entries are available, only they fetch from the origin.
             origin_blocked_until_ms: if state.relay_entries().is_empty() {
                 blocked_until(ChunkSource::Origin)
--- a/src/staging/weights_download.rs
+++ b/src/staging/weights_download.rs
@@ -293,15 +293,17 @@
             return None;
         }
         let max_fetches = if is_slow { 1 } else { MAX_ENTRY_FETCHES };
-        let free_slots = max_fetches.saturating_sub(in_flight.len());
-        if free_slots == 0 {
+        let free_fetches = max_fetches.saturating_sub(in_flight.len());
+        if free_fetches == 0 {
             return Some(Vec::new());
         }
         let assigned = assign_pieces(have.chunk_count(), &entries);
         let is_missing = |index: &u32| {
             !have.contains(*index) && in_flight.iter().all(|fetch| fetch.index != *index)
         };
-        let indices = (0..have.chunk_count()).filter(is_missing).take(free_slots);
+        let indices = (0..have.chunk_count())
+            .filter(is_missing)
+            .take(free_fetches);
         Some(
             indices
                 .filter_map(|index| {
--- a/tests/contracts/fair_queue.rs
+++ b/tests/contracts/fair_queue.rs
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn pop_burst_cap_holds_while_others_wait() {
+fn pop_burst_limit_holds_while_others_wait() {
     let mut queue = queue(4);
     let capped = queue.set_share(share("capped", 100, 50));
     let other = queue.set_share(share("other", 1, 100));
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -224,7 +224,7 @@
 /// was dropped has no trace of it, so its reply must be a listing, which makes the
 /// receiver drop the record.
 #[test]
-fn records_reply_drop_before_listing() {
+fn records_reply_deletion_before_listing() {
     let mut fresh = TopicTable::default();
     fresh.apply_listing(Vec::new(), 6);
     let mut reader = TopicTable::default();
