--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -11,13 +11,13 @@
 /// Shortest time after which a refused caller should retry.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// Divisor that gives the weight of the latest request in the moving averages.
+/// The latest request has a weight of one divided by this in the moving averages.
 const SMOOTHING_DIVISOR: u64 = 16;
 
 /// Factor on the estimated wait, in percent, so that few requests expire while they wait.
 const WAIT_MARGIN_PERCENT: u64 = 200;
 
-/// Bounds of a fair queue.
+/// Limits of a fair queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
     /// Requests that run concurrently.
@@ -56,7 +56,7 @@
     },
 }
 
-/// Usage of a request that ran, for [`FairQueue::finish`].
+/// Estimated and actual usage of a request that ran, for [`FairQueue::finish`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinishedRequest {
     /// Branch the request belongs to.
@@ -94,9 +94,9 @@
 /// reset to the same value: a branch may use the idle shares of others without being
 /// charged for them later, and the others get their shares back at once. A branch that
 /// starts to wait again is ahead of the waiting ones by at most the virtual time in which
-/// the slots are used once. The cost of a request is its estimate times the part of the
-/// estimates that earlier requests used; it is charged when the request starts and not
-/// corrected afterwards.
+/// as many requests start as there are slots. The cost of a request is its estimate times
+/// the part of the estimates that earlier requests used; it is charged when the request
+/// starts and not corrected afterwards.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limits: QueueLimits,
@@ -230,7 +230,8 @@
         }
     }
 
-    /// Removes the next request to run, or one that can't meet its deadline any more.
+    /// Removes and returns a request that can't meet its deadline any more, or else the
+    /// next one to run.
     pub fn pop(&mut self, now_ms: u64) -> PopOutcome<T> {
         if let Some(request) = self.take_expired(now_ms) {
             return self.expire(request, now_ms);
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Removes the waiting requests that match, such as those whose caller has left.
+    /// Removes the waiting requests that match, such as those whose caller disconnected.
     pub fn withdraw_matching(&mut self, matches: impl Fn(&T) -> bool) -> Vec<QueuedRequest<T>> {
         let mut withdrawn = Vec::new();
         for index in 0..self.queues.len() {
@@ -335,7 +336,8 @@
     }
 
     /// Appends a request to the queue of its branch. A branch that starts to wait gets a
-    /// virtual time that is not too far behind those of the waiting branches.
+    /// virtual time at most one [`Self::slot_cycle_time`] below the smallest of the waiting
+    /// branches.
     fn enqueue(&mut self, request: QueuedRequest<T>) {
         if self.waiting == 0 {
             self.reset_virtual_times();
--- a/src/contracts/wait_estimator.rs
+++ b/src/contracts/wait_estimator.rs
@@ -1,8 +1,8 @@
-/// Divisor that gives the weight of the latest request in the moving average.
+/// The latest request has a weight of one divided by this in the moving average.
 const SMOOTHING_DIVISOR: u64 = 16;
 
-/// The same for a request that was faster than the average; smaller, so that the estimate
-/// recovers soon after an engine was slow for a while.
+/// Divisor in place of [`SMOOTHING_DIVISOR`] for a request that was faster than the average;
+/// smaller, so that the estimate recovers soon after an engine was slow for a while.
 const FASTER_SMOOTHING_DIVISOR: u64 = 4;
 
 /// Value of the average before the first request has finished, in microseconds per token.
@@ -19,7 +19,7 @@
 }
 
 impl WaitEstimator {
-    /// Estimator for an engine with `slots` slots, which has observed no request.
+    /// Estimator for an engine with `slots` slots, before any request has finished.
     pub fn new(slots: u32) -> Self {
         Self {
             slots: u64::from(slots.max(1)),
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -27,8 +27,8 @@
 /// a replica that has not answered yet, so that it gets requests.
 const MIN_LATENCY_MS: f64 = 10.0;
 
-/// Delay beyond the prediction from which an engine gets no more requests, in ms: well
-/// beyond what its queue can explain.
+/// Excess delay from which an engine gets no more requests, in ms: far more than the wait
+/// in its queue can explain.
 const MAX_EXCESS_DELAY_MS: f64 = 800.0;
 
 /// Requests of this entry for each slot from which a replica without an engine gets no
@@ -169,7 +169,8 @@
     has_capacity.then_some(predicted_ms + excess_delay_ms)
 }
 
-/// The same for a service without an engine, from the replica's past answers.
+/// Predicted time to the answer at `replica` of a service without an engine, in ms, from
+/// its past answers; None when it lacks the capacity for the request.
 fn predicted_ms_without_engine(input: &AdmissionInput<'_>, replica: &Replica) -> Option<f64> {
     let slots = f64::from(replica.record.slots.max(1));
     let load_per_slot = f64::from(replica.in_flight) / slots;
@@ -188,7 +189,8 @@
 ///
 /// With a free slot, this is one decode pass and 1.5 times the processing of the prompt,
 /// which shares the engine with the passes of the running requests. Without one, it adds
-/// the time in which as many running requests end as wait, this one included.
+/// the time until enough running requests have ended to give a slot to each request that
+/// waits, this one included.
 pub fn predicted_first_event_ms(engine: &EngineProfile, requests: u32, prompt_tokens: f64) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     let running = f64::from(requests).min(slots);
--- a/src/fleet/declarations.rs
+++ b/src/fleet/declarations.rs
@@ -2,10 +2,11 @@
 use crate::observe::Event;
 use crate::observe::LogLine;
 
-/// Declarations that are kept; beyond these the oldest is removed.
+/// Largest number of declarations that are kept; with one more the oldest is removed.
 const MAX_DECLARATIONS: usize = 32;
 
-/// Declarations reported to other processes: older ones require nothing more.
+/// Number of the latest declarations that are reported to other processes: older ones
+/// require no action any more.
 const MAX_REPORTED: usize = 4;
 
 /// A version of weights that the operator declared, which all engines are to load.
@@ -18,7 +19,8 @@
     /// Monotonic time of this process at which any process first learned of the
     /// declaration, as far as known; negative when that was before this process started.
     pub learned_ms: i64,
-    /// Whether `learned_ms` is known exactly; otherwise it is an assumed bound.
+    /// Whether `learned_ms` is known exactly; otherwise it is assumed, as by
+    /// [`Declarations::add_record`].
     pub is_time_exact: bool,
 }
 
@@ -89,8 +91,8 @@
         is_new
     }
 
-    /// Merges the ages that another process reports; returns whether a latest version
-    /// is new. The earliest exact time of a declaration is kept.
+    /// Merges the ages that another process reports; returns whether this added a version
+    /// that is the latest of its model. The earliest exact time of a declaration is kept.
     pub fn merge_ages(&mut self, ages: &[DeclarationAge], now_ms: i64) -> bool {
         let mut has_new_version = false;
         for age in ages {
@@ -145,7 +147,7 @@
         self.declarations.iter().filter(move |d| d.model == model)
     }
 
-    /// The last declaration of the list, of any model.
+    /// The declaration that was added last, of any model.
     pub fn latest(&self) -> Option<&Declaration> {
         self.declarations.last()
     }
--- a/src/fleet/peers.rs
+++ b/src/fleet/peers.rs
@@ -66,7 +66,7 @@
     pub has_store: bool,
     /// End offsets of its topic tables, in the order of `Topic::ALL`.
     pub ends: [u64; 3],
-    /// Time since the store last confirmed its records of the replicas, in ms.
+    /// Time since the store last confirmed the sender's records of the replicas, in ms.
     pub replicas_age_ms: u64,
     /// Latest declarations of weights whose age is known.
     pub declared: Vec<DeclarationAge>,
--- a/src/fleet/replica_table.rs
+++ b/src/fleet/replica_table.rs
@@ -200,7 +200,7 @@
         self.mean_latency_ms
     }
 
-    /// Applies a load report; the sends that it covers are no longer counted on top.
+    /// Applies a load report; the sends that it includes are no longer counted in addition.
     fn record_load(&mut self, load: EngineLoad) {
         let covered_ms = load.received_ms.saturating_sub(LOAD_REPORT_DELAY_MS);
         self.sent_since_load_ms
@@ -230,7 +230,8 @@
 
 impl ReplicaTable {
     /// Applies a replica's latest registration; returns its key and whether it is a new
-    /// replica or a new incarnation, which loses what was observed.
+    /// replica or a new incarnation. What was observed of an earlier incarnation is
+    /// discarded.
     pub fn register(&mut self, record: ReplicaRecord, now_ms: u64) -> (ReplicaKey, bool) {
         if let Some(key) = self.find(&record.id) {
             let replica = &mut self.replicas[key.0 as usize];
@@ -362,7 +363,7 @@
     }
 
     /// Records that another replica answered at this address. The replica gets no requests
-    /// for the longest pause, in which the list should be updated.
+    /// for the longest pause, by the end of which the list should be up to date.
     pub fn record_wrong_replica(&mut self, key: ReplicaKey, now_ms: u64) {
         self.replicas[key.0 as usize].excluded_until_ms = now_ms + MAX_BACKOFF_MS;
     }
--- a/src/fleet/shared_retry_budget.rs
+++ b/src/fleet/shared_retry_budget.rs
@@ -1,4 +1,4 @@
-/// Buckets of a window, by which old counts expire.
+/// Number of buckets of a window; the counts of a bucket expire together.
 const BUCKETS: usize = 10;
 
 /// Budget for retries of requests, shared by all entries.
