--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -17,7 +17,7 @@
 pub trait TopicSink {
     /// Newest records of a topic.
     fn topic_table(&self, topic: Topic) -> &TopicTable;
-    /// Newest records of a topic, for changes.
+    /// Newest records of a topic, to be updated.
     fn topic_table_mut(&mut self, topic: Topic) -> &mut TopicTable;
     /// Updates the state after the newest record of `key` changed in its table.
     fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder);
@@ -49,8 +49,8 @@
     );
 }
 
-/// Longest time for which one read waits for new records. A connection that has
-/// become silent is noticed soon after it.
+/// Longest time for which one read waits for new records. A connection on which
+/// nothing arrives is detected soon after that time.
 const MAX_READ_WAIT: Duration = Duration::from_secs(2);
 
 /// Longest time for which one read waits for records of replicas. It is short
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -69,6 +69,7 @@
 /// Results of the sends of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct AttemptHistory {
+    /// Number of connections to replicas that could not be opened.
     failed_connections: u32,
     /// Whether a replica may have run the request.
     pub(super) may_have_run: bool,
@@ -288,8 +289,8 @@
         None
     }
 
-    /// Whether one more send is allowed; a send that may repeat work is taken out of
-    /// the retry budget.
+    /// Whether one more send is allowed. It is taken out of the retry budget, except
+    /// after a connection that could not be opened.
     fn try_take_retry(&self, request: &RoutedRequest, history: &AttemptHistory) -> bool {
         if request.left_ms() == 0 {
             return false;
--- a/src/gateway/handlers.rs
+++ b/src/gateway/handlers.rs
@@ -13,7 +13,7 @@
 use crate::observe::Metrics;
 use crate::weights::OriginPort;
 
-/// Most addresses in one response of the directory.
+/// Largest number of addresses in one response of the directory.
 const MAX_ADDRESSES: usize = 64;
 
 /// Serves the directory, where clients look up the addresses of the entries that
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -29,11 +29,11 @@
 /// Largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 
-/// Most crash suspects sent in one heartbeat, so that it fits a datagram.
+/// Largest number of crash suspects in one heartbeat, so that it fits a datagram.
 const MAX_SENT_SUSPECTS: usize = 16;
 
-/// The pieces of a version of weights that a host holds, as it reports them to
-/// other hosts.
+/// Have message: the pieces of a version of weights that a host holds, as it reports
+/// them to other hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeldPieces {
     /// Address of the host's endpoint process.
--- a/src/gateway/piece_cache.rs
+++ b/src/gateway/piece_cache.rs
@@ -40,8 +40,8 @@
 /// Timeout of reading a piece that another entry has cached.
 const HELD_PIECE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Most entries that are asked for a cached piece after its primary holder or the
-/// origin failed: those that held it before entries joined or left.
+/// Largest number of entries from which a cached piece is requested after its primary
+/// holder or the origin failed: those that held it before entries joined or left.
 const MAX_FORMER_HOLDER_REQUESTS: usize = 3;
 
 /// Attempts at reading one piece from the origin.
@@ -59,7 +59,7 @@
 /// Interval at which unused versions are evicted.
 const EVICT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A piece that is read only once, also for concurrent requests.
+/// Cell of a piece that is read once, even if several requests wait for it.
 type PieceCell = Rc<OnceCell<Rc<Vec<u8>>>>;
 
 /// The cached pieces of one version of weights.
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -25,12 +25,19 @@
 /// The replica that a request is sent to, with what the choice was based on.
 #[derive(Debug)]
 pub(super) struct ChosenReplica {
+    /// Key in the table of replicas.
     pub(super) key: ReplicaKey,
+    /// Identifier that the replica must confirm.
     pub(super) id: String,
+    /// Address for requests.
     pub(super) address: SocketAddr,
+    /// Predicted time to the first event or the response, in ms.
     pub(super) predicted_ms: f64,
+    /// Only version of the weights that may serve the request; None for any.
     pub(super) weights_version: Option<u64>,
+    /// Age of the last load report, in ms; None without a recent one.
     pub(super) load_age_ms: Option<u64>,
+    /// Time within which the replica must begin the request, in ms; None for no limit.
     pub(super) begin_within_ms: Option<u64>,
 }
 
@@ -74,7 +81,8 @@
 
 impl<D: Dialect> Gateway<D> {
     /// Chooses a replica; the error is the cause of a refusal and the time after which
-    /// the client should retry, in ms.
+    /// the client should retry, in ms. `has_begun` states whether a part of the response
+    /// was sent to the client.
     pub(super) fn choose_replica(
         &self,
         request: &RoutedRequest,
--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -33,7 +33,7 @@
     pub model: Option<String>,
     /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens that the response may have.
+    /// Largest number of tokens that the response may have.
     pub max_answer_tokens: u32,
     /// Id of the last event that the client received of a stream it resumes.
     pub last_event_id: Option<u64>,
@@ -113,8 +113,8 @@
 impl fmt::Display for SourceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreachable(reason) => write!(f, "the store did not answer: {reason}"),
-            Self::Refused(status) => write!(f, "the store refused with status {status}"),
+            Self::Unreachable(reason) => write!(f, "the call to the store failed: {reason}"),
+            Self::Refused(status) => write!(f, "the store refused the call with status {status}"),
         }
     }
 }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -40,7 +40,8 @@
 /// learn of it and connect to other entries.
 pub const STOP_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time before the kill at which the process exits, also if requests are still active.
+/// Time before the end of the grace period, when the platform kills the process, at which
+/// it exits even if requests are still active.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// Interval at which a stopping process checks whether requests are still active.
@@ -162,7 +163,8 @@
     }
 }
 
-/// Drains the active requests, and returns when there are none or before the kill.
+/// Drains the active requests; returns when there are none, or [`KILL_MARGIN`] before the
+/// end of the grace period.
 async fn drain_and_stop(state: &RefCell<GatewayState>, grace: Duration) {
     let began = Instant::now();
     LogLine::new(Event::ProcessStopping)
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -9,7 +9,7 @@
 use crate::http1::Connection;
 use crate::http1::ResponseHead;
 
-/// Interval at which the observer of a silent stream is asked whether its replica has
+/// Interval at which the observer of a silent stream is queried whether its replica has
 /// failed.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
@@ -28,7 +28,7 @@
 
 /// Observer of the part of a stream that one replica sends.
 pub trait StreamObserver {
-    /// Called when events were sent to the client; only the first call has an effect.
+    /// Records that events were sent to the client; only the first call has an effect.
     fn record_events_sent(&self);
     /// Whether a replica that has been silent for that long counts as failed.
     fn has_replica_failed(&self, silence: Duration) -> bool;
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -19,7 +19,7 @@
     pub internal: SocketAddr,
     /// Further address for internal calls and metrics.
     pub metrics: SocketAddr,
-    /// Time between a stop signal and the kill, in ms.
+    /// Grace period: time from a stop signal until the platform kills the process, in ms.
     pub grace_ms: u64,
     /// Time for which clients may cache a response of the directory, in s.
     pub directory_ttl_s: u64,
@@ -29,11 +29,11 @@
     pub extra_retries: f64,
     /// Window of the retry budget, in ms.
     pub retry_window_ms: u64,
-    /// Time after its declaration within which every response must come from a new
-    /// version of weights, in ms.
+    /// Time after the declaration of a version of weights within which it must serve
+    /// every request, in ms.
     pub weights_apply_ms: u64,
     /// Bandwidth of the host's link, in Mbit/s.
     pub link_mbps: f64,
-    /// Most connections of clients that may be open at once.
+    /// Largest number of connections of clients that may be open at once.
     pub max_client_connections: usize,
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -27,7 +27,7 @@
 /// Time for which a request remains suspected after a crash, in ms.
 const SUSPECT_WINDOW_MS: u64 = 120_000;
 
-/// Most pairs of a suspected request and a crash that are kept.
+/// Largest number of pairs of a suspected request and a crash that are kept.
 const MAX_SUSPECTS: usize = 64;
 
 /// Longest time between a broken connection and a failed connection attempt that
@@ -38,16 +38,16 @@
 /// time left counts as a retry.
 const DEADLINE_SPREAD: f64 = 0.17;
 
-/// Time before the bound on new weights from which requests are sent only to
-/// replicas that have them, in ms. A request may wait at a replica, and this process
-/// learns of a declaration late.
+/// Time before the deadline of new weights, `weights_apply_ms` after their declaration,
+/// from which requests are sent only to replicas that have them, in ms. A request may
+/// wait at a replica, and this process learns of a declaration late.
 const WEIGHTS_REQUIRED_MARGIN_MS: u64 = 1_300;
 
-/// Time before the bound at which a request that still waits at an engine with old
+/// Time before that deadline at which a request that still waits at an engine with old
 /// weights is cancelled, in ms. This process learns of a declaration late.
 const WEIGHTS_CANCEL_MARGIN_MS: u64 = 400;
 
-/// Time before the bound from which engines without the new weights get only
+/// Time before that deadline from which engines without the new weights get only
 /// requests that can begin at once, in ms: `WEIGHTS_REQUIRED_MARGIN_MS` and the
 /// longest wait at an engine.
 const WEIGHTS_UPCOMING_MARGIN_MS: u64 = 3_000;
@@ -60,7 +60,7 @@
 /// declarations before it is ready, in ms: two heartbeats of the other entries.
 const DECLARATION_AGE_WAIT_MS: u64 = 600;
 
-/// Most broken connections that are kept.
+/// Largest number of broken connections that are kept.
 const MAX_BROKEN_CONNECTIONS: usize = 256;
 
 /// A request whose connection to a replica broke, kept in case the replica crashed.
@@ -405,7 +405,7 @@
         self.version_due_in(model, WEIGHTS_UPCOMING_MARGIN_MS)
     }
 
-    /// Newest version of `model` whose bound ends within `ahead_ms`, or has ended.
+    /// Newest version of `model` whose deadline is within `ahead_ms`, or has passed.
     fn version_due_in(&self, model: &str, ahead_ms: u64) -> Option<u64> {
         let now_ms = self.now_ms() as i64;
         let due_ms = self.settings.weights_apply_ms.saturating_sub(ahead_ms) as i64;
--- a/src/gateway/topic_records.rs
+++ b/src/gateway/topic_records.rs
@@ -178,6 +178,7 @@
         }
     }
 
+    /// Marks a replica as removed, and logs it if it was listed.
     fn remove_replica(&mut self, id: &str) {
         if self.replicas.remove(id) {
             LogLine::new(Event::ReplicaGone).text("replica", id).write();
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -221,8 +221,8 @@
 }
 
 /// Guards against a stale replica: an entry that started after the replica's record
-/// was dropped has no trace of it, so its reply must be a listing, which makes the
-/// receiver drop the record.
+/// was deleted does not know of the deletion, so its reply must be a listing, which makes
+/// the receiver delete the record.
 #[test]
 fn records_reply_deletion_before_listing() {
     let mut fresh = TopicTable::default();
