--- a/src/staging/next_load.rs
+++ b/src/staging/next_load.rs
@@ -7,11 +7,12 @@
 /// Time without a new piece after which a download counts as stalled, in ms.
 const STALL_MS: i64 = 900;
 
-/// Time before the deadline of a version from which entries send no requests to
-/// engines that have not loaded it, in ms.
+/// Time before the deadline of a version, `apply_ms` after its declaration, from which
+/// entries send no requests to engines that have not loaded it, in ms. The version is
+/// due at this time.
 const APPLY_MARGIN_MS: i64 = 1_300;
 
-/// Time before that moment at which the last engine gets its load order, in ms.
+/// Time before a version is due at which the last engine gets its load order, in ms.
 const ORDER_MARGIN_MS: i64 = 300;
 
 /// Minimum age of the newest declaration for an empty engine to start with it,
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -37,15 +37,16 @@
 /// Interval at which buffered log lines are passed to the log writer.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Interval of have messages while any host lacks pieces.
+/// Interval of have messages, which list the pieces that a host holds, while any host
+/// lacks pieces.
 const HAVE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Interval of have messages while entries serve the pieces: only a host that can
 /// reach no entry needs them then.
 const BACKUP_HAVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Number of hosts for each multiple of the interval, so that the rate of have
-/// messages that a host sends stays bounded.
+/// The interval of have messages is multiplied by the number of hosts divided by this,
+/// rounded up, so that the rate of messages that a host sends stays bounded.
 const HOSTS_PER_HAVE_INTERVAL: u32 = 20;
 
 /// Time without a heartbeat of any entry after which the store is read, in ms.
