--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -8,7 +8,7 @@
 /// Virtual time that one token adds to a branch of weight 1.
 const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
 
-/// Shortest time after which a refused caller should retry.
+/// Shortest time after which a refused caller should retry, in ms.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
 /// The latest request has a weight of one divided by this in the moving averages.
@@ -37,7 +37,7 @@
     pub branch: BranchKey,
     /// Tokens that the request is expected to cost.
     pub cost_tokens: u64,
-    /// Time by which the answer must be complete.
+    /// Monotonic time by which the answer must be complete, in ms.
     pub deadline_ms: u64,
     /// The caller's value for the request.
     pub item: T,
@@ -50,8 +50,11 @@
     Queued,
     /// The request is refused; the refusal is final.
     Refused {
+        /// The caller's value for the request.
         item: T,
+        /// Why the request is refused.
         reason: QueueRefusal,
+        /// Time after which the caller should retry, in ms.
         retry_after_ms: u64,
     },
 }
@@ -65,7 +68,7 @@
     pub cost_tokens: u64,
     /// Tokens that the request used.
     pub used_tokens: u64,
-    /// Time for which it held a slot; `None` when it ended early, so that its usage is
+    /// Time for which it held a slot, in ms; `None` when it ended early, so that its usage is
     /// left out of the averages.
     pub held_ms: Option<u64>,
 }
@@ -78,8 +81,11 @@
     /// The request can't be complete by its deadline; it holds no slot and the refusal is
     /// final.
     Expired {
+        /// The request, which was removed from the queue.
         request: QueuedRequest<T>,
+        /// Why the request is refused.
         reason: QueueRefusal,
+        /// Time after which the caller should retry, in ms.
         retry_after_ms: u64,
     },
     /// No request can run now.
--- a/src/contracts/mod.rs
+++ b/src/contracts/mod.rs
@@ -1,5 +1,5 @@
-//! The shares that branches have of an endpoint's slots, and the fair queue that enforces
-//! them.
+//! The contracts of branches and the fair queue that enforces them. By its contract, a
+//! branch has a guaranteed share of an endpoint's slots, a weight and a burst limit.
 
 mod branch_key;
 mod branch_share;
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -6,8 +6,9 @@
 /// rest is a reserve for errors of the prediction.
 const MAX_TARGET_SHARE: f64 = 0.9;
 
-/// Share of an engine's slots up to which it takes late requests; the other slots are
-/// kept for requests that can still meet their target.
+/// Share of an engine's slots up to which it takes late requests, which have missed their
+/// target or are retried after a refusal; the other slots are kept for requests that can
+/// still meet their target.
 const MAX_LATE_SLOT_SHARE: f64 = 0.8;
 
 /// Predicted time subtracted for a replica in the same failure domain, in ms.
--- a/src/fleet/catalog.rs
+++ b/src/fleet/catalog.rs
@@ -79,7 +79,8 @@
     pub mean_prompt_tokens: f64,
     /// Mean number of tokens of an answer.
     pub mean_answer_tokens: f64,
-    /// Number of chunks of one version of the weights.
+    /// Number of chunks of one version of the weights; `gateway` and `staging` call them
+    /// pieces.
     pub chunks: u32,
     /// Size of one chunk, in bytes.
     pub chunk_bytes: u32,
--- a/src/gateway/request_outcome.rs
+++ b/src/gateway/request_outcome.rs
@@ -20,8 +20,11 @@
 /// was not completed.
 #[derive(Debug)]
 pub(super) struct RequestOutcome<'a> {
+    /// HTTP status of the response.
     pub(super) status: u16,
+    /// Label of the cause in the log line.
     pub(super) cause: &'a str,
+    /// Time after which the client should retry, in ms.
     pub(super) retry_after_ms: Option<u64>,
 }
 
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -145,14 +145,14 @@
     loop {
         let must_read = {
             let state = state.borrow();
-            let is_known = TOPICS
+            let has_listings = TOPICS
                 .iter()
                 .all(|topic| state.topic_table(*topic).has_listing());
             let now_ms = state.now_ms();
             let is_without_entries = state.last_heartbeat_ms().is_none_or(|last_received_ms| {
                 now_ms.saturating_sub(last_received_ms) >= ENTRIES_TIMEOUT_MS
             });
-            !is_known || is_without_entries
+            !has_listings || is_without_entries
         };
         if must_read {
             for topic in TOPICS {
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -41,7 +41,7 @@
 const ENTRY_TIMEOUT_MS: u64 = 1_600;
 
 /// Time for which the report of another host on its pieces is kept, in ms.
-const PEER_PIECES_KEPT_MS: u64 = 10_000;
+const PEER_PIECES_RETENTION_MS: u64 = 10_000;
 
 /// An entry that sent a heartbeat.
 #[derive(Debug)]
@@ -337,8 +337,9 @@
                 && known.version == reported.version
         };
         let now_ms = self.now_ms();
-        self.peer_pieces
-            .retain(|known| now_ms.saturating_sub(known.last_received_ms) < PEER_PIECES_KEPT_MS);
+        self.peer_pieces.retain(|known| {
+            now_ms.saturating_sub(known.last_received_ms) < PEER_PIECES_RETENTION_MS
+        });
         match self.peer_pieces.iter_mut().find(is_same) {
             Some(known) => *known = reported,
             None => self.peer_pieces.push(reported),
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -162,8 +162,8 @@
             .peers
             .record_heartbeat(heartbeat(format!("entry-{index}")), now_ms);
     }
-    let lost = SourceError::Refused(503);
-    state.record_store_result(Topic::Replicas, Some(&lost));
+    let error = SourceError::Refused(503);
+    state.record_store_result(Topic::Replicas, Some(&error));
     state.handle_records(
         Topic::Replicas,
         vec![record(1, Some("127.0.0.1:9"))],
@@ -182,8 +182,8 @@
 async fn handle_records_expired_record_while_store_is_unavailable() {
     let state = state_with_one_replica();
     let mut state = state.borrow_mut();
-    let lost = SourceError::Refused(503);
-    state.record_store_result(Topic::Replicas, Some(&lost));
+    let error = SourceError::Refused(503);
+    state.record_store_result(Topic::Replicas, Some(&error));
     state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &AddressDecoder);
     assert_eq!(replica_count(&state), 1);
 }
