--- a/src/contracts/fair_queue.rs
+++ b/src/contracts/fair_queue.rs
@@ -8,16 +8,16 @@
 /// Virtual time that one token adds to a branch of weight 1.
 const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
 
-/// Shortest time after which a refused caller should retry.
+/// Shortest time after which a refused caller should retry, in ms.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// Divisor that gives the weight of the latest request in the moving averages.
+/// The latest request has a weight of one divided by this in the moving averages.
 const SMOOTHING_DIVISOR: u64 = 16;
 
 /// Factor on the estimated wait, in percent, so that few requests expire while they wait.
 const WAIT_MARGIN_PERCENT: u64 = 200;
 
-/// Bounds of a fair queue.
+/// Limits of a fair queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
     /// Requests that run concurrently.
@@ -37,7 +37,7 @@
     pub branch: BranchKey,
     /// Tokens that the request is expected to cost.
     pub cost_tokens: u64,
-    /// Time by which the answer must be complete.
+    /// Monotonic time by which the answer must be complete, in ms.
     pub deadline_ms: u64,
     /// The caller's value for the request.
     pub item: T,
@@ -50,13 +50,16 @@
     Queued,
     /// The request is refused; the refusal is final.
     Refused {
+        /// The caller's value for the request.
         item: T,
+        /// Why the request is refused.
         reason: QueueRefusal,
+        /// Time after which the caller should retry, in ms.
         retry_after_ms: u64,
     },
 }
 
-/// Usage of a request that ran, for [`FairQueue::finish`].
+/// Estimated and actual usage of a request that ran, for [`FairQueue::finish`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinishedRequest {
     /// Branch the request belongs to.
@@ -65,7 +68,7 @@
     pub cost_tokens: u64,
     /// Tokens that the request used.
     pub used_tokens: u64,
-    /// Time for which it held a slot; `None` when it ended early, so that its usage is
+    /// Time for which it held a slot, in ms; `None` when it ended early, so that its usage is
     /// left out of the averages.
     pub held_ms: Option<u64>,
 }
@@ -78,8 +81,11 @@
     /// The request can't be complete by its deadline; it holds no slot and the refusal is
     /// final.
     Expired {
+        /// The request, which was removed from the queue.
         request: QueuedRequest<T>,
+        /// Why the request is refused.
         reason: QueueRefusal,
+        /// Time after which the caller should retry, in ms.
         retry_after_ms: u64,
     },
     /// No request can run now.
@@ -94,9 +100,9 @@
 /// reset to the same value: a branch may use the idle shares of others without being
 /// charged for them later, and the others get their shares back at once. A branch that
 /// starts to wait again is ahead of the waiting ones by at most the virtual time in which
-/// the slots are used once. The cost of a request is its estimate times the part of the
-/// estimates that earlier requests used; it is charged when the request starts and not
-/// corrected afterwards.
+/// as many requests start as there are slots. The cost of a request is its estimate times
+/// the part of the estimates that earlier requests used; it is charged when the request
+/// starts and not corrected afterwards.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limits: QueueLimits,
@@ -131,9 +137,9 @@
 }
 
 impl UsageRatio {
-    fn update(&mut self, work: &FinishedRequest) {
-        let used_tokens = work.used_tokens.min(work.cost_tokens);
-        let latest = used_tokens * 1000 / work.cost_tokens.max(1);
+    fn update(&mut self, finished: &FinishedRequest) {
+        let used_tokens = finished.used_tokens.min(finished.cost_tokens);
+        let latest = used_tokens * 1000 / finished.cost_tokens.max(1);
         let average = |known| (known * (SMOOTHING_DIVISOR - 1) + latest) / SMOOTHING_DIVISOR;
         self.permille = Some(self.permille.map_or(latest, average));
     }
@@ -192,7 +198,7 @@
             Err(at) => {
                 let key = BranchKey(self.queues.len() as u32);
                 self.queues.push(BranchQueue {
-                    share: BranchShare::without_contract(name),
+                    share: BranchShare::unconfigured(name),
                     virtual_time: 0,
                     waiting: VecDeque::new(),
                     waiting_tokens: 0,
@@ -209,11 +215,11 @@
     pub fn push(&mut self, request: QueuedRequest<T>, now_ms: u64) -> PushOutcome<T> {
         let wait_ms = self.estimated_wait_ms(request.branch);
         let service_ms = self.estimated_service_ms(request.cost_tokens);
-        let ready_ms = now_ms + wait_ms * WAIT_MARGIN_PERCENT / 100 + service_ms;
+        let complete_ms = now_ms + wait_ms * WAIT_MARGIN_PERCENT / 100 + service_ms;
         let queue = &self.queues[request.branch.index()];
         let reason = if request.deadline_ms <= now_ms {
             QueueRefusal::DeadlinePassed
-        } else if ready_ms > request.deadline_ms {
+        } else if complete_ms > request.deadline_ms {
             QueueRefusal::DeadlineTooNear
         } else if queue.waiting.len() >= self.limits.max_waiting_per_branch {
             QueueRefusal::BranchQueueFull
@@ -230,7 +236,8 @@
         }
     }
 
-    /// Removes the next request to run, or one that can't meet its deadline any more.
+    /// Removes and returns a request that can't meet its deadline any more, or else the
+    /// next one to run.
     pub fn pop(&mut self, now_ms: u64) -> PopOutcome<T> {
         if let Some(request) = self.take_expired(now_ms) {
             return self.expire(request, now_ms);
@@ -261,19 +268,19 @@
     }
 
     /// Frees the slot of a request and updates the averages with its usage.
-    pub fn finish(&mut self, work: FinishedRequest) {
-        let queue = &mut self.queues[work.branch.index()];
+    pub fn finish(&mut self, finished: FinishedRequest) {
+        let queue = &mut self.queues[finished.branch.index()];
         queue.running -= 1;
         self.running -= 1;
-        if let Some(held_ms) = work.held_ms {
-            queue.usage.update(&work);
-            self.usage.update(&work);
+        if let Some(held_ms) = finished.held_ms {
+            queue.usage.update(&finished);
+            self.usage.update(&finished);
             self.wait_estimator
-                .record_finished(work.cost_tokens, held_ms);
+                .record_finished(finished.cost_tokens, held_ms);
         }
     }
 
-    /// Removes the waiting requests that match, such as those whose caller has left.
+    /// Removes the waiting requests that match, such as those whose caller disconnected.
     pub fn withdraw_matching(&mut self, matches: impl Fn(&T) -> bool) -> Vec<QueuedRequest<T>> {
         let mut withdrawn = Vec::new();
         for index in 0..self.queues.len() {
@@ -335,7 +342,8 @@
     }
 
     /// Appends a request to the queue of its branch. A branch that starts to wait gets a
-    /// virtual time that is not too far behind those of the waiting branches.
+    /// virtual time at most one [`Self::slot_cycle_time`] below the smallest of the waiting
+    /// branches.
     fn enqueue(&mut self, request: QueuedRequest<T>) {
         if self.waiting == 0 {
             self.reset_virtual_times();
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -6,7 +6,7 @@
 use crate::gateway::Dialect;
 use crate::gateway::ResponseFacts;
 use crate::gateway::SendFacts;
-use crate::gateway::admitted_request::AdmittedRequest;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::http1::BodyDecoder;
 use crate::http1::Connection;
 use crate::http1::Headers;
@@ -68,7 +68,7 @@
     NotRun,
     /// Another replica than the expected one uses the address; the request did not
     /// run.
-    Misplaced,
+    WrongReplica,
     /// The replica has another version of the weights than the expected one; the
     /// request did not run.
     OtherWeights,
@@ -87,7 +87,7 @@
 /// response can't be taken for the response to another request.
 pub async fn send_to_replica(
     dialect: &impl Dialect,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     address: SocketAddr,
     facts: &SendFacts<'_>,
     head_deadline: Instant,
@@ -138,7 +138,7 @@
 fn reject_response(
     response: &ResponseFacts,
     head: &ResponseHead,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     facts: &SendFacts<'_>,
 ) -> Option<SendOutcome> {
     let is_other_attempt = response
@@ -153,10 +153,10 @@
         return Some(if is_expected_replica {
             SendOutcome::OtherWeights
         } else {
-            SendOutcome::Misplaced
+            SendOutcome::WrongReplica
         });
     }
-    if response.is_not_run && head.status >= 400 {
+    if response.was_not_run && head.status >= 400 {
         return Some(SendOutcome::NotRun);
     }
     if !response.is_signed {
@@ -187,7 +187,7 @@
 /// Encodes the request with the headers for the replica.
 fn request_bytes(
     dialect: &impl Dialect,
-    request: &AdmittedRequest,
+    request: &RoutedRequest,
     facts: &SendFacts<'_>,
 ) -> Vec<u8> {
     let head = &request.head;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -9,7 +9,6 @@
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
 use crate::gateway::SendFacts;
-use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::exchange;
 use crate::gateway::exchange::ReplicaResponse;
 use crate::gateway::exchange::SendOutcome;
@@ -17,6 +16,7 @@
 use crate::gateway::relay::StreamEnd;
 use crate::gateway::relay::StreamRelay;
 use crate::gateway::request_outcome::RequestOutcome;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::http1::Connection;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -68,7 +68,8 @@
 
 /// Results of the sends of one request so far.
 #[derive(Debug, Default)]
-pub(super) struct SendHistory {
+pub(super) struct AttemptHistory {
+    /// Number of connections to replicas that could not be opened.
     failed_connections: u32,
     /// Whether a replica may have run the request.
     pub(super) may_have_run: bool,
@@ -85,10 +86,10 @@
     pub async fn forward(
         &self,
         client: &mut Connection,
-        mut request: AdmittedRequest,
+        mut request: RoutedRequest,
     ) -> ConnectionReuse {
         let mut relay = StreamRelay::new(request.facts.last_event_id, request.deadline);
-        let mut history = SendHistory::default();
+        let mut history = AttemptHistory::default();
         if self.is_refused_as_suspect(&request) {
             let outcome = RequestOutcome {
                 status: 503,
@@ -153,7 +154,7 @@
     }
 
     /// Whether the request is refused because it is suspected of several crashes.
-    fn is_refused_as_suspect(&self, request: &AdmittedRequest) -> bool {
+    fn is_refused_as_suspect(&self, request: &RoutedRequest) -> bool {
         let state = self.state.borrow();
         state
             .suspects
@@ -166,7 +167,7 @@
     async fn send(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         relay: &StreamRelay,
         chosen: &ChosenReplica,
     ) -> Option<SendOutcome> {
@@ -207,20 +208,20 @@
     }
 
     /// Whether the retry budget of the request's service allows one more send.
-    fn has_retry_budget(&self, request: &AdmittedRequest) -> bool {
+    fn has_retry_budget(&self, request: &RoutedRequest) -> bool {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.retry_budget(&request.service).can_resend(now_ms)
+        state.retry_budget(&request.service).can_retry(now_ms)
     }
 
     /// Records the outcome of a send; returns a response or stream that is to be sent
     /// to the client, or None after a failed attempt.
     fn record_outcome(
         &self,
-        request: &mut AdmittedRequest,
+        request: &mut RoutedRequest,
         chosen: &ChosenReplica,
         send_outcome: SendOutcome,
-        history: &mut SendHistory,
+        history: &mut AttemptHistory,
     ) -> Option<SendOutcome> {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
@@ -242,7 +243,7 @@
                 state.replicas.record_refusal(chosen.key, now_ms);
                 "other_weights"
             }
-            SendOutcome::Misplaced => {
+            SendOutcome::WrongReplica => {
                 request.sends += 1;
                 state.replicas.record_wrong_replica(chosen.key, now_ms);
                 "misplaced"
@@ -288,9 +289,9 @@
         None
     }
 
-    /// Whether one more send is allowed; a send that may repeat work is taken out of
-    /// the retry budget.
-    fn try_take_retry(&self, request: &AdmittedRequest, history: &SendHistory) -> bool {
+    /// Whether one more send is allowed. It is taken out of the retry budget, except
+    /// after a connection that could not be opened.
+    fn try_take_retry(&self, request: &RoutedRequest, history: &AttemptHistory) -> bool {
         if request.left_ms() == 0 {
             return false;
         }
@@ -306,7 +307,7 @@
         let entries = state.entry_count();
         let budget = state.retry_budget(&request.service);
         budget.set_entry_count(entries, now_ms);
-        let allowed = budget.try_resend(now_ms);
+        let allowed = budget.try_retry(now_ms);
         if allowed {
             self.metrics.record_retry(history.last_cause);
         }
@@ -317,11 +318,11 @@
     /// resume the stream.
     fn finish_stream(
         &self,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         chosen: &ChosenReplica,
         relay: &StreamRelay,
         end: StreamEnd,
-        history: &mut SendHistory,
+        history: &mut AttemptHistory,
     ) -> Option<ConnectionReuse> {
         let now_ms = self.state.borrow().now_ms();
         match end {
@@ -376,7 +377,7 @@
 }
 
 /// Logs a send that failed or that the replica refused.
-fn log_failed_attempt(request: &AdmittedRequest, chosen: &ChosenReplica, cause: &str) {
+fn log_failed_attempt(request: &RoutedRequest, chosen: &ChosenReplica, cause: &str) {
     LogLine::new(Event::AttemptFailed)
         .text("id", &request.facts.attempt_id)
         .text("replica", &chosen.id)
--- a/src/gateway/heartbeats.rs
+++ b/src/gateway/heartbeats.rs
@@ -29,11 +29,11 @@
 /// Largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 
-/// Most crash suspects sent in one heartbeat, so that it fits a datagram.
+/// Largest number of crash suspects in one heartbeat, so that it fits a datagram.
 const MAX_SENT_SUSPECTS: usize = 16;
 
-/// The pieces of a version of weights that a host holds, as it reports them to
-/// other hosts.
+/// Have message: the pieces of a version of weights that a host holds, as it reports
+/// them to other hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeldPieces {
     /// Address of the host's endpoint process.
@@ -121,12 +121,12 @@
 fn entry_targets(state: &GatewayState) -> Vec<SocketAddr> {
     let own = state.settings.internal;
     let registered = state
-        .ledger(Topic::Members)
+        .topic_table(Topic::Members)
         .records_since(0)
         .filter_map(|record| {
             rmp_serde::from_slice::<EntryRegistration>(record.value.as_deref()?).ok()
         })
-        .map(|member| member.internal);
+        .map(|registration| registration.internal);
     let received = state.peers.all_entries().map(|peer| peer.internal);
     registered
         .chain(received)
@@ -243,7 +243,7 @@
     }
     for topic in Topic::ALL {
         let is_behind = ends[topic as usize] > own_end_offsets[topic as usize]
-            && (is_same_domain || current.is_outdated(topic));
+            && (is_same_domain || current.fetches_across_domains(topic));
         if is_behind && current.try_begin_fetch(topic) {
             let state = state.clone();
             let decoder = decoder.clone();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -6,7 +6,6 @@
 //! names and record formats of the platform are behind the traits in `ports`,
 //! which an adapter implements.
 
-mod admitted_request;
 mod client_listener;
 mod event_splitter;
 mod exchange;
@@ -25,6 +24,7 @@
 mod relay;
 mod reload;
 mod request_outcome;
+mod routed_request;
 mod settings;
 mod state;
 mod topic_records;
@@ -53,7 +53,7 @@
 pub use ports::SendFacts;
 pub use ports::SourceError;
 pub use ports::TopicRead;
-pub use process::run;
+pub use process::run_entry_process;
 pub use records_reply::RecordsReply;
 pub use records_reply::RecordsReplyError;
 pub use reload::wait_for_changed_settings;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -9,9 +9,9 @@
 use crate::fleet::admit_request;
 use crate::gateway::Dialect;
 use crate::gateway::GatewayState;
-use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::forward::Gateway;
 use crate::gateway::relay::StreamObserver;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::observe::Event;
 use crate::observe::LogLine;
 
@@ -25,12 +25,19 @@
 /// The replica that a request is sent to, with what the choice was based on.
 #[derive(Debug)]
 pub(super) struct ChosenReplica {
+    /// Key in the table of replicas.
     pub(super) key: ReplicaKey,
+    /// Identifier that the replica must confirm.
     pub(super) id: String,
+    /// Address for requests.
     pub(super) address: SocketAddr,
+    /// Predicted time to the first event or the response, in ms.
     pub(super) predicted_ms: f64,
+    /// Only version of the weights that may serve the request; None for any.
     pub(super) weights_version: Option<u64>,
+    /// Age of the last load report, in ms; None without a recent one.
     pub(super) load_age_ms: Option<u64>,
+    /// Time within which the replica must begin the request, in ms; None for no limit.
     pub(super) begin_within_ms: Option<u64>,
 }
 
@@ -38,16 +45,16 @@
 pub(super) struct InFlightGuard<'a> {
     state: &'a RefCell<GatewayState>,
     key: ReplicaKey,
-    ticket: u64,
+    send_id: u64,
 }
 
 impl StreamObserver for InFlightGuard<'_> {
-    fn first_event(&self) {
+    fn record_events_sent(&self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
         state
             .replicas
-            .record_answer_start(self.key, self.ticket, now_ms);
+            .record_answer_start(self.key, self.send_id, now_ms);
     }
 
     fn has_replica_failed(&self, silence: Duration) -> bool {
@@ -68,16 +75,17 @@
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        state.replicas.record_end(self.key, self.ticket, now_ms);
+        state.replicas.record_end(self.key, self.send_id, now_ms);
     }
 }
 
 impl<D: Dialect> Gateway<D> {
     /// Chooses a replica; the error is the cause of a refusal and the time after which
-    /// the client should retry, in ms.
+    /// the client should retry, in ms. `has_begun` states whether a part of the response
+    /// was sent to the client.
     pub(super) fn choose_replica(
         &self,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         has_begun: bool,
     ) -> Result<ChosenReplica, (&'static str, u64)> {
         let mut state = self.state.borrow_mut();
@@ -85,7 +93,7 @@
         let now_ms = state.now_ms();
         let model = request.facts.model.as_deref();
         let required = model.and_then(|model| state.required_version(model));
-        let expected = model.and_then(|model| state.expected_version(model));
+        let upcoming = model.and_then(|model| state.upcoming_version(model));
         let service = request.catalog.service(&request.service);
         let mut usable: Vec<(ReplicaKey, &Replica)> = state
             .replicas
@@ -100,9 +108,9 @@
                     })
             })
             .collect();
-        if let (Some(model), Some(expected)) = (model, expected) {
+        if let (Some(model), Some(upcoming)) = (model, upcoming) {
             usable.retain(|(_, replica)| {
-                replica.weights_version(model, now_ms) >= expected
+                replica.weights_version(model, now_ms) >= upcoming
                     || replica.has_free_slots(0.0, now_ms)
             });
         }
@@ -113,11 +121,12 @@
             0 => usable.len().max(1),
             free_replicas => free_replicas,
         };
-        let others_per_ms = state.others_rate_per_ms(&request.service) / candidate_count as f64;
-        if let (Some(model), Some(expected)) = (model, expected) {
+        let peer_requests_per_replica_ms =
+            state.peer_requests_per_ms(&request.service) / candidate_count as f64;
+        if let (Some(model), Some(upcoming)) = (model, upcoming) {
             usable.retain(|(_, replica)| {
-                replica.weights_version(model, now_ms) >= expected
-                    || replica.has_free_slots(others_per_ms, now_ms)
+                replica.weights_version(model, now_ms) >= upcoming
+                    || replica.has_free_slots(peer_requests_per_replica_ms, now_ms)
             });
         }
         let admission = admit_request(&AdmissionInput {
@@ -126,7 +135,7 @@
             engine: service.and_then(|service| service.engine.as_ref()),
             failure_domain: &state.settings.failure_domain,
             entry_count: state.entry_count(),
-            peer_requests_per_ms: others_per_ms,
+            peer_requests_per_ms: peer_requests_per_replica_ms,
             prompt_tokens: request.facts.prompt_tokens,
             waited_ms: request.waited_ms(),
             was_refused_before: request.waited_before_ms > 0,
@@ -167,12 +176,12 @@
     /// Counts and logs a send to the chosen replica.
     pub(super) fn register_send<'a>(
         &'a self,
-        request: &mut AdmittedRequest,
+        request: &mut RoutedRequest,
         chosen: &ChosenReplica,
     ) -> InFlightGuard<'a> {
         let mut state = self.state.borrow_mut();
         let now_ms = state.now_ms();
-        let ticket = state
+        let send_id = state
             .replicas
             .record_send(chosen.key, chosen.predicted_ms, now_ms);
         if request.sends == 0 && request.tried_replicas.is_empty() {
@@ -193,7 +202,7 @@
         InFlightGuard {
             state: &self.state,
             key: chosen.key,
-            ticket,
+            send_id,
         }
     }
 }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -40,7 +40,8 @@
 /// learn of it and connect to other entries.
 pub const STOP_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time before the kill at which the process exits, also if requests are still active.
+/// Time before the end of the grace period, when the platform kills the process, at which
+/// it exits even if requests are still active.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// Interval at which a stopping process checks whether requests are still active.
@@ -54,7 +55,7 @@
 /// # Errors
 ///
 /// When an address can't be bound or a signal handler can't be installed.
-pub async fn run<S: RecordSource + 'static>(
+pub async fn run_entry_process<S: RecordSource + 'static>(
     settings: GatewaySettings,
     dialect: Rc<impl Dialect + 'static>,
     decoder: Rc<impl RecordDecoder + 'static>,
@@ -142,16 +143,19 @@
 
 /// Registers this entry in the store, so that the others can discover it.
 async fn register_entry(state: Rc<RefCell<GatewayState>>, mut source: impl RecordSource) {
-    let member = {
+    let registration = {
         let settings = &state.borrow().settings;
         EntryRegistration {
             name: settings.name.clone(),
             internal: settings.internal,
         }
     };
-    let value = rmp_serde::to_vec(&member).expect("a member holds only plain data");
+    let value = rmp_serde::to_vec(&registration).expect("a registration holds only plain data");
     loop {
-        match source.publish(Topic::Members, &member.name, &value).await {
+        match source
+            .publish(Topic::Members, &registration.name, &value)
+            .await
+        {
             Ok(()) => return,
             Err(error) => log::debug!("cannot register this entry: {error}"),
         }
@@ -159,7 +163,8 @@
     }
 }
 
-/// Drains the active requests, and returns when there are none or before the kill.
+/// Drains the active requests; returns when there are none, or [`KILL_MARGIN`] before the
+/// end of the grace period.
 async fn drain_and_stop(state: &RefCell<GatewayState>, grace: Duration) {
     let began = Instant::now();
     LogLine::new(Event::ProcessStopping)
--- a/src/gateway/request_outcome.rs
+++ b/src/gateway/request_outcome.rs
@@ -3,15 +3,15 @@
 use tokio::time::Instant;
 
 use crate::gateway::Dialect;
-use crate::gateway::admitted_request::AdmittedRequest;
 use crate::gateway::exchange::ReplicaResponse;
+use crate::gateway::forward::AttemptHistory;
 use crate::gateway::forward::ConnectionReuse;
 use crate::gateway::forward::Gateway;
-use crate::gateway::forward::SendHistory;
 use crate::gateway::local_response::local_response;
 use crate::gateway::local_response::outcome_label;
 use crate::gateway::relay::StreamRelay;
 use crate::gateway::relay::response_head;
+use crate::gateway::routed_request::RoutedRequest;
 use crate::http1::Connection;
 use crate::observe::Event;
 use crate::observe::LogLine;
@@ -20,8 +20,11 @@
 /// was not completed.
 #[derive(Debug)]
 pub(super) struct RequestOutcome<'a> {
+    /// HTTP status of the response.
     pub(super) status: u16,
+    /// Label of the cause in the log line.
     pub(super) cause: &'a str,
+    /// Time after which the client should retry, in ms.
     pub(super) retry_after_ms: Option<u64>,
 }
 
@@ -31,9 +34,9 @@
     pub(super) async fn end_attempts(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
+        request: &RoutedRequest,
         relay: &StreamRelay,
-        mut history: SendHistory,
+        mut history: AttemptHistory,
         cause: &'static str,
         retry_after_ms: u64,
     ) -> ConnectionReuse {
@@ -72,8 +75,8 @@
     /// shows the client that it is incomplete.
     pub(super) fn abort_stream(
         &self,
-        request: &AdmittedRequest,
-        history: &SendHistory,
+        request: &RoutedRequest,
+        history: &AttemptHistory,
         cause: &str,
     ) -> ConnectionReuse {
         let outcome = RequestOutcome {
@@ -88,8 +91,8 @@
     /// Ends a request whose client closed its connection.
     pub(super) fn client_disconnected(
         &self,
-        request: &AdmittedRequest,
-        history: &SendHistory,
+        request: &RoutedRequest,
+        history: &AttemptHistory,
     ) -> ConnectionReuse {
         let outcome = RequestOutcome {
             status: 0,
@@ -104,8 +107,8 @@
     pub(super) async fn send_replica_response(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
-        history: &SendHistory,
+        request: &RoutedRequest,
+        history: &AttemptHistory,
         response: ReplicaResponse,
     ) -> ConnectionReuse {
         let close = self.closes_connection(request);
@@ -131,8 +134,8 @@
     pub(super) async fn send_local_response(
         &self,
         client: &mut Connection,
-        request: &AdmittedRequest,
-        history: &SendHistory,
+        request: &RoutedRequest,
+        history: &AttemptHistory,
         outcome: RequestOutcome<'_>,
     ) -> ConnectionReuse {
         let close = self.closes_connection(request);
@@ -150,7 +153,7 @@
     }
 
     /// Whether the client's connection is closed after the response to `request`.
-    pub(super) fn closes_connection(&self, request: &AdmittedRequest) -> bool {
+    pub(super) fn closes_connection(&self, request: &RoutedRequest) -> bool {
         request.head.wants_close() || self.state.borrow().stopping_since.is_some()
     }
 
@@ -158,8 +161,8 @@
     /// event, in ms, and the number of events.
     pub(super) fn log_request_end(
         &self,
-        request: &AdmittedRequest,
-        history: &SendHistory,
+        request: &RoutedRequest,
+        history: &AttemptHistory,
         outcome: &RequestOutcome<'_>,
         stream: Option<(f64, u64)>,
     ) {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -27,7 +27,7 @@
 /// Time for which a request remains suspected after a crash, in ms.
 const SUSPECT_WINDOW_MS: u64 = 120_000;
 
-/// Most pairs of a suspected request and a crash that are kept.
+/// Largest number of pairs of a suspected request and a crash that are kept.
 const MAX_SUSPECTS: usize = 64;
 
 /// Longest time between a broken connection and a failed connection attempt that
@@ -38,19 +38,19 @@
 /// time left counts as a retry.
 const DEADLINE_SPREAD: f64 = 0.17;
 
-/// Time before the bound on new weights from which requests are sent only to
-/// replicas that have them, in ms. A request may wait at a replica, and this process
-/// learns of a declaration late.
+/// Time before the deadline of new weights, `weights_apply_ms` after their declaration,
+/// from which requests are sent only to replicas that have them, in ms. A request may
+/// wait at a replica, and this process learns of a declaration late.
 const WEIGHTS_REQUIRED_MARGIN_MS: u64 = 1_300;
 
-/// Time before the bound at which a request that still waits at an engine with old
+/// Time before that deadline at which a request that still waits at an engine with old
 /// weights is cancelled, in ms. This process learns of a declaration late.
 const WEIGHTS_CANCEL_MARGIN_MS: u64 = 400;
 
-/// Time before the bound from which engines without the new weights get only
+/// Time before that deadline from which engines without the new weights get only
 /// requests that can begin at once, in ms: `WEIGHTS_REQUIRED_MARGIN_MS` and the
 /// longest wait at an engine.
-const WEIGHTS_EXPECTED_MARGIN_MS: u64 = 3_000;
+const WEIGHTS_UPCOMING_MARGIN_MS: u64 = 3_000;
 
 /// Age of the replicas' records from which they are fetched also from entries of
 /// other failure domains, in ms.
@@ -60,7 +60,7 @@
 /// declarations before it is ready, in ms: two heartbeats of the other entries.
 const DECLARATION_AGE_WAIT_MS: u64 = 600;
 
-/// Most broken connections that are kept.
+/// Largest number of broken connections that are kept.
 const MAX_BROKEN_CONNECTIONS: usize = 256;
 
 /// A request whose connection to a replica broke, kept in case the replica crashed.
@@ -100,7 +100,7 @@
     /// Wakes the task that sends heartbeats.
     pub update_notice: Rc<Notify>,
     /// Newest records of each topic, in the order of `Topic::ALL`.
-    pub(super) ledgers: [TopicTable; 3],
+    pub(super) topic_tables: [TopicTable; 3],
     // Ascending by name of the service.
     pub(super) retry_budgets: Vec<(String, SharedRetryBudget)>,
     // Ascending by name of the service.
@@ -111,7 +111,7 @@
     pub(super) unavailable_topics: [bool; 3],
     /// Last time at which the store was found unavailable to this entry and to any
     /// that reads on its behalf.
-    pub(super) store_unreachable_ms: Option<u64>,
+    pub(super) store_unavailable_ms: Option<u64>,
     /// Ids of replicas that stay in use although their records expired.
     pub(super) expired_replicas: Vec<String>,
     broken_connections: Vec<BrokenConnection>,
@@ -140,12 +140,12 @@
             stop_notice: Rc::new(Notify::new()),
             weights_notice: Rc::new(Notify::new()),
             update_notice: Rc::new(Notify::new()),
-            ledgers: Default::default(),
+            topic_tables: Default::default(),
             retry_budgets: Vec::new(),
             request_rates: Vec::new(),
             longest_deadlines_ms: Vec::new(),
             unavailable_topics: [false; 3],
-            store_unreachable_ms: None,
+            store_unavailable_ms: None,
             expired_replicas: Vec::new(),
             broken_connections: Vec::new(),
             fetching: [false; 3],
@@ -176,13 +176,13 @@
     pub fn is_ready(&self) -> bool {
         self.stopping_since.is_none()
             && self.catalog.is_some()
-            && self.ledgers[Topic::Replicas as usize].has_listing()
+            && self.topic_tables[Topic::Replicas as usize].has_listing()
             && (self.weights.are_times_exact() || self.now_ms() >= DECLARATION_AGE_WAIT_MS)
     }
 
     /// Offsets after the last record of each topic, in the order of `Topic::ALL`.
     pub fn end_offsets(&self) -> [u64; 3] {
-        Topic::ALL.map(|topic| self.ledger(topic).end_offset())
+        Topic::ALL.map(|topic| self.topic_table(topic).end_offset())
     }
 
     /// Marks `topic` as being fetched from another process; false if it already is.
@@ -214,7 +214,7 @@
 
     /// Whether another entry of the failure domain reads the store on behalf of this
     /// one, and the heartbeats keep the replicas' records recent.
-    pub fn has_reader(&self) -> bool {
+    pub fn has_other_reader(&self) -> bool {
         let settings = &self.settings;
         let now_ms = self.now_ms();
         self.peers.has_other_reader(
@@ -227,7 +227,7 @@
 
     /// Whether `topic` is also fetched from entries of other failure domains: the
     /// replicas' records once they are old, the other topics always.
-    pub fn is_outdated(&self, topic: Topic) -> bool {
+    pub fn fetches_across_domains(&self, topic: Topic) -> bool {
         topic != Topic::Replicas || self.replicas_age_ms() >= REPLICAS_OUTDATED_MS
     }
 
@@ -270,7 +270,7 @@
                 let settings = &self.settings;
                 let budget = SharedRetryBudget::new(
                     settings.retry_ratio,
-                    settings.retry_extra,
+                    settings.extra_retries,
                     settings.retry_window_ms,
                 );
                 self.retry_budgets.insert(at, (service.to_owned(), budget));
@@ -284,7 +284,7 @@
     pub fn count_request(&mut self, service: &str) {
         let now_ms = self.now_ms();
         let request_rates = &mut self.request_rates;
-        let at = match request_rates.binary_search_by(|d| d.0.as_str().cmp(service)) {
+        let at = match request_rates.binary_search_by(|rate| rate.0.as_str().cmp(service)) {
             Ok(at) => at,
             Err(at) => {
                 request_rates.insert(at, (service.to_owned(), RateMeter::default()));
@@ -296,11 +296,11 @@
 
     /// Estimated rate of requests for `service` at all other entries, per ms: each is
     /// assumed to get as many as this one.
-    pub fn others_rate_per_ms(&self, service: &str) -> f64 {
+    pub fn peer_requests_per_ms(&self, service: &str) -> f64 {
         let others = f64::from(self.entry_count() - 1);
         match self
             .request_rates
-            .binary_search_by(|d| d.0.as_str().cmp(service))
+            .binary_search_by(|rate| rate.0.as_str().cmp(service))
         {
             Ok(at) => self.request_rates[at].1.events_per_ms(self.now_ms()) * others,
             Err(_) => 0.0,
@@ -319,7 +319,7 @@
     /// route that sends its first request.
     pub fn waited_before_ms(&mut self, route: &str, deadline_ms: u64) -> u64 {
         let longest = &mut self.longest_deadlines_ms;
-        let longest_ms = match longest.binary_search_by(|entry| entry.0.as_str().cmp(route)) {
+        let longest_ms = match longest.binary_search_by(|known| known.0.as_str().cmp(route)) {
             Ok(at) => {
                 longest[at].1 = longest[at].1.max(deadline_ms);
                 longest[at].1
@@ -338,7 +338,7 @@
     pub fn record_broken_connection(&mut self, fingerprint: Digest, replica: &str) {
         let now_ms = self.now_ms();
         self.broken_connections
-            .retain(|entry| now_ms.saturating_sub(entry.at_ms) < BROKEN_CONNECTION_WINDOW_MS);
+            .retain(|broken| now_ms.saturating_sub(broken.at_ms) < BROKEN_CONNECTION_WINDOW_MS);
         if self.broken_connections.len() >= MAX_BROKEN_CONNECTIONS {
             self.broken_connections.remove(0);
         }
@@ -360,24 +360,24 @@
     pub fn suspect_broken_connections(&mut self, replica: &str) {
         let now_ms = self.now_ms();
         let broken_connections = std::mem::take(&mut self.broken_connections);
-        for entry in broken_connections {
-            if now_ms.saturating_sub(entry.at_ms) >= BROKEN_CONNECTION_WINDOW_MS {
+        for broken in broken_connections {
+            if now_ms.saturating_sub(broken.at_ms) >= BROKEN_CONNECTION_WINDOW_MS {
                 continue;
             }
-            if entry.replica != replica {
-                self.broken_connections.push(entry);
+            if broken.replica != replica {
+                self.broken_connections.push(broken);
                 continue;
             }
             LogLine::new(Event::CrashSuspected)
                 .text("replica", replica)
-                .text("fingerprint", entry.fingerprint.to_string())
+                .text("fingerprint", broken.fingerprint.to_string())
                 .enqueue();
             let crash = CrashId {
-                endpoint: entry.replica,
-                incarnation: entry.incarnation,
+                endpoint: broken.replica,
+                incarnation: broken.incarnation,
                 crash_no: CrashId::PROCESS_CRASH,
             };
-            self.suspects.add_crash(entry.fingerprint, crash, now_ms);
+            self.suspects.add_crash(broken.fingerprint, crash, now_ms);
         }
     }
 
@@ -401,11 +401,11 @@
 
     /// Version of `model` that will soon be required: engines without it get only
     /// requests that can begin at once.
-    pub fn expected_version(&self, model: &str) -> Option<u64> {
-        self.version_due_in(model, WEIGHTS_EXPECTED_MARGIN_MS)
+    pub fn upcoming_version(&self, model: &str) -> Option<u64> {
+        self.version_due_in(model, WEIGHTS_UPCOMING_MARGIN_MS)
     }
 
-    /// Newest version of `model` whose bound ends within `ahead_ms`, or has ended.
+    /// Newest version of `model` whose deadline is within `ahead_ms`, or has passed.
     fn version_due_in(&self, model: &str, ahead_ms: u64) -> Option<u64> {
         let now_ms = self.now_ms() as i64;
         let due_ms = self.settings.weights_apply_ms.saturating_sub(ahead_ms) as i64;
--- a/src/staging/process.rs
+++ b/src/staging/process.rs
@@ -37,15 +37,16 @@
 /// Interval at which buffered log lines are passed to the log writer.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Interval of have messages while any host lacks pieces.
+/// Interval of have messages, which list the pieces that a host holds, while any host
+/// lacks pieces.
 const HAVE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Interval of have messages while entries serve the pieces: only a host that can
 /// reach no entry needs them then.
 const BACKUP_HAVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Number of hosts for each multiple of the interval, so that the rate of have
-/// messages that a host sends stays bounded.
+/// The interval of have messages is multiplied by the number of hosts divided by this,
+/// rounded up, so that the rate of messages that a host sends stays bounded.
 const HOSTS_PER_HAVE_INTERVAL: u32 = 20;
 
 /// Time without a heartbeat of any entry after which the store is read, in ms.
@@ -79,11 +80,11 @@
     engine: impl EnginePort,
     origin: impl OriginPort,
     decoder: Rc<impl RecordDecoder + 'static>,
-    source: impl Fn() -> S,
+    new_source: impl Fn() -> S,
     mut changed: impl FnMut() -> Option<StagingSettings>,
 ) -> io::Result<()> {
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
-    let mut hangup = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())?;
+    let mut hang_up = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())?;
     let metrics = Rc::new(Metrics::new());
     let state = StagingState::new(settings.clone());
     for address in [settings.internal, settings.metrics] {
@@ -97,7 +98,7 @@
     let socket = Rc::new(UdpSocket::bind(settings.internal).await?);
     actix_rt::spawn(read_store_without_entries(
         state.clone(),
-        source(),
+        new_source(),
         decoder.clone(),
     ));
     actix_rt::spawn(receive_datagrams(state.clone(), socket.clone(), decoder));
@@ -117,7 +118,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            reloaded = wait_for_changed_settings(&mut hangup, &mut changed) => {
+            reloaded = wait_for_changed_settings(&mut hang_up, &mut changed) => {
                 state.borrow_mut().settings.weights_apply_ms = reloaded.weights_apply_ms;
                 LogLine::new(Event::SettingsReloaded)
                     .number("weights_apply_ms", reloaded.weights_apply_ms)
@@ -144,14 +145,14 @@
     loop {
         let must_read = {
             let state = state.borrow();
-            let is_known = TOPICS
+            let has_listings = TOPICS
                 .iter()
-                .all(|topic| state.ledger(*topic).has_listing());
+                .all(|topic| state.topic_table(*topic).has_listing());
             let now_ms = state.now_ms();
             let is_without_entries = state.last_heartbeat_ms().is_none_or(|last_received_ms| {
                 now_ms.saturating_sub(last_received_ms) >= ENTRIES_TIMEOUT_MS
             });
-            !is_known || is_without_entries
+            !has_listings || is_without_entries
         };
         if must_read {
             for topic in TOPICS {
@@ -187,7 +188,7 @@
                 let (is_behind, now_ms) = {
                     let state = state.borrow();
                     let is_behind = heartbeat.ends[topic as usize]
-                        > state.ledger(topic).end_offset()
+                        > state.topic_table(topic).end_offset()
                         && (topic == Topic::Operator || state.has_missing_pieces());
                     (is_behind, state.now_ms())
                 };
--- a/src/staging/state.rs
+++ b/src/staging/state.rs
@@ -41,7 +41,7 @@
 const ENTRY_TIMEOUT_MS: u64 = 1_600;
 
 /// Time for which the report of another host on its pieces is kept, in ms.
-const PEER_PIECES_KEPT_MS: u64 = 10_000;
+const PEER_PIECES_RETENTION_MS: u64 = 10_000;
 
 /// An entry that sent a heartbeat.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
     pub pending_order: Option<(String, u64)>,
     /// Declared versions of weights.
     pub declared: Declarations,
-    ledgers: [TopicTable; 3],
+    topic_tables: [TopicTable; 3],
     started_at: Instant,
 }
 
@@ -117,7 +117,7 @@
             entries: Vec::new(),
             pending_order: None,
             declared: Declarations::default(),
-            ledgers: Default::default(),
+            topic_tables: Default::default(),
             started_at: Instant::now(),
         }))
     }
@@ -162,19 +162,20 @@
             .filter(|entry| now_ms.saturating_sub(entry.last_received_ms) < ENTRY_TIMEOUT_MS)
             .collect();
         let region = self.settings.region(&self.settings.failure_domain);
-        let is_near = |entry: &&&KnownEntry| self.settings.region(&entry.failure_domain) == region;
-        let near: Vec<RelayEntry> = available
+        let is_in_region =
+            |entry: &&&KnownEntry| self.settings.region(&entry.failure_domain) == region;
+        let in_region: Vec<RelayEntry> = available
             .iter()
-            .filter(is_near)
+            .filter(is_in_region)
             .map(|e| e.to_relay_entry())
             .collect();
-        if near.is_empty() {
+        if in_region.is_empty() {
             return available
                 .iter()
                 .map(|entry| entry.to_relay_entry())
                 .collect();
         }
-        near
+        in_region
     }
 
     /// Returns the monotonic time of the last heartbeat of any entry, in ms.
@@ -336,8 +337,9 @@
                 && known.version == reported.version
         };
         let now_ms = self.now_ms();
-        self.peer_pieces
-            .retain(|known| now_ms.saturating_sub(known.last_received_ms) < PEER_PIECES_KEPT_MS);
+        self.peer_pieces.retain(|known| {
+            now_ms.saturating_sub(known.last_received_ms) < PEER_PIECES_RETENTION_MS
+        });
         match self.peer_pieces.iter_mut().find(is_same) {
             Some(known) => *known = reported,
             None => self.peer_pieces.push(reported),
@@ -350,7 +352,7 @@
             model,
             version,
             offset,
-            is_after_listing: self.ledger(Topic::Operator).has_listing(),
+            is_after_listing: self.topic_table(Topic::Operator).has_listing(),
         };
         let now_ms = self.now_ms() as i64;
         let apply_ms = self.settings.weights_apply_ms as i64;
@@ -359,16 +361,16 @@
 }
 
 impl TopicSink for StagingState {
-    fn ledger(&self, topic: Topic) -> &TopicTable {
-        &self.ledgers[topic as usize]
+    fn topic_table(&self, topic: Topic) -> &TopicTable {
+        &self.topic_tables[topic as usize]
     }
 
-    fn ledger_mut(&mut self, topic: Topic) -> &mut TopicTable {
-        &mut self.ledgers[topic as usize]
+    fn topic_table_mut(&mut self, topic: Topic) -> &mut TopicTable {
+        &mut self.topic_tables[topic as usize]
     }
 
     fn handle_change(&mut self, topic: Topic, key: &str, decoder: &impl RecordDecoder) {
-        let Some(record) = self.ledgers[topic as usize].get(key) else {
+        let Some(record) = self.topic_tables[topic as usize].get(key) else {
             return;
         };
         let value = record.value.clone();
@@ -406,10 +408,10 @@
     ) {
         for record in records {
             let key = record.key.clone();
-            if self.ledgers[topic as usize].apply_record(record) {
+            if self.topic_tables[topic as usize].apply_record(record) {
                 self.handle_change(topic, &key, decoder);
             }
         }
-        self.ledgers[topic as usize].advance_end_offset(next_offset);
+        self.topic_tables[topic as usize].advance_end_offset(next_offset);
     }
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -102,7 +102,7 @@
         grace_ms: 1_000,
         directory_ttl_s: 1,
         retry_ratio: 0.1,
-        retry_extra: 1.0,
+        extra_retries: 1.0,
         retry_window_ms: 1_000,
         weights_apply_ms: 8_000,
         link_mbps: 100.0,
@@ -162,15 +162,15 @@
             .peers
             .record_heartbeat(heartbeat(format!("entry-{index}")), now_ms);
     }
-    let lost = SourceError::Refused(503);
-    state.record_store_result(Topic::Replicas, Some(&lost));
+    let error = SourceError::Refused(503);
+    state.record_store_result(Topic::Replicas, Some(&error));
     state.handle_records(
         Topic::Replicas,
         vec![record(1, Some("127.0.0.1:9"))],
         2,
         &AddressDecoder,
     );
-    assert!(state.has_reader());
+    assert!(state.has_other_reader());
     assert_eq!(replica_count(&state), 1);
     state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &AddressDecoder);
     assert_eq!(replica_count(&state), 0);
@@ -182,8 +182,8 @@
 async fn handle_records_expired_record_while_store_is_unavailable() {
     let state = state_with_one_replica();
     let mut state = state.borrow_mut();
-    let lost = SourceError::Refused(503);
-    state.record_store_result(Topic::Replicas, Some(&lost));
+    let error = SourceError::Refused(503);
+    state.record_store_result(Topic::Replicas, Some(&error));
     state.handle_records(Topic::Replicas, vec![record(2, None)], 3, &AddressDecoder);
     assert_eq!(replica_count(&state), 1);
 }
@@ -191,7 +191,7 @@
 /// Guards against all entries reading the store at once when heartbeats stop because
 /// a link is saturated: their reads would keep it saturated.
 #[test]
-fn has_reader_staggered_takeover() {
+fn has_other_reader_staggered_takeover() {
     let names: Vec<String> = (0..12).map(|index| format!("entry-{index}")).collect();
     let readers = |age_ms: u64| {
         let reads = |own: &&String| {
@@ -211,20 +211,20 @@
 
 #[test]
 fn records_reply_round_trip() {
-    let mut ledger = TopicTable::default();
-    ledger.apply_record(record(7, None));
-    ledger.advance_end_offset(9);
-    let packed = RecordsReply::since(&ledger, 3).pack();
+    let mut table = TopicTable::default();
+    table.apply_record(record(7, None));
+    table.advance_end_offset(9);
+    let packed = RecordsReply::since(&table, 3).pack();
     let reply = RecordsReply::unpack(&packed).unwrap();
     assert_eq!((reply.end_offset, reply.is_listing), (9, false));
     assert_eq!(reply.into_records(), [record(7, None)]);
 }
 
 /// Guards against a stale replica: an entry that started after the replica's record
-/// was dropped has no trace of it, so its reply must be a listing, which makes the
-/// receiver drop the record.
+/// was deleted does not know of the deletion, so its reply must be a listing, which makes
+/// the receiver delete the record.
 #[test]
-fn records_reply_drop_before_listing() {
+fn records_reply_deletion_before_listing() {
     let mut fresh = TopicTable::default();
     fresh.apply_listing(Vec::new(), 6);
     let mut reader = TopicTable::default();
@@ -242,9 +242,9 @@
 
 #[test]
 fn records_reply_invalid_bytes() {
-    let mut ledger = TopicTable::default();
-    ledger.apply_record(record(3, Some("x")));
-    let packed = RecordsReply::since(&ledger, 0).pack();
+    let mut table = TopicTable::default();
+    table.apply_record(record(3, Some("x")));
+    let packed = RecordsReply::since(&table, 0).pack();
     assert!(matches!(
         RecordsReply::unpack(&packed[..2]),
         Err(RecordsReplyError::InvalidLength(2))
