--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -11,7 +11,7 @@
 
 use crate::bench::ControlResult;
 use crate::bench::control_fleet::ControlFleet;
-use crate::bench::control_watch::ControlWatch;
+use crate::bench::control_monitor::ControlMonitor;
 use crate::clients::LogClient;
 use crate::document::Edit;
 use crate::document::LogRecord;
@@ -19,25 +19,25 @@
 use crate::links::LinkError;
 
 /// Time all processes have to find each other before the first change.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Time the last change has to come into force; twice the target.
-const GIVE_UP: Duration = Duration::from_secs(40);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Delay of every call of a slow log.
-const LOG_SLOW_MS: u64 = 2000;
+const LOG_DELAY_MS: u64 = 2000;
 
 /// Length of an outage, a pause or a cut.
-const FAULT_TIME: Duration = Duration::from_secs(6);
+const FAULT_DURATION: Duration = Duration::from_secs(6);
 
 /// Pause before an append is tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Pause between looks at the processes at the end.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time a fault order has.
-const FAULT_WAIT_MS: u64 = 5000;
+const FAULT_TIMEOUT_MS: u64 = 5000;
 
 /// What goes wrong during the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -101,66 +101,68 @@
     /// The I/O error when the processes do not start.
     pub async fn run(&self) -> io::Result<ControlResult> {
         let fleet = ControlFleet::start(self.entries, self.endpoints).await?;
-        sleep(SETTLE).await;
-        let mut watch = ControlWatch::start(&fleet);
+        sleep(SETTLE_TIME).await;
+        let mut monitor = ControlMonitor::start(&fleet);
         let before = fleet.log_stats().await?;
         let started = Instant::now();
-        let offsets = self.change_all(&fleet, &watch).await;
+        let offsets = self.append_changes(&fleet, &monitor).await;
         let missing = self.wait_in_force(&fleet, offsets.last().copied()).await;
         let elapsed = started.elapsed();
         let after = fleet.log_stats().await?;
-        let result = watch.finish(self, &offsets, missing, elapsed, &before, &after);
+        let result = monitor.finish(self, &offsets, missing, elapsed, &before, &after);
         fleet.stop().await;
         Ok(result)
     }
 
     /// Makes every change; the fault sets in after a third of them.
-    async fn change_all(&self, fleet: &ControlFleet, watch: &ControlWatch) -> Vec<u64> {
+    async fn append_changes(&self, fleet: &ControlFleet, monitor: &ControlMonitor) -> Vec<u64> {
         let mut offsets = Vec::new();
         for number in 0..self.changes {
             if number == self.changes / 3 {
-                self.start_fault(fleet).await;
+                self.inject_fault(fleet).await;
             }
             if self.fault == ControlFault::LostReply && number % 2 == 0 {
                 set_log_faults(fleet, &json!({"lose_replies": 1})).await;
             }
-            let offset = append(fleet, number).await;
-            watch.note_change(offset);
+            let offset = append_edit(fleet, number).await;
+            monitor.record_change(offset);
             offsets.push(offset);
             sleep(Duration::from_millis(self.interval_ms)).await;
         }
         offsets
     }
 
-    async fn start_fault(&self, fleet: &ControlFleet) {
+    async fn inject_fault(&self, fleet: &ControlFleet) {
         match self.fault {
             ControlFault::None | ControlFault::LostReply => {}
-            ControlFault::LogSlow => set_log_faults(fleet, &json!({"delay_ms": LOG_SLOW_MS})).await,
+            ControlFault::LogSlow => {
+                set_log_faults(fleet, &json!({"delay_ms": LOG_DELAY_MS})).await
+            }
             ControlFault::LogDown => {
                 set_log_faults(fleet, &json!({"down": true})).await;
-                sleep(FAULT_TIME).await;
+                sleep(FAULT_DURATION).await;
                 set_log_faults(fleet, &json!({"down": false})).await;
             }
-            ControlFault::PauseThird => fleet.pause_third(FAULT_TIME),
-            ControlFault::RegionCut => fleet.cut_regions(FAULT_TIME),
+            ControlFault::PauseThird => fleet.pause_third(FAULT_DURATION),
+            ControlFault::RegionCut => fleet.cut_regions(FAULT_DURATION),
         }
     }
 
     /// Waits until the last change is in force; returns how many processes lack it.
     async fn wait_in_force(&self, fleet: &ControlFleet, last: Option<u64>) -> usize {
-        let deadline = Instant::now() + GIVE_UP;
+        let deadline = Instant::now() + IN_FORCE_TIMEOUT;
         loop {
-            let missing = last.map_or(0, |offset| fleet.lacking(offset));
+            let missing = last.map_or(0, |offset| fleet.count_lacking(offset));
             if missing == 0 || Instant::now() >= deadline {
                 return missing;
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 /// Appends one edit, again with the same id until a reply comes.
-async fn append(fleet: &ControlFleet, number: u64) -> u64 {
+async fn append_edit(fleet: &ControlFleet, number: u64) -> u64 {
     let edit = Edit {
         edit_id: format!("bench {number}"),
         team: "bench".to_owned(),
@@ -181,7 +183,7 @@
 async fn set_log_faults(fleet: &ControlFleet, faults: &Value) {
     let url = format!("{}/fault", fleet.log_url());
     let set: Result<Value, LinkError> = HttpClient::to_platform()
-        .send_json(Method::POST, &url, faults, FAULT_WAIT_MS)
+        .send_json(Method::POST, &url, faults, FAULT_TIMEOUT_MS)
         .await;
     set.expect("the log stand-in of this process takes faults");
 }
--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -41,7 +41,7 @@
 const RETENTION_MS: u64 = 3_600_000;
 
 /// Time for a call of the bench itself.
-const CALL_WAIT_MS: u64 = 10_000;
+const CALL_TIMEOUT_MS: u64 = 10_000;
 
 /// Regions of the fleet.
 const REGIONS: [&str; 2] = ["north", "south"];
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(super) struct ControlFleet {
     log: Handle,
-    list: Handle,
+    host_list: Handle,
     pub(super) hosts: Vec<ControlHost>,
 }
 
@@ -72,26 +72,26 @@
             retention_ms: RETENTION_MS,
         })
         .await?;
-        let list = hosts::start(HostsOptions {
+        let host_list = hosts::start(HostsOptions {
             listen: free_address()?,
             lag_ms: 0,
         })
         .await?;
         let mut fleet = Self {
             log,
-            list,
+            host_list,
             hosts: Vec::new(),
         };
         for number in 0..entries {
-            fleet.add(HostRole::Entry, number).await?;
+            fleet.add_host(HostRole::Entry, number).await?;
         }
         for number in 0..endpoints {
-            fleet.add(HostRole::Endpoint, number).await?;
+            fleet.add_host(HostRole::Endpoint, number).await?;
         }
         Ok(fleet)
     }
 
-    async fn add(&mut self, role: HostRole, number: usize) -> io::Result<()> {
+    async fn add_host(&mut self, role: HostRole, number: usize) -> io::Result<()> {
         let address = free_address()?;
         let region = REGIONS[number % REGIONS.len()];
         let domain = format!("{region}-{}", number / REGIONS.len() % 2);
@@ -100,8 +100,8 @@
             HostRole::Endpoint => (format!("endpoint-{number:03}"), Some("desk".to_owned())),
         };
         let process = ProcessSettings::new(role, &name, region, &domain, address);
-        let platform = PlatformSettings::new(self.log.url(), self.list.url(), self.log.url());
-        self.hosts.push(start_role(process, platform)?);
+        let platform = PlatformSettings::new(self.log.url(), self.host_list.url(), self.log.url());
+        self.hosts.push(start_host(process, platform)?);
         let record = HostRecord {
             name: name.clone(),
             address,
@@ -111,9 +111,9 @@
             service,
             state: HostState::Live,
         };
-        let url = format!("{}/v1/hosts/{name}", self.list.url());
+        let url = format!("{}/v1/hosts/{name}", self.host_list.url());
         let put: Result<Value, LinkError> = HttpClient::to_platform()
-            .send_json(Method::PUT, &url, &record, CALL_WAIT_MS)
+            .send_json(Method::PUT, &url, &record, CALL_TIMEOUT_MS)
             .await;
         put.map(drop).map_err(io::Error::other)
     }
@@ -126,14 +126,16 @@
     /// What the log has served.
     pub(super) async fn log_stats(&self) -> io::Result<LogStats> {
         let url = format!("{}/stats", self.log.url());
-        let stats = HttpClient::to_platform().get_json(&url, CALL_WAIT_MS).await;
+        let stats = HttpClient::to_platform()
+            .get_json(&url, CALL_TIMEOUT_MS)
+            .await;
         stats.map_err(io::Error::other)
     }
 
     /// Processes where the record at `offset` is not in force.
-    pub(super) fn lacking(&self, offset: u64) -> usize {
-        let lacks = |host: &&ControlHost| host.node.follower().fold().head() <= offset;
-        self.hosts.iter().filter(lacks).count()
+    pub(super) fn count_lacking(&self, offset: u64) -> usize {
+        let is_lacking = |host: &&ControlHost| host.node.follower().fold().head() <= offset;
+        self.hosts.iter().filter(is_lacking).count()
     }
 
     /// Stops every third role from following for `time`.
@@ -155,7 +157,7 @@
                 .collect();
             if region_of(host) != REGIONS[0] {
                 cut.push(self.log.address());
-                cut.push(self.list.address());
+                cut.push(self.host_list.address());
             }
             host.node.cuts().cut(cut, time);
         }
@@ -167,13 +169,13 @@
             host.system.stop();
         }
         self.log.kill().await;
-        self.list.kill().await;
+        self.host_list.kill().await;
     }
 }
 
 /// Starts a role on a system of its own and notes which threads it started.
-fn start_role(process: ProcessSettings, platform: PlatformSettings) -> io::Result<ControlHost> {
-    let before = threads()?;
+fn start_host(process: ProcessSettings, platform: PlatformSettings) -> io::Result<ControlHost> {
+    let before = thread_ids()?;
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         let runner = System::new();
@@ -189,7 +191,7 @@
         }
     });
     let (node, arbiter, system) = receiver.recv().map_err(io::Error::other)??;
-    let mut started = threads()?;
+    let mut started = thread_ids()?;
     started.retain(|thread| before.binary_search(thread).is_err());
     Ok(ControlHost {
         node,
@@ -218,7 +220,7 @@
 }
 
 /// Threads of this process, in ascending order.
-fn threads() -> io::Result<Vec<u32>> {
+fn thread_ids() -> io::Result<Vec<u32>> {
     let mut threads = Vec::new();
     for entry in fs::read_dir("/proc/self/task")? {
         if let Some(thread) = entry?
--- a/src/bench/control_watch.rs
+++ b/src/bench/control_monitor.rs
@@ -17,13 +17,13 @@
 use crate::standin::log::LogStats;
 
 /// How often the processes are looked at.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Longest time that is told apart.
-const LONGEST_MS: u64 = 600_000;
+const MAX_IN_FORCE_MS: u64 = 600_000;
 
 /// Length of a tick of the processor time that the kernel counts.
-const TICK_MS: f64 = 10.0;
+const CPU_TICK_MS: f64 = 10.0;
 
 /// Bytes of a MiB.
 const MIB: f64 = 1024.0 * 1024.0;
@@ -33,17 +33,17 @@
 
 /// Looks at every process until the run ends.
 #[derive(Debug)]
-pub(super) struct ControlWatch {
+pub(super) struct ControlMonitor {
     changes: Changes,
     ended: Arc<AtomicBool>,
-    looking: Option<JoinHandle<Seen>>,
-    hosts: Vec<HostStart>,
+    poller: Option<JoinHandle<HeadObservations>>,
+    hosts: Vec<HostUsage>,
     rss_before_bytes: u64,
 }
 
 /// What a process had used when the run began.
 #[derive(Debug)]
-struct HostStart {
+struct HostUsage {
     node: Arc<Node>,
     threads: Vec<u32>,
     control_bytes: u64,
@@ -52,18 +52,18 @@
 
 /// What the looks found.
 #[derive(Debug)]
-struct Seen {
+struct HeadObservations {
     in_force_ms: Histogram<u64>,
     reverts: u64,
 }
 
-impl ControlWatch {
+impl ControlMonitor {
     /// Starts to look at the processes of `fleet`.
     pub(super) fn start(fleet: &ControlFleet) -> Self {
-        let hosts: Vec<HostStart> = fleet
+        let hosts: Vec<HostUsage> = fleet
             .hosts
             .iter()
-            .map(|host| HostStart {
+            .map(|host| HostUsage {
                 node: Arc::clone(&host.node),
                 threads: host.threads.clone(),
                 control_bytes: host.node.control_bytes(),
@@ -73,22 +73,22 @@
         let nodes: Vec<Arc<Node>> = hosts.iter().map(|host| Arc::clone(&host.node)).collect();
         let changes = Changes::default();
         let ended = Arc::new(AtomicBool::new(false));
-        let looking = {
+        let poller = {
             let changes = Arc::clone(&changes);
             let ended = Arc::clone(&ended);
-            thread::spawn(move || look(&nodes, &changes, &ended))
+            thread::spawn(move || poll_heads(&nodes, &changes, &ended))
         };
         Self {
             changes,
             ended,
-            looking: Some(looking),
+            poller: Some(poller),
             hosts,
             rss_before_bytes: rss_bytes(),
         }
     }
 
     /// Notes that the log took a change at `offset` just now.
-    pub(super) fn note_change(&self, offset: u64) {
+    pub(super) fn record_change(&self, offset: u64) {
         let mut changes = self
             .changes
             .lock()
@@ -107,19 +107,19 @@
         after: &LogStats,
     ) -> ControlResult {
         self.ended.store(true, Ordering::Release);
-        let looking = self.looking.take().expect("a watch is finished once");
-        let seen = looking.join().expect("the looking thread does not panic");
+        let poller = self.poller.take().expect("a watch is finished once");
+        let observations = poller.join().expect("the poller thread does not panic");
         let elapsed_s = elapsed.as_secs_f64();
         let per_second = |bytes: u64| bytes as f64 / elapsed_s;
-        let control = |host: &HostStart| host.node.control_bytes() - host.control_bytes;
-        let cpu = |host: &HostStart| cpu_ticks(&host.threads) - host.cpu_ticks;
+        let control = |host: &HostUsage| host.node.control_bytes() - host.control_bytes;
+        let cpu = |host: &HostUsage| cpu_ticks(&host.threads) - host.cpu_ticks;
         let max_of =
-            |measure: &dyn Fn(&HostStart) -> u64| self.hosts.iter().map(measure).max().unwrap_or(0);
+            |measure: &dyn Fn(&HostUsage) -> u64| self.hosts.iter().map(measure).max().unwrap_or(0);
         let (entries, endpoints) = self.hosts.split_at(bench.entries.min(self.hosts.len()));
-        let mean_of = |hosts: &[HostStart], measure: &dyn Fn(&HostStart) -> u64| {
+        let mean_of = |hosts: &[HostUsage], measure: &dyn Fn(&HostUsage) -> u64| {
             hosts.iter().map(measure).sum::<u64>() as f64 / hosts.len().max(1) as f64
         };
-        let percent = |ticks: f64| ticks * TICK_MS / elapsed.as_millis() as f64 * 100.0;
+        let percent = |ticks: f64| ticks * CPU_TICK_MS / elapsed.as_millis() as f64 * 100.0;
         ControlResult {
             processes: self.hosts.len(),
             entries: bench.entries,
@@ -127,11 +127,11 @@
             fault: bench.fault.name(),
             changes: offsets.len(),
             lacking_last_change: lacking,
-            in_force_p50_ms: seen.in_force_ms.value_at_quantile(0.50),
-            in_force_p99_ms: seen.in_force_ms.value_at_quantile(0.99),
-            in_force_max_ms: seen.in_force_ms.max(),
-            in_force_samples: seen.in_force_ms.len(),
-            reverts: seen.reverts,
+            in_force_p50_ms: observations.in_force_ms.value_at_quantile(0.50),
+            in_force_p99_ms: observations.in_force_ms.value_at_quantile(0.99),
+            in_force_max_ms: observations.in_force_ms.max(),
+            in_force_samples: observations.in_force_ms.len(),
+            reverts: observations.reverts,
             appends_per_s: per_second(after.appends - before.appends),
             log_reads_per_s: per_second(after.reads - before.reads),
             control_bytes_per_s_max: per_second(max_of(&control)),
@@ -149,14 +149,14 @@
 }
 
 /// Looks at the heads of all processes until `ended`.
-fn look(nodes: &[Arc<Node>], changes: &Changes, ended: &AtomicBool) -> Seen {
-    let mut seen = Seen {
-        in_force_ms: Histogram::new_with_bounds(1, LONGEST_MS, 3)
+fn poll_heads(nodes: &[Arc<Node>], changes: &Changes, ended: &AtomicBool) -> HeadObservations {
+    let mut observations = HeadObservations {
+        in_force_ms: Histogram::new_with_bounds(1, MAX_IN_FORCE_MS, 3)
             .expect("the bounds and three digits are valid"),
         reverts: 0,
     };
     let mut heads = vec![0; nodes.len()];
-    let mut found = vec![0; nodes.len()];
+    let mut next_change = vec![0; nodes.len()];
     while !ended.load(Ordering::Acquire) {
         let changes = changes
             .lock()
@@ -164,20 +164,20 @@
             .clone();
         for (index, node) in nodes.iter().enumerate() {
             let head = node.follower().fold().head();
-            seen.reverts += u64::from(head < heads[index]);
+            observations.reverts += u64::from(head < heads[index]);
             heads[index] = head;
             // Changes come in the order of their offsets.
-            while let Some((offset, made)) = changes.get(found[index])
+            while let Some((offset, appended_at)) = changes.get(next_change[index])
                 && head > *offset
             {
-                let took_ms = u64::try_from(made.elapsed().as_millis()).unwrap_or(u64::MAX);
-                seen.in_force_ms.saturating_record(took_ms);
-                found[index] += 1;
+                let took_ms = u64::try_from(appended_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+                observations.in_force_ms.saturating_record(took_ms);
+                next_change[index] += 1;
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    seen
+    observations
 }
 
 /// Ticks of processor time that `threads` of this process have used.
--- a/src/bench/control_result.rs
+++ b/src/bench/control_result.rs
@@ -51,7 +51,7 @@
 
 impl ControlResult {
     /// Whether every process has every change and none went back.
-    pub fn is_good(&self) -> bool {
+    pub fn is_successful(&self) -> bool {
         self.lacking_last_change == 0 && self.reverts == 0
     }
 }
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -2,8 +2,8 @@
 
 mod control;
 mod control_fleet;
+mod control_monitor;
 mod control_result;
-mod control_watch;
 mod requests;
 mod requests_baseline;
 mod requests_document;
@@ -16,7 +16,7 @@
 mod weights;
 mod weights_bound;
 mod weights_fleet;
-mod weights_members;
+mod weights_member_lists;
 mod weights_plot;
 mod weights_result;
 mod weights_trace;
@@ -34,6 +34,6 @@
 pub use weights::Baseline;
 pub use weights::WeightsBench;
 pub use weights_bound::BoundInput;
-pub use weights_bound::bound_ms;
+pub use weights_bound::lower_bound_ms;
 pub use weights_plot::plot_weights;
 pub use weights_result::WeightsResult;
--- a/src/bench/requests.rs
+++ b/src/bench/requests.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::requests_driver::drive;
-use super::requests_fleet::Fleet;
+use super::requests_driver::send_arrivals;
+use super::requests_fleet::RequestsFleet;
 use super::requests_fleet::RequestsPolicy;
 use super::requests_overhead::OverheadResult;
 use super::requests_overhead::measure_overhead;
@@ -20,31 +20,31 @@
 use super::requests_scenario::RequestsScenario;
 use super::requests_scenario::SLOTS;
 use super::requests_scenario::WARM_UP_MS;
-use super::requests_scenario::arrivals;
+use super::requests_scenario::poisson_arrivals;
 use crate::clients::EngineState;
 use crate::hosts::Load;
 use crate::links::HttpClient;
 
 /// Time between looks at the engines.
-const TICK_MS: u64 = 100;
+const SAMPLE_INTERVAL_MS: u64 = 100;
 
 /// Time between load reports.
 const REPORT_INTERVAL_MS: u64 = 1000;
 
 /// Reports by which the load lags behind.
-const REPORT_LAG: usize = 5;
+const LOAD_LAG_REPORTS: usize = 5;
 
 /// Time between death and return of a flapping endpoint.
-const FLAP_MS: u64 = 700;
+const FLAP_INTERVAL_MS: u64 = 700;
 
 /// Pace of a slow engine.
-const SLOW_PERCENT: u64 = 1000;
+const SLOW_PACE_PERCENT: u64 = 1000;
 
 /// Endpoint that the faults hit.
-const FAULTY: usize = 3;
+const FAULTY_ENDPOINT: usize = 3;
 
 /// Longest time an engine has to tell its state.
-const STATE_WAIT_MS: u64 = 1000;
+const ENGINE_TIMEOUT_MS: u64 = 1000;
 
 /// A measurement of routing and fair shares.
 #[derive(Debug, Clone, Copy)]
@@ -101,9 +101,9 @@
         let load_percent = self.scenario.load_percent();
         let mut result = self.run_once(policy, load_percent).await?;
         if self.scenario == RequestsScenario::BranchBurst {
-            let mut quiet = load_percent;
-            quiet[0] = quiet[1];
-            result.quiet = Some(Box::new(self.run_once(policy, quiet).await?));
+            let mut quiet_percent = load_percent;
+            quiet_percent[0] = quiet_percent[1];
+            result.quiet = Some(Box::new(self.run_once(policy, quiet_percent).await?));
         }
         Ok(result)
     }
@@ -113,45 +113,46 @@
         policy: RequestsPolicy,
         load_percent: [f64; 4],
     ) -> io::Result<PolicyResult> {
-        let mut fleet = Fleet::start(policy, self.scenario.cache_blocks()).await?;
-        let arrivals = arrivals(load_percent, self.seed);
-        let driving = drive(policy, fleet.entries.clone(), arrivals);
+        let mut fleet = RequestsFleet::start(policy, self.scenario.cache_blocks()).await?;
+        let arrivals = poisson_arrivals(load_percent, self.seed);
+        let sending = send_arrivals(policy, fleet.entries.clone(), arrivals);
         let start = Instant::now();
-        let driving = actix_rt::spawn(driving);
-        let mut watch = Watch::default();
-        let ticks = (WARM_UP_MS + MEASURED_MS) / TICK_MS;
+        let sending = actix_rt::spawn(sending);
+        let mut samples = RunSamples::default();
+        let ticks = (WARM_UP_MS + MEASURED_MS) / SAMPLE_INTERVAL_MS;
         for tick in 0..ticks {
-            let now_ms = tick * TICK_MS;
+            let now_ms = tick * SAMPLE_INTERVAL_MS;
             sleep_until((start + Duration::from_millis(now_ms)).into()).await;
-            watch.report(&fleet, now_ms);
+            samples.report_delayed_loads(&fleet, now_ms);
             if now_ms == WARM_UP_MS {
-                watch.before = Some(Snapshot::take(&fleet).await);
+                samples.before = Some(Snapshot::take(&fleet).await);
             }
-            self.fault(&mut fleet, now_ms).await?;
+            self.inject_fault(&mut fleet, now_ms).await?;
             if now_ms > WARM_UP_MS {
-                watch
+                samples
                     .busy_samples
                     .push(busy_share(&engine_states(&fleet).await));
             }
         }
-        let tallies = driving.await.expect("the driver does not panic");
+        let tallies = sending.await.expect("the driver does not panic");
         let after = Snapshot::take(&fleet).await;
-        let before = watch.before.expect("the warm-up ended");
-        let busy_share = watch.busy_samples.iter().sum::<f64>() / watch.busy_samples.len() as f64;
+        let before = samples.before.expect("the warm-up ended");
+        let busy_share =
+            samples.busy_samples.iter().sum::<f64>() / samples.busy_samples.len() as f64;
         let result = PolicyResult::new(&tallies, &before, &after, busy_share);
         fleet.stop().await;
         Ok(result)
     }
 
-    async fn fault(&self, fleet: &mut Fleet, now_ms: u64) -> io::Result<()> {
+    async fn inject_fault(&self, fleet: &mut RequestsFleet, now_ms: u64) -> io::Result<()> {
         let since_ms = now_ms.checked_sub(WARM_UP_MS);
         match (self.scenario, since_ms) {
-            (RequestsScenario::SlowEndpoint, Some(0)) => slow_down(fleet).await?,
-            (RequestsScenario::KillTenth, Some(1000)) => fleet.kill(FAULTY).await,
-            (RequestsScenario::Flapping, Some(since_ms)) if since_ms % FLAP_MS == 0 => {
-                match fleet.members[FAULTY].handle {
-                    Some(_) => fleet.kill(FAULTY).await,
-                    None => fleet.restart(FAULTY)?,
+            (RequestsScenario::SlowEndpoint, Some(0)) => slow_engine(fleet).await?,
+            (RequestsScenario::KillTenth, Some(1000)) => fleet.kill(FAULTY_ENDPOINT).await,
+            (RequestsScenario::Flapping, Some(since_ms)) if since_ms % FLAP_INTERVAL_MS == 0 => {
+                match fleet.endpoints[FAULTY_ENDPOINT].handle {
+                    Some(_) => fleet.kill(FAULTY_ENDPOINT).await,
+                    None => fleet.restart(FAULTY_ENDPOINT)?,
                 }
             }
             _ => {}
@@ -162,36 +163,42 @@
 
 /// What is watched while the load runs.
 #[derive(Debug, Default)]
-struct Watch {
+struct RunSamples {
     loads: Vec<Vec<Load>>,
     busy_samples: Vec<f64>,
     before: Option<Snapshot>,
 }
 
-impl Watch {
+impl RunSamples {
     /// Reports, each second, the load of some seconds ago.
-    fn report(&mut self, fleet: &Fleet, now_ms: u64) {
+    fn report_delayed_loads(&mut self, fleet: &RequestsFleet, now_ms: u64) {
         if !now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
             return;
         }
         self.loads.push(fleet.loads());
-        let at = self.loads.len().saturating_sub(REPORT_LAG + 1);
-        fleet.report(&self.loads[at]);
+        let index = self.loads.len().saturating_sub(LOAD_LAG_REPORTS + 1);
+        fleet.merge_reports(&self.loads[index]);
     }
 }
 
-async fn slow_down(fleet: &Fleet) -> io::Result<()> {
-    let url = format!("http://{}/fault", fleet.members[FAULTY].engine_address);
-    let order = json!({"pace_percent": SLOW_PERCENT});
+async fn slow_engine(fleet: &RequestsFleet) -> io::Result<()> {
+    let url = format!(
+        "http://{}/fault",
+        fleet.endpoints[FAULTY_ENDPOINT].engine_address
+    );
+    let fault = json!({"pace_percent": SLOW_PACE_PERCENT});
     HttpClient::to_platform()
-        .send_json(Method::POST, &url, &order, STATE_WAIT_MS)
+        .send_json(Method::POST, &url, &fault, ENGINE_TIMEOUT_MS)
         .await
         .map_err(io::Error::other)
 }
 
 /// State of every engine.
-pub(super) async fn engine_states(fleet: &Fleet) -> Vec<EngineState> {
-    let states = fleet.members.iter().map(|member| member.engine.state());
+pub(super) async fn engine_states(fleet: &RequestsFleet) -> Vec<EngineState> {
+    let states = fleet
+        .endpoints
+        .iter()
+        .map(|endpoint| endpoint.engine.state());
     let states = join_all(states).await;
     states.into_iter().filter_map(Result::ok).collect()
 }
--- a/src/bench/requests_baseline.rs
+++ b/src/bench/requests_baseline.rs
@@ -50,9 +50,9 @@
     }
 }
 
-pub(super) async fn entry(state: Data<RoundRobin>, body: Bytes) -> HttpResponse {
-    let turn = state.next.fetch_add(1, Ordering::Relaxed);
-    let address = state.endpoints[turn % state.endpoints.len()];
+pub(super) async fn relay_to_next(state: Data<RoundRobin>, body: Bytes) -> HttpResponse {
+    let call_no = state.next.fetch_add(1, Ordering::Relaxed);
+    let address = state.endpoints[call_no % state.endpoints.len()];
     let url = format!("http://{address}/generate");
     let request = HttpClient::to_platform()
         .request(Method::POST, &url)
@@ -63,7 +63,7 @@
     }
 }
 
-pub(super) async fn endpoint(state: Data<Fifo>, order: Json<GenerateOrder>) -> HttpResponse {
+pub(super) async fn run_in_order(state: Data<Fifo>, order: Json<GenerateOrder>) -> HttpResponse {
     state.received.fetch_add(1, Ordering::Relaxed);
     let slot = Arc::clone(&state.slots).acquire_owned().await;
     let events = match state.engine.generate(&order).await {
--- a/src/bench/requests_document.rs
+++ b/src/bench/requests_document.rs
@@ -2,7 +2,7 @@
 
 use super::requests_fleet::MODEL;
 use super::requests_fleet::TOKEN;
-use super::requests_fleet::manifest;
+use super::requests_fleet::manifest_digest;
 use super::requests_scenario::BRANCHES;
 use super::requests_scenario::ENDPOINTS;
 use crate::conf::ClusterSettings;
@@ -56,7 +56,7 @@
 fn sections() -> Vec<(String, String)> {
     let model = format!(
         "version = 1\nmanifest = {}\nreplicas = {ENDPOINTS}\n",
-        manifest()
+        manifest_digest()
     );
     let token = Digest::of_bytes(TOKEN.as_bytes());
     let share = 100 / BRANCHES.len();
--- a/src/bench/requests_driver.rs
+++ b/src/bench/requests_driver.rs
@@ -17,13 +17,13 @@
 use super::requests_fleet::MODEL;
 use super::requests_fleet::RequestsPolicy;
 use super::requests_fleet::TOKEN;
-use super::requests_fleet::manifest;
-use super::requests_fleet::whole;
+use super::requests_fleet::manifest_digest;
+use super::requests_fleet::weights_digest;
 use super::requests_scenario::Arrival;
 use super::requests_scenario::BRANCHES;
 use super::requests_scenario::DEADLINE_MS;
 use super::requests_scenario::WARM_UP_MS;
-use super::requests_scenario::prompt;
+use super::requests_scenario::build_prompt;
 use super::requests_tally::Outcome;
 use super::requests_tally::Tally;
 use crate::clients::LineBuffer;
@@ -33,12 +33,12 @@
 const TOKEN_SEED: u64 = 7;
 
 /// Time after its deadline at which a caller stops to listen.
-const PATIENCE: Duration = Duration::from_millis(3000);
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(3000);
 
 /// A line of an answer.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-enum Line {
+enum AnswerLine {
     Token { index: u32, text: String },
     Beat,
     End { tokens: u32 },
@@ -46,13 +46,13 @@
 }
 
 /// Threads that send requests.
-const THREADS: usize = 3;
+const DRIVER_THREADS: usize = 3;
 
 /// Tallies of each branch.
 pub(super) type Tallies = Arc<Mutex<Vec<Tally>>>;
 
 /// Sends all `arrivals` from several threads and waits for the last answer.
-pub(super) async fn drive(
+pub(super) async fn send_arrivals(
     policy: RequestsPolicy,
     entries: Vec<SocketAddr>,
     arrivals: Vec<Arrival>,
@@ -60,15 +60,18 @@
     let tallies = Tallies::new(Mutex::new(vec![Tally::new(); BRANCHES.len()]));
     let start = Instant::now();
     let mut threads = Vec::new();
-    for thread in 0..THREADS {
+    for thread in 0..DRIVER_THREADS {
         let numbered = arrivals.iter().copied().enumerate();
-        let own: Vec<(usize, Arrival)> = numbered.skip(thread).step_by(THREADS).collect();
+        let thread_arrivals: Vec<(usize, Arrival)> =
+            numbered.skip(thread).step_by(DRIVER_THREADS).collect();
         let (done, ended) = oneshot::channel::<()>();
         let (entries, tallies) = (entries.clone(), Arc::clone(&tallies));
         let arbiter = Arbiter::new();
         arbiter.spawn_fn(move || {
             actix_rt::spawn(async move {
-                Driver::new(policy, entries, tallies).run(start, own).await;
+                Driver::new(policy, entries, tallies)
+                    .run(start, thread_arrivals)
+                    .await;
                 // A run that was given up needs no word.
                 let _ = done.send(());
             });
@@ -94,7 +97,7 @@
 
 /// What a caller asks.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Question<'a> {
+pub(super) struct BenchRequest<'a> {
     pub(super) branch: &'a str,
     pub(super) prompt: &'a str,
     pub(super) tokens: u32,
@@ -103,7 +106,7 @@
 
 /// What a caller saw of one request.
 #[derive(Debug)]
-pub(super) struct Seen {
+pub(super) struct RequestResult {
     pub(super) outcome: Outcome,
     pub(super) first_token_at: Option<Instant>,
 }
@@ -129,7 +132,7 @@
             sleep_until(due.into()).await;
             let this = self.clone();
             sent.push(actix_rt::spawn(async move {
-                this.one(arrival, number, due).await;
+                this.run_request(arrival, number, due).await;
             }));
         }
         for request in sent {
@@ -137,59 +140,67 @@
         }
     }
 
-    async fn one(&self, arrival: Arrival, number: usize, due: Instant) {
-        let prompt = prompt(&arrival, number);
-        let patience = Duration::from_millis(DEADLINE_MS) + PATIENCE;
-        let question = Question {
+    async fn run_request(&self, arrival: Arrival, number: usize, due: Instant) {
+        let prompt = build_prompt(&arrival, number);
+        let max_wait = Duration::from_millis(DEADLINE_MS) + LATE_ANSWER_WAIT;
+        let request = BenchRequest {
             branch: BRANCHES[arrival.branch],
             prompt: &prompt,
             tokens: arrival.tokens,
             number,
         };
-        let asked = self.ask(arrival.entry, &question);
-        let answered = actix_rt::time::timeout(patience, asked).await;
-        let seen = answered.unwrap_or_else(|_| Seen {
+        let sending = self.send_to_entry(arrival.entry, &request);
+        let answered = actix_rt::time::timeout(max_wait, sending).await;
+        let result = answered.unwrap_or_else(|_| RequestResult {
             outcome: Outcome::Failed("no_answer".to_owned()),
             first_token_at: None,
         });
         let took = due.elapsed();
         let is_late = took > Duration::from_millis(DEADLINE_MS);
-        let outcome = match seen.outcome {
+        let outcome = match result.outcome {
             Outcome::Done if is_late => Outcome::Failed("late".to_owned()),
             outcome => outcome,
         };
         if arrival.at_us < WARM_UP_MS * 1000 {
             return;
         }
-        let first_token = seen.first_token_at.map(|at| at - due);
+        let first_token = result.first_token_at.map(|at| at - due);
         let mut tallies = self.tallies.lock().expect("no driver panics");
         tallies[arrival.branch].add(&outcome, first_token, took);
     }
 
     /// Sends one request and reads its answer.
-    pub(super) async fn ask(&self, entry: usize, question: &Question<'_>) -> Seen {
+    pub(super) async fn send_to_entry(
+        &self,
+        entry: usize,
+        request: &BenchRequest<'_>,
+    ) -> RequestResult {
         let address = self.entries[entry % self.entries.len()];
         let (path, body) = match self.policy {
-            RequestsPolicy::Baseline => ("generate", engine_order(question)),
+            RequestsPolicy::Baseline => ("generate", engine_order(request)),
             RequestsPolicy::Product | RequestsPolicy::Both => {
-                ("v1/generate", entry_request(question))
+                ("v1/generate", entry_request(request))
             }
         };
-        self.send(&format!("http://{address}/{path}"), &body, question)
+        self.send(&format!("http://{address}/{path}"), &body, request)
             .await
     }
 
     /// Sends one request straight to an engine.
-    pub(super) async fn ask_engine(&self, engine: SocketAddr, question: &Question<'_>) -> Seen {
-        let body = engine_order(question);
-        self.send(&format!("http://{engine}/v1/generate"), &body, question)
+    pub(super) async fn send_to_engine(
+        &self,
+        engine: SocketAddr,
+        request: &BenchRequest<'_>,
+    ) -> RequestResult {
+        let body = engine_order(request);
+        self.send(&format!("http://{engine}/v1/generate"), &body, request)
             .await
     }
 
-    async fn send(&self, url: &str, body: &Value, question: &Question<'_>) -> Seen {
-        let request = self.client.post(url).bearer_auth(TOKEN);
+    async fn send(&self, url: &str, body: &Value, request: &BenchRequest<'_>) -> RequestResult {
+        let http_request = self.client.post(url).bearer_auth(TOKEN);
         let mut first_token_at = None;
-        let outcome = match request.send_json(body).await {
+        let outcome = match http_request.send_json(body).await {
             Ok(mut response) if !response.status().is_success() => {
                 let body = response.body().await.unwrap_or_default();
                 let answer: Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -200,11 +211,11 @@
             }
             Ok(response) => {
                 let lines = response.map(Result::ok);
-                read(lines, question, &mut first_token_at).await
+                read_answer(lines, request, &mut first_token_at).await
             }
             Err(_) => Outcome::Failed("connection".to_owned()),
         };
-        Seen {
+        RequestResult {
             outcome,
             first_token_at,
         }
@@ -212,9 +223,9 @@
 }
 
 /// Reads an answer and checks that it is whole and its own.
-async fn read(
+async fn read_answer(
     mut chunks: impl StreamExt<Item = Option<bytes::Bytes>> + Unpin,
-    question: &Question<'_>,
+    request: &BenchRequest<'_>,
     first_token_at: &mut Option<Instant>,
 ) -> Outcome {
     let failed = |code: &str| Outcome::Failed(code.to_owned());
@@ -228,32 +239,35 @@
             }
         };
         match serde_json::from_slice(line) {
-            Ok(Line::Token { index, text }) => {
-                let expected = token_text(&whole(), question.prompt, TOKEN_SEED, next_index);
+            Ok(AnswerLine::Token { index, text }) => {
+                let expected =
+                    token_text(&weights_digest(), request.prompt, TOKEN_SEED, next_index);
                 if index != next_index || text != expected {
                     return failed("wrong_token");
                 }
                 first_token_at.get_or_insert_with(Instant::now);
                 next_index += 1;
             }
-            Ok(Line::Beat) => {}
-            Ok(Line::End { tokens }) if tokens == question.tokens && next_index == tokens => {
+            Ok(AnswerLine::Beat) => {}
+            Ok(AnswerLine::End { tokens }) if tokens == request.tokens && next_index == tokens => {
                 return Outcome::Done;
             }
-            Ok(Line::Error { code }) if first_token_at.is_none() => return Outcome::Refused(code),
-            Ok(Line::Error { code }) => return Outcome::Failed(code),
-            Ok(Line::End { .. }) | Err(_) => return failed("wrong_answer"),
+            Ok(AnswerLine::Error { code }) if first_token_at.is_none() => {
+                return Outcome::Refused(code);
+            }
+            Ok(AnswerLine::Error { code }) => return Outcome::Failed(code),
+            Ok(AnswerLine::End { .. }) | Err(_) => return failed("wrong_answer"),
         }
     }
 }
 
-fn engine_order(question: &Question<'_>) -> Value {
+fn engine_order(request: &BenchRequest<'_>) -> Value {
     json!({
-        "request_id": format!("request-{}", question.number),
+        "request_id": format!("request-{}", request.number),
         "model": MODEL,
-        "manifest": manifest(),
-        "prompt": question.prompt,
-        "max_tokens": question.tokens,
+        "manifest": manifest_digest(),
+        "prompt": request.prompt,
+        "max_tokens": request.tokens,
         "seed": TOKEN_SEED,
         "priority": 0,
         "resume_from": 0,
@@ -261,12 +275,12 @@
     })
 }
 
-fn entry_request(question: &Question<'_>) -> Value {
+fn entry_request(request: &BenchRequest<'_>) -> Value {
     json!({
-        "branch": question.branch,
+        "branch": request.branch,
         "model": MODEL,
-        "prompt": question.prompt,
-        "max_tokens": question.tokens,
+        "prompt": request.prompt,
+        "max_tokens": request.tokens,
         "seed": TOKEN_SEED,
         "deadline_ms": DEADLINE_MS,
     })
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -17,7 +17,7 @@
 use super::requests_baseline::RoundRobin;
 use super::requests_document::entry_settings;
 use super::requests_document::log_page;
-use super::requests_overhead::thread_number;
+use super::requests_overhead::current_thread_id;
 use super::requests_scenario::BATCH_SLOWDOWN_PERCENT;
 use super::requests_scenario::BRANCHES;
 use super::requests_scenario::ENDPOINTS;
@@ -59,7 +59,7 @@
 const WEIGHTS: &[u8] = b"weights of a small model";
 
 /// Requests of one branch that wait at an endpoint.
-const BRANCH_WAITING: usize = 64;
+const MAX_WAITING_PER_BRANCH: usize = 64;
 
 /// Port of every process; each has a loopback address of its own.
 const PORT: u16 = 7400;
@@ -79,7 +79,7 @@
 
 /// One endpoint of the fleet with its engine.
 #[derive(Debug)]
-pub(super) struct Member {
+pub(super) struct FleetEndpoint {
     pub(super) engine: EngineClient,
     pub(super) engine_address: SocketAddr,
     pub(super) address: SocketAddr,
@@ -89,24 +89,24 @@
 
 /// Engines, endpoints and entries on loopback.
 #[derive(Debug)]
-pub(super) struct Fleet {
+pub(super) struct RequestsFleet {
     policy: RequestsPolicy,
-    pub(super) members: Vec<Member>,
+    pub(super) endpoints: Vec<FleetEndpoint>,
     pub(super) entries: Vec<SocketAddr>,
     states: Vec<Arc<EntryState>>,
     /// Calls that reached endpoints.
     pub(super) received: Arc<AtomicUsize>,
     handles: Vec<Handle>,
-    entry_threads: Threads,
-    endpoint_threads: Threads,
+    entry_threads: ThreadIds,
+    endpoint_threads: ThreadIds,
 }
 
 /// Numbers of the worker threads of some servers.
-type Threads = Arc<Mutex<Vec<String>>>;
+type ThreadIds = Arc<Mutex<Vec<String>>>;
 
-fn add_thread(threads: &Threads) {
+fn record_thread(threads: &ThreadIds) {
     let mut threads = threads.lock().expect("no holder of the lock panics");
-    threads.extend(thread_number());
+    threads.extend(current_thread_id());
 }
 
 fn next_address() -> SocketAddr {
@@ -118,16 +118,16 @@
 }
 
 /// Manifest of the model, which the bench only names.
-pub(super) fn manifest() -> Digest {
+pub(super) fn manifest_digest() -> Digest {
     Digest::of_bytes(b"manifest of a small model")
 }
 
 /// Whole digest of the model's weights.
-pub(super) fn whole() -> Digest {
+pub(super) fn weights_digest() -> Digest {
     Digest::of_bytes(WEIGHTS)
 }
 
-impl Fleet {
+impl RequestsFleet {
     /// Starts engines with loaded weights, endpoints and entries.
     pub(super) async fn start(policy: RequestsPolicy, cache_blocks: usize) -> io::Result<Self> {
         let source = serve(next_address(), &ServeOptions::default(), |app| {
@@ -135,26 +135,26 @@
         })?;
         let mut fleet = Self {
             policy,
-            members: Vec::new(),
+            endpoints: Vec::new(),
             entries: Vec::new(),
             states: Vec::new(),
             received: Arc::default(),
             handles: Vec::new(),
-            entry_threads: Threads::default(),
-            endpoint_threads: Threads::default(),
+            entry_threads: ThreadIds::default(),
+            endpoint_threads: ThreadIds::default(),
         };
         for _ in 0..ENDPOINTS {
-            fleet.add_member(&source, cache_blocks).await?;
+            fleet.add_endpoint(&source, cache_blocks).await?;
         }
         for number in 0..ENTRIES {
             fleet.add_entry(number)?;
         }
         fleet.handles.push(source);
-        fleet.report(&fleet.loads());
+        fleet.merge_reports(&fleet.loads());
         Ok(fleet)
     }
 
-    async fn add_member(&mut self, source: &Handle, cache_blocks: usize) -> io::Result<()> {
+    async fn add_endpoint(&mut self, source: &Handle, cache_blocks: usize) -> io::Result<()> {
         let mut options = EngineOptions::new(next_address());
         options.slots = SLOTS;
         options.first_token_ms = FIRST_TOKEN_MS;
@@ -171,7 +171,7 @@
             },
             model: MODEL.to_owned(),
             version: "1".to_owned(),
-            manifest: manifest(),
+            manifest: manifest_digest(),
             base: None,
             source_url: source.url(),
         };
@@ -179,8 +179,8 @@
         let queue = GenerateQueue::new(QueueLimits {
             slots: SLOTS,
             reserved_slots: SLOTS / SLOTS_PER_RESERVED,
-            max_waiting_per_branch: BRANCH_WAITING,
-            max_waiting: BRANCH_WAITING * BRANCHES.len(),
+            max_waiting_per_branch: MAX_WAITING_PER_BRANCH,
+            max_waiting: MAX_WAITING_PER_BRANCH * BRANCHES.len(),
         });
         let shares = BRANCHES.map(|branch| BranchShare {
             branch: branch.to_owned(),
@@ -188,31 +188,31 @@
             burst_percent: 100,
         });
         queue.set_shares(0, shares);
-        let mut member = Member {
+        let mut endpoint = FleetEndpoint {
             engine,
             engine_address: handle.address(),
             address: next_address(),
             handle: None,
             queue,
         };
-        self.start_endpoint(&mut member)?;
-        self.members.push(member);
+        self.start_endpoint(&mut endpoint)?;
+        self.endpoints.push(endpoint);
         self.handles.push(handle);
         Ok(())
     }
 
     /// Starts the endpoint process of a member, at first or again.
-    fn start_endpoint(&self, member: &mut Member) -> io::Result<()> {
-        let engine = member.engine.clone();
-        let queue = Arc::clone(&member.queue);
+    fn start_endpoint(&self, endpoint: &mut FleetEndpoint) -> io::Result<()> {
+        let engine = endpoint.engine.clone();
+        let queue = Arc::clone(&endpoint.queue);
         let received = Arc::clone(&self.received);
         let options = ServeOptions::default();
         let handle = match self.policy {
             RequestsPolicy::Baseline => {
                 let fifo = Data::new(Fifo::new(SLOTS, engine, received));
-                serve(member.address, &options, move |app| {
+                serve(endpoint.address, &options, move |app| {
                     app.app_data(fifo.clone())
-                        .route("/generate", web::post().to(requests_baseline::endpoint));
+                        .route("/generate", web::post().to(requests_baseline::run_in_order));
                 })?
             }
             RequestsPolicy::Product | RequestsPolicy::Both => {
@@ -221,14 +221,14 @@
                     received,
                 });
                 let threads = Arc::clone(&self.endpoint_threads);
-                serve(member.address, &options, move |app| {
-                    add_thread(&threads);
+                serve(endpoint.address, &options, move |app| {
+                    record_thread(&threads);
                     app.app_data(server.clone())
                         .route("/x/generate", web::post().to(product_endpoint));
                 })?
             }
         };
-        member.handle = Some(handle);
+        endpoint.handle = Some(handle);
         Ok(())
     }
 
@@ -237,12 +237,18 @@
         self.entries.push(address);
         let options = ServeOptions::default();
         if self.policy == RequestsPolicy::Baseline {
-            let endpoints = self.members.iter().map(|member| member.address).collect();
+            let endpoints = self
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.address)
+                .collect();
             let first = number * ENDPOINTS / ENTRIES;
             let state = Data::new(RoundRobin::new(endpoints, first));
             let handle = serve(address, &options, move |app| {
-                app.app_data(state.clone())
-                    .route("/generate", web::post().to(requests_baseline::entry));
+                app.app_data(state.clone()).route(
+                    "/generate",
+                    web::post().to(requests_baseline::relay_to_next),
+                );
             })?;
             self.handles.push(handle);
             return Ok(());
@@ -251,7 +257,7 @@
         let shared = Data::from(Arc::clone(&state));
         let threads = Arc::clone(&self.entry_threads);
         let handle = serve(address, &options, move |app| {
-            add_thread(&threads);
+            record_thread(&threads);
             app.app_data(shared.clone())
                 .route("/v1/generate", web::post().to(generate_route));
         })?;
@@ -262,23 +268,23 @@
 
     /// Load of each endpoint as its next report would say.
     pub(super) fn loads(&self) -> Vec<Load> {
-        let queues = self.members.iter().map(|member| &member.queue);
+        let queues = self.endpoints.iter().map(|endpoint| &endpoint.queue);
         queues.map(|queue| queue.load()).collect()
     }
 
     /// Gives the entries a report of every endpoint that runs, with the given loads.
-    pub(super) fn report(&self, loads: &[Load]) {
+    pub(super) fn merge_reports(&self, loads: &[Load]) {
         for state in &self.states {
             let now_ms = state.node.now_ms();
             state
                 .node
                 .follower()
                 .apply_log_page(now_ms, now_ms, &log_page());
-            let running = self.members.iter().enumerate();
-            for (number, member) in running.filter(|(_, member)| member.handle.is_some()) {
+            let running = self.endpoints.iter().enumerate();
+            for (number, endpoint) in running.filter(|(_, endpoint)| endpoint.handle.is_some()) {
                 let report = Report {
                     name: format!("endpoint-{number}"),
-                    address: member.address,
+                    address: endpoint.address,
                     role: HostRole::Endpoint,
                     region: "or-north".to_owned(),
                     domain: "a".to_owned(),
@@ -290,7 +296,7 @@
                     served: vec![HostedVersion {
                         model: MODEL.to_owned(),
                         version: "1".to_owned(),
-                        manifest: manifest(),
+                        manifest: manifest_digest(),
                         progress: VersionProgress::Serving,
                         present_percent: 100,
                         held: None,
@@ -305,16 +311,16 @@
 
     /// Kills the endpoint process of a member; its engine goes on.
     pub(super) async fn kill(&mut self, number: usize) {
-        if let Some(handle) = self.members[number].handle.take() {
+        if let Some(handle) = self.endpoints[number].handle.take() {
             handle.kill().await;
         }
     }
 
     /// Starts a killed endpoint process again.
     pub(super) fn restart(&mut self, number: usize) -> io::Result<()> {
-        let mut member = self.members.remove(number);
-        let started = self.start_endpoint(&mut member);
-        self.members.insert(number, member);
+        let mut endpoint = self.endpoints.remove(number);
+        let started = self.start_endpoint(&mut endpoint);
+        self.endpoints.insert(number, endpoint);
         started
     }
 
@@ -342,7 +348,7 @@
 
     /// Stops everything.
     pub(super) async fn stop(mut self) {
-        for number in 0..self.members.len() {
+        for number in 0..self.endpoints.len() {
             self.kill(number).await;
         }
         for handle in &self.handles {
@@ -360,7 +366,7 @@
 async fn product_endpoint(state: Data<ProductEndpoint>, body: Bytes) -> HttpResponse {
     state.received.fetch_add(1, Ordering::Relaxed);
     match read_rmp::<GenerateCall>(&body) {
-        Ok(call) => state.server.run(call, whole()),
+        Ok(call) => state.server.run(call, weights_digest()),
         Err(error) => HttpResponse::BadRequest().body(error.to_string()),
     }
 }
--- a/src/bench/requests_overhead.rs
+++ b/src/bench/requests_overhead.rs
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use serde_json::json;
 
+use super::requests_driver::BenchRequest;
 use super::requests_driver::Driver;
-use super::requests_driver::Question;
 use super::requests_driver::Tallies;
-use super::requests_fleet::Fleet;
+use super::requests_fleet::RequestsFleet;
 use super::requests_fleet::RequestsPolicy;
 use super::requests_scenario::BRANCHES;
 use super::requests_scenario::TOKENS;
@@ -24,19 +24,19 @@
 const REQUESTS: usize = 600;
 
 /// Requests between two load reports.
-const BATCH: usize = 100;
+const BATCH_REQUESTS: usize = 100;
 
 /// Longest time the histograms hold.
-const MAX_US: u64 = 60_000_000;
+const MAX_RECORDED_US: u64 = 60_000_000;
 
 /// Requests in flight.
 const CONCURRENCY: usize = 4;
 
 /// Pace of the engines, so that the path weighs more.
-const FAST_PERCENT: u64 = 10;
+const FAST_PACE_PERCENT: u64 = 10;
 
 /// Time an engine has to take a fault.
-const FAULT_WAIT_MS: u64 = 1000;
+const FAULT_TIMEOUT_MS: u64 = 1000;
 
 /// What the path adds to a direct call.
 #[derive(Debug, Serialize)]
@@ -57,12 +57,12 @@
 
 /// Measures direct calls, then calls through entries and endpoints.
 pub(super) async fn measure_overhead() -> io::Result<OverheadResult> {
-    let fleet = Fleet::start(RequestsPolicy::Product, 0).await?;
-    for member in &fleet.members {
-        let url = format!("http://{}/fault", member.engine_address);
-        let order = json!({"pace_percent": FAST_PERCENT});
+    let fleet = RequestsFleet::start(RequestsPolicy::Product, 0).await?;
+    for endpoint in &fleet.endpoints {
+        let url = format!("http://{}/fault", endpoint.engine_address);
+        let fault = json!({"pace_percent": FAST_PACE_PERCENT});
         let http = HttpClient::to_platform();
-        let set = http.send_json::<()>(Method::POST, &url, &order, FAULT_WAIT_MS);
+        let set = http.send_json::<()>(Method::POST, &url, &fault, FAULT_TIMEOUT_MS);
         set.await.map_err(io::Error::other)?;
     }
     let driver = Driver::new(
@@ -70,16 +70,22 @@
         fleet.entries.clone(),
         Tallies::default(),
     );
-    let engines: Vec<SocketAddr> = fleet.members.iter().map(|it| it.engine_address).collect();
-    let direct = measure(&fleet, &driver, Some(&engines)).await;
+    let engines: Vec<SocketAddr> = fleet
+        .endpoints
+        .iter()
+        .map(|endpoint| endpoint.engine_address)
+        .collect();
+    let direct = measure_calls(&fleet, &driver, Some(&engines)).await;
     let entry_ns = cpu_ns(&fleet.entry_threads());
     let endpoint_ns = cpu_ns(&fleet.endpoint_threads());
-    let path = measure(&fleet, &driver, None).await;
+    let path = measure_calls(&fleet, &driver, None).await;
     let per_request = |ns: u64| ns as f64 / 1000.0 / REQUESTS as f64;
     let entry_us = per_request(cpu_ns(&fleet.entry_threads()) - entry_ns);
     let endpoint_us = per_request(cpu_ns(&fleet.endpoint_threads()) - endpoint_ns);
     fleet.stop().await;
-    let ms = |times: &Times, quantile| times.first_us.value_at_quantile(quantile) as f64 / 1000.0;
+    let ms = |times: &CallTimes, quantile| {
+        times.first_token_us.value_at_quantile(quantile) as f64 / 1000.0
+    };
     Ok(OverheadResult {
         requests: REQUESTS,
         concurrency: CONCURRENCY,
@@ -96,26 +102,31 @@
     })
 }
 
-struct Times {
-    first_us: Histogram<u64>,
+struct CallTimes {
+    first_token_us: Histogram<u64>,
     failed: usize,
 }
 
-async fn measure(fleet: &Fleet, driver: &Driver, engines: Option<&[SocketAddr]>) -> Times {
-    let mut times = Times {
-        first_us: Histogram::new_with_max(MAX_US, 3).expect("the bounds are valid"),
+async fn measure_calls(
+    fleet: &RequestsFleet,
+    driver: &Driver,
+    engines: Option<&[SocketAddr]>,
+) -> CallTimes {
+    let mut times = CallTimes {
+        first_token_us: Histogram::new_with_max(MAX_RECORDED_US, 3).expect("the bounds are valid"),
         failed: 0,
     };
-    for first in (0..REQUESTS).step_by(BATCH) {
+    for first in (0..REQUESTS).step_by(BATCH_REQUESTS) {
         // Entries forget endpoints that do not report.
-        fleet.report(&fleet.loads());
-        let asked = (first..first + BATCH).map(|number| ask(driver, engines, number));
-        let answers = stream::iter(asked).buffer_unordered(CONCURRENCY);
+        fleet.merge_reports(&fleet.loads());
+        let calls =
+            (first..first + BATCH_REQUESTS).map(|number| time_request(driver, engines, number));
+        let answers = stream::iter(calls).buffer_unordered(CONCURRENCY);
         let answers: Vec<(Outcome, Option<u64>)> = answers.collect().await;
-        for (outcome, first_us) in answers {
+        for (outcome, first_token_us) in answers {
             times.failed += usize::from(outcome != Outcome::Done);
-            if let Some(first_us) = first_us {
-                times.first_us.saturating_record(first_us);
+            if let Some(first_token_us) = first_token_us {
+                times.first_token_us.saturating_record(first_token_us);
             }
         }
     }
@@ -123,30 +134,30 @@
 }
 
 /// Asks an engine, or an entry where none is given; tells the time to the first token.
-async fn ask(
+async fn time_request(
     driver: &Driver,
     engines: Option<&[SocketAddr]>,
     number: usize,
 ) -> (Outcome, Option<u64>) {
     let start = Instant::now();
     let prompt = format!("question {number}");
-    let question = Question {
+    let request = BenchRequest {
         branch: BRANCHES[number % BRANCHES.len()],
         prompt: &prompt,
         tokens: TOKENS,
         number,
     };
-    let seen = match engines {
+    let result = match engines {
         Some(engines) => {
             let engine = engines[number % engines.len()];
-            driver.ask_engine(engine, &question).await
+            driver.send_to_engine(engine, &request).await
         }
-        None => driver.ask(number, &question).await,
+        None => driver.send_to_entry(number, &request).await,
     };
-    let first_us = seen
+    let first_token_us = result
         .first_token_at
         .map(|at| (at - start).as_micros() as u64);
-    (seen.outcome, first_us)
+    (result.outcome, first_token_us)
 }
 
 /// Processor time of threads of this process, named by their numbers.
@@ -159,7 +170,7 @@
 }
 
 /// Number of the calling thread.
-pub(super) fn thread_number() -> Option<String> {
+pub(super) fn current_thread_id() -> Option<String> {
     let link = fs::read_link("/proc/thread-self").ok()?;
     Some(link.file_name()?.to_str()?.to_owned())
 }
--- a/src/bench/requests_result.rs
+++ b/src/bench/requests_result.rs
@@ -4,10 +4,10 @@
 use serde::Serialize;
 
 use super::requests::engine_states;
-use super::requests_fleet::Fleet;
+use super::requests_fleet::RequestsFleet;
 use super::requests_scenario::BRANCHES;
 use super::requests_scenario::capacity_per_s;
-use super::requests_tally::Reasons;
+use super::requests_tally::ReasonCounts;
 use super::requests_tally::Tally;
 use super::requests_tally::TallyResult;
 use crate::clients::EngineState;
@@ -25,17 +25,21 @@
 }
 
 impl Snapshot {
-    pub(super) async fn take(fleet: &Fleet) -> Self {
+    pub(super) async fn take(fleet: &RequestsFleet) -> Self {
         Self {
             received: fleet.received.load(Ordering::Relaxed),
-            retried: fleet.metrics().iter().flat_map(|it| retries(it)).collect(),
+            retried: fleet
+                .metrics()
+                .iter()
+                .flat_map(|it| parse_retries(it))
+                .collect(),
             engines: engine_states(fleet).await,
         }
     }
 }
 
 /// Retries by reason in a metrics text.
-fn retries(text: &str) -> Vec<(String, u64)> {
+fn parse_retries(text: &str) -> Vec<(String, u64)> {
     let lines = text.lines().filter_map(|line| line.strip_prefix(RETRIES));
     lines
         .filter_map(|line| {
@@ -55,7 +59,7 @@
     #[serde(flatten)]
     all: TallyResult,
     sent: usize,
-    retried: Reasons,
+    retried: ReasonCounts,
     busy_share: f64,
     cache_hit_share: f64,
     max_load_over_mean: f64,
@@ -76,15 +80,15 @@
         for tally in tallies {
             all.merge(tally);
         }
-        let mut retried = Reasons::default();
+        let mut retried = ReasonCounts::default();
         for (reason, count) in &after.retried {
             retried.add(reason, *count);
         }
         for (reason, count) in &before.retried {
-            retried.take(reason, *count);
+            retried.subtract(reason, *count);
         }
         let branches = BRANCHES.into_iter().zip(tallies);
-        let counts = |count: fn(&EngineState) -> u64| differences(before, after, count);
+        let counts = |count: fn(&EngineState) -> u64| counter_increases(before, after, count);
         let hits: u64 = counts(|state| state.hit_blocks).iter().sum();
         let blocks: u64 = counts(|state| state.prompt_blocks).iter().sum();
         let started = counts(|state| state.started);
@@ -106,7 +110,11 @@
     }
 }
 
-fn differences(before: &Snapshot, after: &Snapshot, count: fn(&EngineState) -> u64) -> Vec<u64> {
+fn counter_increases(
+    before: &Snapshot,
+    after: &Snapshot,
+    count: fn(&EngineState) -> u64,
+) -> Vec<u64> {
     let pairs = before.engines.iter().zip(&after.engines);
     pairs
         .map(|(before, after)| count(after).saturating_sub(count(before)))
--- a/src/bench/requests_scenario.rs
+++ b/src/bench/requests_scenario.rs
@@ -116,13 +116,13 @@
 }
 
 /// Poisson arrivals of all branches, by time.
-pub(super) fn arrivals(load_percent: [f64; BRANCHES.len()], seed: u64) -> Vec<Arrival> {
+pub(super) fn poisson_arrivals(load_percent: [f64; BRANCHES.len()], seed: u64) -> Vec<Arrival> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let end_us = (WARM_UP_MS + MEASURED_MS) as f64 * 1000.0;
     let mut arrivals = Vec::new();
     for (branch, percent) in load_percent.into_iter().enumerate() {
         let mean_us = 1e6 / (capacity_per_s() * percent / 100.0);
-        let mut at_us = pause_us(&mut random, mean_us);
+        let mut at_us = arrival_gap_us(&mut random, mean_us);
         while at_us < end_us {
             arrivals.push(Arrival {
                 at_us: at_us as u64,
@@ -132,7 +132,7 @@
                 prefix: (random.random::<f64>().powi(2) * f64::from(PREFIXES)) as u32,
                 tokens: random.random_range(TOKENS - TOKENS_SPREAD..=TOKENS + TOKENS_SPREAD),
             });
-            at_us += pause_us(&mut random, mean_us);
+            at_us += arrival_gap_us(&mut random, mean_us);
         }
     }
     arrivals.sort_unstable_by_key(|arrival| arrival.at_us);
@@ -140,13 +140,13 @@
 }
 
 /// Exponentially distributed time between two arrivals.
-fn pause_us(random: &mut Pcg64Mcg, mean_us: f64) -> f64 {
+fn arrival_gap_us(random: &mut Pcg64Mcg, mean_us: f64) -> f64 {
     let uniform: f64 = random.random_range(f64::EPSILON..1.0);
     -uniform.ln() * mean_us
 }
 
 /// The prompt of an arrival: a common head and a tail of its own.
-pub(super) fn prompt(arrival: &Arrival, number: usize) -> String {
+pub(super) fn build_prompt(arrival: &Arrival, number: usize) -> String {
     let head = format!("rules of beach number {:04}; ", arrival.prefix);
     let mut prompt = head.repeat(PREFIX_BYTES / head.len() + 1);
     prompt.truncate(PREFIX_BYTES);
--- a/src/bench/requests_tally.rs
+++ b/src/bench/requests_tally.rs
@@ -8,7 +8,7 @@
 use super::requests_scenario::MEASURED_MS;
 
 /// Longest time the histograms hold.
-const MAX_US: u64 = 60_000_000;
+const MAX_RECORDED_US: u64 = 60_000_000;
 
 /// How a request ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,33 +23,33 @@
 
 /// Counts by reason, sorted.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Reasons(Vec<(String, u64)>);
+pub(super) struct ReasonCounts(Vec<(String, u64)>);
 
-impl Reasons {
+impl ReasonCounts {
     pub(super) fn add(&mut self, reason: &str, count: u64) {
         match self
             .0
             .binary_search_by(|(known, _)| known.as_str().cmp(reason))
         {
-            Ok(at) => self.0[at].1 += count,
-            Err(at) => self.0.insert(at, (reason.to_owned(), count)),
+            Ok(index) => self.0[index].1 += count,
+            Err(index) => self.0.insert(index, (reason.to_owned(), count)),
         }
     }
 }
 
-impl Reasons {
+impl ReasonCounts {
     /// Takes back what was counted before.
-    pub(super) fn take(&mut self, reason: &str, count: u64) {
-        if let Ok(at) = self
+    pub(super) fn subtract(&mut self, reason: &str, count: u64) {
+        if let Ok(index) = self
             .0
             .binary_search_by(|(known, _)| known.as_str().cmp(reason))
         {
-            self.0[at].1 = self.0[at].1.saturating_sub(count);
+            self.0[index].1 = self.0[index].1.saturating_sub(count);
         }
     }
 }
 
-impl Serialize for Reasons {
+impl Serialize for ReasonCounts {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut map = serializer.serialize_map(Some(self.0.len()))?;
         for (reason, count) in &self.0 {
@@ -64,20 +64,21 @@
 pub(super) struct Tally {
     offered: u64,
     done: u64,
-    refused: Reasons,
-    failed: Reasons,
+    refused: ReasonCounts,
+    failed: ReasonCounts,
     first_token_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
 }
 
 impl Tally {
     pub(super) fn new() -> Self {
-        let histogram = || Histogram::new_with_max(MAX_US, 3).expect("the bounds are valid");
+        let histogram =
+            || Histogram::new_with_max(MAX_RECORDED_US, 3).expect("the bounds are valid");
         Self {
             offered: 0,
             done: 0,
-            refused: Reasons::default(),
-            failed: Reasons::default(),
+            refused: ReasonCounts::default(),
+            failed: ReasonCounts::default(),
             first_token_us: histogram(),
             refusal_us: histogram(),
         }
@@ -142,8 +143,8 @@
 pub struct TallyResult {
     pub offered: u64,
     pub done: u64,
-    pub(super) refused: Reasons,
-    pub(super) failed: Reasons,
+    pub(super) refused: ReasonCounts,
+    pub(super) failed: ReasonCounts,
     pub goodput_per_s: f64,
     pub first_token_p50_ms: f64,
     pub first_token_p95_ms: f64,
--- a/src/bench/weights.rs
+++ b/src/bench/weights.rs
@@ -14,9 +14,9 @@
 
 use super::BoundInput;
 use super::WeightsResult;
-use super::bound_ms;
-use super::weights_fleet::Fleet;
+use super::lower_bound_ms;
 use super::weights_fleet::FleetHost;
+use super::weights_fleet::WeightsFleet;
 use super::weights_trace::WeightsTrace;
 use crate::clients::OriginClient;
 use crate::links::HttpClient;
@@ -46,16 +46,16 @@
 const KILL_AT_PERCENT: u64 = 40;
 
 /// Time after which a run is given up, in bounds.
-const GIVE_UP_BOUNDS: u64 = 8;
+const TIMEOUT_BOUNDS: u64 = 8;
 
 /// Time given to hosts for a version that a baseline moves badly.
-const GIVE_UP_BASELINE_BOUNDS: u64 = 400;
+const BASELINE_TIMEOUT_BOUNDS: u64 = 400;
 
 /// How often the bench looks whether all hosts serve.
-const POLL_MS: u64 = 20;
+const POLL_INTERVAL_MS: u64 = 20;
 
 /// Time for a call of the bench itself.
-const CALL_WAIT_MS: u64 = 10_000;
+const CALL_TIMEOUT_MS: u64 = 10_000;
 
 /// A plain scheme to compare with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -142,8 +142,8 @@
     }
 
     /// The shortest time in which any scheme could be done.
-    pub fn bound_ms(&self) -> u64 {
-        bound_ms(&BoundInput {
+    pub fn lower_bound_ms(&self) -> u64 {
+        lower_bound_ms(&BoundInput {
             bytes: self.bytes,
             hosts: self.hosts as u64,
             regions: self.regions as u64,
@@ -166,42 +166,42 @@
     }
 
     /// Whether host `index` is killed on the way.
-    pub(super) fn is_doomed(&self, index: usize) -> bool {
-        let doomed = self.hosts * usize::try_from(self.kill_percent).unwrap_or(0) / 100;
+    pub(super) fn will_be_killed(&self, index: usize) -> bool {
+        let killed_hosts = self.hosts * usize::try_from(self.kill_percent).unwrap_or(0) / 100;
         // Hosts in an order that the seed decides.
         let rank = |host: usize| (mix64(self.seed ^ host as u64), host);
         (0..self.hosts)
             .filter(|other| rank(*other) < rank(index))
             .count()
-            < doomed
+            < killed_hosts
     }
 
     /// Whether the list of `index` lacks `other`.
     pub(super) fn is_unlisted(&self, index: usize, other: usize) -> bool {
-        let draw = mix64(self.seed ^ (index as u64) << 32 ^ other as u64);
-        self.kill_percent > 0 && draw % 100 < UNLISTED_PERCENT
+        let hash = mix64(self.seed ^ (index as u64) << 32 ^ other as u64);
+        self.kill_percent > 0 && hash % 100 < UNLISTED_PERCENT
     }
 
-    pub(super) fn duties(&self) -> usize {
+    pub(super) fn max_imports(&self) -> usize {
         match self.baseline {
             Some(Baseline::Origin | Baseline::Chain) => self.fetches,
             _ => 2,
         }
     }
 
-    pub(super) fn per_peer(&self) -> usize {
+    pub(super) fn max_fetches_per_peer(&self) -> usize {
         match self.baseline {
             Some(Baseline::Chain) => self.fetches,
             _ => 1,
         }
     }
 
-    fn give_up_ms(&self) -> u64 {
+    fn timeout_ms(&self) -> u64 {
         let bounds = match self.baseline {
-            None => GIVE_UP_BOUNDS,
-            Some(_) => GIVE_UP_BASELINE_BOUNDS,
+            None => TIMEOUT_BOUNDS,
+            Some(_) => BASELINE_TIMEOUT_BOUNDS,
         };
-        self.bound_ms() * bounds
+        self.lower_bound_ms() * bounds
     }
 
     /// Runs the burst until every surviving host serves, or time is up.
@@ -210,30 +210,33 @@
     ///
     /// The I/O error when the hosts or the origin can't start.
     pub async fn run(&self) -> io::Result<WeightsResult> {
-        let fleet = Fleet::start(self)?;
+        let fleet = WeightsFleet::start(self)?;
         let origin = origin::start(OriginOptions {
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
             rate_bytes_per_s: self.origin_bytes_per_s(),
             burst_bytes: u64::from(self.chunk_bytes),
         })
         .await?;
-        let manifest = self.publish(&origin).await.map_err(io::Error::other)?;
+        let manifest = self
+            .publish_version(&origin)
+            .await
+            .map_err(io::Error::other)?;
         let started = Instant::now();
-        fleet.burst(self, &manifest, &origin.url(), started);
-        self.wait(&fleet, started).await;
+        fleet.start_transfers(self, &manifest, &origin.url(), started);
+        self.wait_until_served(&fleet, started).await;
         let elapsed_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
         let url = format!("{}/stats", origin.url());
         let stats: OriginStats = HttpClient::to_platform()
-            .get_json(&url, CALL_WAIT_MS)
+            .get_json(&url, CALL_TIMEOUT_MS)
             .await
             .map_err(io::Error::other)?;
-        let result = WeightsResult::gather(self, &fleet, &stats, elapsed_ms);
+        let result = WeightsResult::collect(self, &fleet, &stats, elapsed_ms);
         fleet.stop().await;
         origin.kill().await;
         Ok(result)
     }
 
-    async fn publish(&self, origin: &Handle) -> Result<Manifest, LinkError> {
+    async fn publish_version(&self, origin: &Handle) -> Result<Manifest, LinkError> {
         let publication = Publication {
             model: "bench".to_owned(),
             version: "v1".to_owned(),
@@ -245,7 +248,7 @@
         let url = format!("{}/v1/publish", origin.url());
         let http = HttpClient::to_platform();
         let published: Published = http
-            .send_json(Method::POST, &url, &publication, CALL_WAIT_MS)
+            .send_json(Method::POST, &url, &publication, CALL_TIMEOUT_MS)
             .await?;
         let manifest = OriginClient::new(origin.url())
             .manifest("bench", "v1")
@@ -257,24 +260,24 @@
         }
     }
 
-    async fn wait(&self, fleet: &Fleet, started: Instant) {
-        let give_up = Duration::from_millis(self.give_up_ms());
-        let kill_at = Duration::from_millis(self.bound_ms() * KILL_AT_PERCENT / 100);
+    async fn wait_until_served(&self, fleet: &WeightsFleet, started: Instant) {
+        let timeout = Duration::from_millis(self.timeout_ms());
+        let kill_at = Duration::from_millis(self.lower_bound_ms() * KILL_AT_PERCENT / 100);
         let mut killed = false;
         let mut trace = WeightsTrace::new(self);
-        while started.elapsed() < give_up {
+        while started.elapsed() < timeout {
             if !killed && started.elapsed() >= kill_at {
                 killed = true;
-                fleet.kill_doomed().await;
+                fleet.kill_selected().await;
             }
             if self.trace {
                 trace.sample(fleet, started);
             }
-            let settled = |host: &FleetHost| host.doomed || host.served_ms().is_some();
-            if fleet.hosts.iter().all(settled) {
+            let is_done = |host: &FleetHost| host.will_be_killed || host.served_ms().is_some();
+            if fleet.hosts.iter().all(is_done) {
                 return;
             }
-            sleep(Duration::from_millis(POLL_MS)).await;
+            sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
     }
 }
--- a/src/bench/weights_bound.rs
+++ b/src/bench/weights_bound.rs
@@ -21,21 +21,24 @@
 ///
 /// After Kumar and Ross, "Peer-assisted file distribution: the minimum
 /// distribution time" (2006), with a term for each cut between regions.
-pub fn bound_ms(input: &BoundInput) -> u64 {
+pub fn lower_bound_ms(input: &BoundInput) -> u64 {
     let bytes = input.bytes as f64;
     let hosts = input.hosts as f64;
     let origin = input.origin_bytes_per_s as f64;
     let host = input.host_bytes_per_s as f64;
-    let ways = if input.shared_link { 2.0 } else { 1.0 };
+    let shared_ways = if input.shared_link { 2.0 } else { 1.0 };
     let from_origin = bytes / origin;
     let into_host = bytes / host;
-    let in_all = ways * hosts * bytes / (origin + hosts * host);
+    let into_all_hosts = shared_ways * hosts * bytes / (origin + hosts * host);
     // A region is entered from every other one.
-    let crossings = (input.regions.saturating_sub(1)) as f64;
+    let entering_links = (input.regions.saturating_sub(1)) as f64;
     let into_region = match input.regions {
         0 | 1 => 0.0,
-        _ => bytes / (crossings * input.crossing_bytes_per_s as f64),
+        _ => bytes / (entering_links * input.crossing_bytes_per_s as f64),
     };
-    let bound_s = from_origin.max(into_host).max(in_all).max(into_region);
+    let bound_s = from_origin
+        .max(into_host)
+        .max(into_all_hosts)
+        .max(into_region);
     (bound_s * 1000.0).round() as u64
 }
--- a/src/bench/weights_fleet.rs
+++ b/src/bench/weights_fleet.rs
@@ -14,7 +14,7 @@
 use actix_web::dev::ServerHandle;
 
 use super::WeightsBench;
-use crate::bench::weights_members::Members;
+use crate::bench::weights_member_lists::MemberLists;
 use crate::clients::OriginClient;
 use crate::endpoint::StopTransfer;
 use crate::endpoint::Transfer;
@@ -43,7 +43,7 @@
 /// One host of the fleet.
 pub(super) struct FleetHost {
     pub(super) share: Arc<WeightsShare>,
-    pub(super) doomed: bool,
+    pub(super) will_be_killed: bool,
     /// Time from the start of the burst until the host served.
     served_ms: Arc<Mutex<Option<u64>>>,
     transfer: Arc<Mutex<Option<Addr<Transfer>>>>,
@@ -58,7 +58,7 @@
 }
 
 /// Hosts on loopback, each with links of its own.
-pub(super) struct Fleet {
+pub(super) struct WeightsFleet {
     pub(super) hosts: Vec<FleetHost>,
     /// Links between regions, by name of the pair.
     pub(super) crossings: Vec<(String, Arc<WeightLink>)>,
@@ -67,7 +67,7 @@
     server: ServerHandle,
 }
 
-impl Fleet {
+impl WeightsFleet {
     /// Starts the servers of all hosts; nothing is fetched yet.
     pub(super) fn start(bench: &WeightsBench) -> io::Result<Self> {
         let regions = bench.region_names();
@@ -76,19 +76,19 @@
         for index in 0..bench.hosts {
             let region = &regions[index % regions.len()];
             hosts.push(FleetHost {
-                share: share(bench, index, region, &crossings),
-                doomed: bench.is_doomed(index),
+                share: weights_share(bench, index, region, &crossings),
+                will_be_killed: bench.will_be_killed(index),
                 served_ms: Arc::default(),
                 transfer: Arc::default(),
                 server: None,
             });
         }
-        let listeners = listeners(bench.hosts)?;
+        let listeners = bind_listeners(bench.hosts)?;
         let addresses: Vec<SocketAddr> = listeners
             .iter()
             .map(TcpListener::local_addr)
             .collect::<io::Result<_>>()?;
-        let server = serve(&mut hosts, listeners, &addresses)?;
+        let server = start_servers(&mut hosts, listeners, &addresses)?;
         let arbiters = (0..TRANSFER_THREADS).map(|_| Arbiter::new()).collect();
         Ok(Self {
             hosts,
@@ -100,19 +100,19 @@
     }
 
     /// Announces the version to every host.
-    pub(super) fn burst(
+    pub(super) fn start_transfers(
         &self,
         bench: &WeightsBench,
         manifest: &Manifest,
         origin_url: &str,
         started: Instant,
     ) {
-        let members = Members::new(bench, &self.addresses);
+        let member_lists = MemberLists::new(bench, &self.addresses);
         for (index, host) in self.hosts.iter().enumerate() {
             let share = Arc::clone(&host.share);
             let manifest = manifest.clone();
-            let view = members.view(index);
-            let options = options(bench, origin_url);
+            let view = member_lists.list_of(index);
+            let options = transfer_options(bench, origin_url);
             let served_ms = Arc::clone(&host.served_ms);
             let transfer = Arc::clone(&host.transfer);
             self.arbiters[index % self.arbiters.len()].spawn_fn(move || {
@@ -122,14 +122,14 @@
                     return;
                 };
                 *transfer.lock().expect("no holder of the address panics") = Some(actor.start());
-                actix_rt::spawn(load(share, digest, served_ms, started));
+                actix_rt::spawn(load_and_serve(share, digest, served_ms, started));
             });
         }
     }
 
     /// Ends the doomed hosts: their connections break and new ones are refused.
-    pub(super) async fn kill_doomed(&self) {
-        for host in self.hosts.iter().filter(|host| host.doomed) {
+    pub(super) async fn kill_selected(&self) {
+        for host in self.hosts.iter().filter(|host| host.will_be_killed) {
             let transfer = host
                 .transfer
                 .lock()
@@ -159,7 +159,7 @@
 }
 
 /// Plays the engine: loads what was verified and reports its digest.
-async fn load(
+async fn load_and_serve(
     share: Arc<WeightsShare>,
     digest: Digest,
     served_ms: Arc<Mutex<Option<u64>>>,
@@ -182,7 +182,7 @@
     *served_ms.lock().expect("no holder of the time panics") = Some(elapsed_ms);
 }
 
-fn options(bench: &WeightsBench, origin_url: &str) -> TransferOptions {
+fn transfer_options(bench: &WeightsBench, origin_url: &str) -> TransferOptions {
     TransferOptions {
         origin: OriginClient::new(origin_url),
         origin_region: bench.region_names()[0].clone(),
@@ -190,8 +190,8 @@
         swarm: SwarmSettings {
             plan: PlanSettings {
                 max_regional_fetches: bench.fetches,
-                max_imports: bench.duties(),
-                max_fetches_per_peer: bench.per_peer(),
+                max_imports: bench.max_imports(),
+                max_fetches_per_peer: bench.max_fetches_per_peer(),
                 ..PlanSettings::default()
             },
             max_probed_peers: bench.neighbours,
@@ -201,7 +201,7 @@
     }
 }
 
-fn share(
+fn weights_share(
     bench: &WeightsBench,
     index: usize,
     region: &str,
@@ -236,41 +236,41 @@
     links
 }
 
-fn listeners(count: usize) -> io::Result<Vec<TcpListener>> {
+fn bind_listeners(count: usize) -> io::Result<Vec<TcpListener>> {
     (0..count)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
         .collect()
 }
 
 /// One server for the hosts that stay, and one for each doomed host.
-fn serve(
+fn start_servers(
     hosts: &mut [FleetHost],
     listeners: Vec<TcpListener>,
     addresses: &[SocketAddr],
 ) -> io::Result<ServerHandle> {
-    let staying: Vec<(SocketAddr, Arc<WeightsShare>)> = hosts
+    let surviving: Vec<(SocketAddr, Arc<WeightsShare>)> = hosts
         .iter()
         .zip(addresses)
-        .filter(|(host, _)| !host.doomed)
+        .filter(|(host, _)| !host.will_be_killed)
         .map(|(host, address)| (*address, Arc::clone(&host.share)))
         .collect();
-    let many = WeightsHosts::many(staying, SHARED_KEY);
+    let surviving_hosts = WeightsHosts::many(surviving, SHARED_KEY);
     let mut server = HttpServer::new(move || {
-        let many = many.clone();
-        App::new().configure(move |app| configure_weights(app, many))
+        let surviving_hosts = surviving_hosts.clone();
+        App::new().configure(move |app| configure_weights(app, surviving_hosts))
     })
     .workers(SERVER_THREADS)
     .disable_signals()
     .shutdown_timeout(0);
     for (host, listener) in hosts.iter_mut().zip(listeners) {
-        if !host.doomed {
+        if !host.will_be_killed {
             server = server.listen(listener)?;
             continue;
         }
-        let one = WeightsHosts::one(Arc::clone(&host.share), SHARED_KEY);
+        let killed_host = WeightsHosts::one(Arc::clone(&host.share), SHARED_KEY);
         let running = HttpServer::new(move || {
-            let one = one.clone();
-            App::new().configure(move |app| configure_weights(app, one))
+            let killed_host = killed_host.clone();
+            App::new().configure(move |app| configure_weights(app, killed_host))
         })
         .workers(1)
         .disable_signals()
--- a/src/bench/weights_members.rs
+++ b/src/bench/weights_member_lists.rs
@@ -11,12 +11,12 @@
 /// a host that sees only itself reads all from the origin; one that sees only
 /// the host before it, in another region, reads all from that one.
 #[derive(Debug)]
-pub(super) struct Members<'a> {
+pub(super) struct MemberLists<'a> {
     bench: &'a WeightsBench,
     all: Vec<SwarmMember>,
 }
 
-impl<'a> Members<'a> {
+impl<'a> MemberLists<'a> {
     pub(super) fn new(bench: &'a WeightsBench, addresses: &[SocketAddr]) -> Self {
         let regions = bench.region_names();
         let all = addresses
@@ -35,17 +35,17 @@
     }
 
     /// The list of host `index`.
-    pub(super) fn view(&self, index: usize) -> Vec<SwarmMember> {
+    pub(super) fn list_of(&self, index: usize) -> Vec<SwarmMember> {
         match self.bench.baseline {
-            None => self.listed(index),
+            None => self.partial_list(index),
             Some(Baseline::Origin) => vec![self.all[index].clone()],
-            Some(Baseline::Chain) => self.chain(index),
-            Some(Baseline::Star) => self.star(index),
+            Some(Baseline::Chain) => self.chain_list(index),
+            Some(Baseline::Star) => self.star_list(index),
         }
     }
 
     /// All hosts, but for those that this host's list lacks.
-    fn listed(&self, index: usize) -> Vec<SwarmMember> {
+    fn partial_list(&self, index: usize) -> Vec<SwarmMember> {
         self.all
             .iter()
             .enumerate()
@@ -54,7 +54,7 @@
             .collect()
     }
 
-    fn chain(&self, index: usize) -> Vec<SwarmMember> {
+    fn chain_list(&self, index: usize) -> Vec<SwarmMember> {
         let mut own = self.all[index].clone();
         if index == 0 {
             return vec![own];
@@ -66,11 +66,11 @@
     }
 
     /// The origin's region and the own one, which is then fed from there.
-    fn star(&self, index: usize) -> Vec<SwarmMember> {
+    fn star_list(&self, index: usize) -> Vec<SwarmMember> {
         let first = &self.all[0].host.region;
         let own = &self.all[index].host.region;
-        let seen =
+        let is_listed =
             |member: &&SwarmMember| member.host.region == *first || member.host.region == *own;
-        self.all.iter().filter(seen).cloned().collect()
+        self.all.iter().filter(is_listed).cloned().collect()
     }
 }
--- a/src/bench/weights_result.rs
+++ b/src/bench/weights_result.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use super::WeightsBench;
-use super::weights_fleet::Fleet;
+use super::weights_fleet::WeightsFleet;
 use crate::standin::origin::OriginStats;
 
 /// What a burst measured.
@@ -56,13 +56,13 @@
 }
 
 impl WeightsResult {
-    pub(super) fn gather(
+    pub(super) fn collect(
         bench: &WeightsBench,
-        fleet: &Fleet,
+        fleet: &WeightsFleet,
         origin: &OriginStats,
         elapsed_ms: u64,
     ) -> Self {
-        let surviving = fleet.hosts.iter().filter(|host| !host.doomed);
+        let surviving = fleet.hosts.iter().filter(|host| !host.will_be_killed);
         let mut served_ms: Vec<u64> = surviving
             .clone()
             .filter_map(|host| host.served_ms())
@@ -73,7 +73,7 @@
             0 => served_ms.last().copied().unwrap_or(elapsed_ms),
             _ => elapsed_ms,
         };
-        let copies = |bytes: u64| rounded(bytes as f64 / bench.bytes as f64);
+        let copies = |bytes: u64| round_to_thousandths(bytes as f64 / bench.bytes as f64);
         let crossing_bytes = fleet
             .crossings
             .iter()
@@ -90,16 +90,20 @@
             .map(|host| host.share.control_bytes())
             .sum();
         let host_seconds = bench.hosts as f64 * time_ms as f64 / 1000.0;
-        let bound_ms = bench.bound_ms();
+        let bound_ms = bench.lower_bound_ms();
         Self {
             hosts: bench.hosts,
             regions: bench.regions,
             processes: 1,
-            scheme: scheme(bench),
+            scheme: scheme_name(bench),
             shared_link: bench.shared_link,
             bytes: bench.bytes,
             chunks: bench.bytes.div_ceil(u64::from(bench.chunk_bytes)),
-            killed_hosts: fleet.hosts.iter().filter(|host| host.doomed).count(),
+            killed_hosts: fleet
+                .hosts
+                .iter()
+                .filter(|host| host.will_be_killed)
+                .count(),
             verified_hosts: served_ms.len(),
             time_ms,
             half_ms: served_ms
@@ -107,13 +111,13 @@
                 .copied()
                 .unwrap_or(elapsed_ms),
             bound_ms,
-            ratio_to_bound: rounded(time_ms as f64 / bound_ms as f64),
+            ratio_to_bound: round_to_thousandths(time_ms as f64 / bound_ms as f64),
             origin_copies: copies(origin.chunk_bytes_sent),
             region_link_copies: copies(crossing_bytes.unwrap_or(0)),
             host_up_copies_max: copies(up_bytes.unwrap_or(0)),
-            control_bytes_per_s: rounded(control_bytes as f64 / host_seconds),
-            cpu_percent_per_host: rounded(cpu_seconds() * 100.0 / host_seconds),
-            retries: retries(fleet),
+            control_bytes_per_s: round_to_thousandths(control_bytes as f64 / host_seconds),
+            cpu_percent_per_host: round_to_thousandths(process_cpu_s() * 100.0 / host_seconds),
+            retries: sum_retries(fleet),
             served_ms,
             missing_hosts,
         }
@@ -121,23 +125,23 @@
 }
 
 /// Retries of all hosts, read from their exported counters.
-fn retries(fleet: &Fleet) -> Vec<(String, u64)> {
+fn sum_retries(fleet: &WeightsFleet) -> Vec<(String, u64)> {
     let mut totals: Vec<(String, u64)> = Vec::new();
     for host in &fleet.hosts {
         for line in host.share.metrics.render().lines() {
-            let Some((reason, count)) = retry_line(line) else {
+            let Some((reason, count)) = parse_retry_line(line) else {
                 continue;
             };
             match totals.binary_search_by(|(known, _)| known.as_str().cmp(reason)) {
-                Ok(at) => totals[at].1 += count,
-                Err(at) => totals.insert(at, (reason.to_owned(), count)),
+                Ok(index) => totals[index].1 += count,
+                Err(index) => totals.insert(index, (reason.to_owned(), count)),
             }
         }
     }
     totals
 }
 
-fn retry_line(line: &str) -> Option<(&str, u64)> {
+fn parse_retry_line(line: &str) -> Option<(&str, u64)> {
     let labels = line.strip_prefix("bergamotfork_retries_total{")?;
     let (_, reason) = labels.split_once("reason=\"")?;
     let (reason, _) = reason.split_once('"')?;
@@ -145,19 +149,19 @@
     Some((reason, count as u64))
 }
 
-fn scheme(bench: &WeightsBench) -> String {
+fn scheme_name(bench: &WeightsBench) -> String {
     match bench.baseline {
         None => "swarm".to_owned(),
         Some(baseline) => format!("{baseline:?}").to_lowercase(),
     }
 }
 
-fn rounded(value: f64) -> f64 {
+fn round_to_thousandths(value: f64) -> f64 {
     (value * 1000.0).round() / 1000.0
 }
 
 /// Processor time of this process so far; 0 where the system doesn't tell.
-fn cpu_seconds() -> f64 {
+fn process_cpu_s() -> f64 {
     /// Clock ticks in a second, fixed by the kernel's interface.
     const TICKS_PER_S: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -49,7 +49,7 @@
     } else {
         println!("{result}");
     }
-    if result.is_good() {
+    if result.is_successful() {
         return Ok(());
     }
     let reason = "a process lacks the last change, or an offset went back";
