--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -18,46 +18,46 @@
 use crate::links::HttpClient;
 use crate::links::LinkError;
 
-/// Time all processes have to find each other before the first change.
+/// Time for all processes to discover each other before the first change.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time the last change has to come into force; twice the target.
+/// Longest wait for the last change to be in force everywhere; twice the target.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Delay of every call of a slow log.
+/// Delay added to every log call by [`ControlFault::LogSlow`].
 const LOG_DELAY_MS: u64 = 2000;
 
-/// Length of an outage, a pause or a cut.
+/// Duration of a log outage, a pause of processes or a cut between regions.
 const FAULT_DURATION: Duration = Duration::from_secs(6);
 
-/// Pause before an append is tried again.
+/// Delay before a failed append is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Pause between looks at the processes at the end.
+/// Interval of the checks whether the last change is in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time a fault order has.
+/// Timeout of the request that sets faults of the log stand-in.
 const FAULT_TIMEOUT_MS: u64 = 5000;
 
-/// What goes wrong during the run.
+/// Fault injected during the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum ControlFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Every call of the log takes 2 s.
+    /// Every log call takes 2 s.
     LogSlow,
-    /// The log is down for 6 s.
+    /// The log is unavailable for 6 s.
     LogDown,
     /// The reply of every second append is lost.
     LostReply,
-    /// A third of the processes stops following for 6 s.
+    /// A third of the processes stops following the log for 6 s.
     PauseThird,
-    /// Two regions cannot reach each other, nor the second the platform, for 6 s.
+    /// For 6 s the two regions cannot reach each other, and the second cannot reach the platform.
     RegionCut,
 }
 
 impl ControlFault {
-    /// Name on the command line.
+    /// Name of the fault on the command line and in the result.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -70,22 +70,22 @@
     }
 }
 
-/// One measurement of the configuration's way to every process.
+/// Measurement of how fast configuration changes are in force on every process.
 #[derive(Debug, Clone, Args)]
 pub struct ControlBench {
-    /// Entry processes.
+    /// Number of entry processes.
     #[arg(long, default_value_t = 9)]
     pub entries: usize,
-    /// Endpoint processes.
+    /// Number of endpoint processes.
     #[arg(long, default_value_t = 60)]
     pub endpoints: usize,
-    /// What goes wrong.
+    /// Fault to inject after a third of the changes.
     #[arg(long, value_enum, default_value = "none")]
     pub fault: ControlFault,
-    /// Changes of the configuration.
+    /// Number of configuration changes.
     #[arg(long, default_value_t = 20)]
     pub changes: u64,
-    /// Time between two changes.
+    /// Time between two changes in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 500)]
     pub interval_ms: u64,
     /// Print one JSON object.
@@ -94,11 +94,11 @@
 }
 
 impl ControlBench {
-    /// Runs the measurement.
+    /// Starts the fleet, appends the changes and measures when each is in force.
     ///
     /// # Errors
     ///
-    /// The I/O error when the processes do not start.
+    /// The I/O error when the processes cannot be started or the log's counters cannot be read.
     pub async fn run(&self) -> io::Result<ControlResult> {
         let fleet = ControlFleet::start(self.entries, self.endpoints).await?;
         sleep(SETTLE_TIME).await;
@@ -114,7 +114,7 @@
         Ok(result)
     }
 
-    /// Makes every change; the fault sets in after a third of them.
+    /// Appends every change, injects the fault after a third of them and returns the offsets.
     async fn append_changes(&self, fleet: &ControlFleet, monitor: &ControlMonitor) -> Vec<u64> {
         let mut offsets = Vec::new();
         for number in 0..self.changes {
@@ -132,6 +132,7 @@
         offsets
     }
 
+    /// Injects the fault; an outage of the log is over on return.
     async fn inject_fault(&self, fleet: &ControlFleet) {
         match self.fault {
             ControlFault::None | ControlFault::LostReply => {}
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Waits until the last change is in force; returns how many processes lack it.
+    /// Waits until the change at offset `last` is in force everywhere or the wait
+    /// times out, and returns the number of processes that still lack it.
     async fn wait_in_force(&self, fleet: &ControlFleet, last: Option<u64>) -> usize {
         let deadline = Instant::now() + IN_FORCE_TIMEOUT;
         loop {
@@ -161,7 +163,8 @@
     }
 }
 
-/// Appends one edit, again with the same id until a reply comes.
+/// Appends one edit and returns its offset; retries with the same edit id until
+/// the log replies.
 async fn append_edit(fleet: &ControlFleet, number: u64) -> u64 {
     let edit = Edit {
         edit_id: format!("bench {number}"),
@@ -180,6 +183,7 @@
     }
 }
 
+/// Sets the faults of the log stand-in.
 async fn set_log_faults(fleet: &ControlFleet, faults: &Value) {
     let url = format!("{}/fault", fleet.log_url());
     let set: Result<Value, LinkError> = HttpClient::to_platform()
--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -34,29 +34,30 @@
 use crate::standin::log::LogOptions;
 use crate::standin::log::LogStats;
 
-/// Key the processes share.
+/// Key with which the processes authenticate each other.
 const SHARED_KEY: &str = "the shared key of the bench";
 
-/// Time the log keeps a record.
+/// Time for which the log retains a record.
 const RETENTION_MS: u64 = 3_600_000;
 
-/// Time for a call of the bench itself.
+/// Timeout of the bench's own calls to the stand-ins.
 const CALL_TIMEOUT_MS: u64 = 10_000;
 
-/// Regions of the fleet.
+/// Regions of the fleet; hosts alternate between them.
 const REGIONS: [&str; 2] = ["north", "south"];
 
-/// One role on threads of its own, as a process would be.
+/// Entry or endpoint that runs in an actix system on threads of its own, in place
+/// of a process.
 #[derive(Debug)]
 pub(super) struct ControlHost {
     pub(super) node: Arc<Node>,
-    /// Threads that the role started.
+    /// Ids of the threads that the host started.
     pub(super) threads: Vec<u32>,
     arbiter: ArbiterHandle,
     system: System,
 }
 
-/// Stand-ins, entries and endpoints of one measurement.
+/// Platform stand-ins, entries and endpoints of one measurement.
 #[derive(Debug)]
 pub(super) struct ControlFleet {
     log: Handle,
@@ -65,7 +66,7 @@
 }
 
 impl ControlFleet {
-    /// Starts every role and lists it.
+    /// Starts the stand-ins and every host, and registers the hosts in the list.
     pub(super) async fn start(entries: usize, endpoints: usize) -> io::Result<Self> {
         let log = log::start(LogOptions {
             listen: free_address()?,
@@ -91,6 +92,7 @@
         Ok(fleet)
     }
 
+    /// Starts a host and registers it in the host list.
     async fn add_host(&mut self, role: HostRole, number: usize) -> io::Result<()> {
         let address = free_address()?;
         let region = REGIONS[number % REGIONS.len()];
@@ -118,12 +120,12 @@
         put.map(drop).map_err(io::Error::other)
     }
 
-    /// Base URL of the log.
+    /// Base URL of the log stand-in.
     pub(super) fn log_url(&self) -> String {
         self.log.url()
     }
 
-    /// What the log has served.
+    /// Counters of the appends and reads that the log has served.
     pub(super) async fn log_stats(&self) -> io::Result<LogStats> {
         let url = format!("{}/stats", self.log.url());
         let stats = HttpClient::to_platform()
@@ -132,20 +134,22 @@
         stats.map_err(io::Error::other)
     }
 
-    /// Processes where the record at `offset` is not in force.
+    /// Number of hosts on which the record at `offset` is not in force.
     pub(super) fn count_lacking(&self, offset: u64) -> usize {
         let is_lacking = |host: &&ControlHost| host.node.follower().fold().head() <= offset;
         self.hosts.iter().filter(is_lacking).count()
     }
 
-    /// Stops every third role from following for `time`.
+    /// Blocks the main thread of every third host for `time`, so that it does not follow
+    /// the log.
     pub(super) fn pause_third(&self, time: Duration) {
         for host in self.hosts.iter().step_by(3) {
             host.arbiter.spawn_fn(move || thread::sleep(time));
         }
     }
 
-    /// Cuts the regions from each other, and the second from the platform, for `time`.
+    /// For `time`, blocks connections between the regions and from the second region
+    /// to the platform stand-ins.
     pub(super) fn cut_regions(&self, time: Duration) {
         let region_of = |host: &ControlHost| host.node.process().region.clone();
         for host in &self.hosts {
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Ends every role and stand-in.
+    /// Stops every host and stand-in.
     pub(super) async fn stop(self) {
         for host in &self.hosts {
             host.system.stop();
@@ -173,7 +177,8 @@
     }
 }
 
-/// Starts a role on a system of its own and notes which threads it started.
+/// Starts a host in an actix system of its own and finds the threads it started by
+/// comparing the thread ids before and after.
 fn start_host(process: ProcessSettings, platform: PlatformSettings) -> io::Result<ControlHost> {
     let before = thread_ids()?;
     let (sender, receiver) = mpsc::channel();
@@ -186,7 +191,7 @@
             .send(started.map(|node| (node, arbiter, system)))
             .is_ok()
         {
-            // The run ends when the fleet stops the system.
+            // Runs until `ControlFleet::stop` stops the system.
             let _ = runner.run();
         }
     });
@@ -201,6 +206,7 @@
     })
 }
 
+/// Starts the entry or endpoint on the current system and returns its node.
 async fn start_node(process: ProcessSettings, platform: PlatformSettings) -> io::Result<Arc<Node>> {
     let cluster = ClusterSettings::new(SHARED_KEY);
     match process.role {
@@ -219,7 +225,7 @@
     }
 }
 
-/// Threads of this process, in ascending order.
+/// Ids of the threads of this process, in ascending order.
 fn thread_ids() -> io::Result<Vec<u32>> {
     let mut threads = Vec::new();
     for entry in fs::read_dir("/proc/self/task")? {
@@ -235,6 +241,7 @@
     Ok(threads)
 }
 
+/// Loopback address with a port that was free when it was chosen.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
--- a/src/bench/control_monitor.rs
+++ b/src/bench/control_monitor.rs
@@ -16,32 +16,33 @@
 use crate::node::Node;
 use crate::standin::log::LogStats;
 
-/// How often the processes are looked at.
+/// Interval at which the heads of all processes are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest time that is told apart.
+/// Upper bound of the histogram; longer times are recorded as this one.
 const MAX_IN_FORCE_MS: u64 = 600_000;
 
-/// Length of a tick of the processor time that the kernel counts.
+/// Length of a clock tick in `/proc`, fixed by the kernel's interface.
 const CPU_TICK_MS: f64 = 10.0;
 
-/// Bytes of a MiB.
+/// Bytes in a MiB.
 const MIB: f64 = 1024.0 * 1024.0;
 
-/// Changes made and when.
+/// Offset of each change and the time at which its append was confirmed.
 type Changes = Arc<Mutex<Vec<(u64, Instant)>>>;
 
-/// Looks at every process until the run ends.
+/// Polls the log head of every process and measures resource usage until the run ends.
 #[derive(Debug)]
 pub(super) struct ControlMonitor {
     changes: Changes,
     ended: Arc<AtomicBool>,
     poller: Option<JoinHandle<HeadObservations>>,
     hosts: Vec<HostUsage>,
+    /// Resident memory of the bench process at the start.
     rss_before_bytes: u64,
 }
 
-/// What a process had used when the run began.
+/// Counters of a process at the start of the run.
 #[derive(Debug)]
 struct HostUsage {
     node: Arc<Node>,
@@ -50,15 +51,17 @@
     cpu_ticks: u64,
 }
 
-/// What the looks found.
+/// Results of polling the heads.
 #[derive(Debug)]
 struct HeadObservations {
+    /// Time from the confirmed append of a change until a process has it in force.
     in_force_ms: Histogram<u64>,
+    /// Number of times that the head of a process went back.
     reverts: u64,
 }
 
 impl ControlMonitor {
-    /// Starts to look at the processes of `fleet`.
+    /// Starts polling the processes of `fleet`.
     pub(super) fn start(fleet: &ControlFleet) -> Self {
         let hosts: Vec<HostUsage> = fleet
             .hosts
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Notes that the log took a change at `offset` just now.
+    /// Records that the log has just confirmed a change at `offset`.
     pub(super) fn record_change(&self, offset: u64) {
         let mut changes = self
             .changes
@@ -96,7 +99,9 @@
         changes.push((offset, Instant::now()));
     }
 
-    /// Ends the looks and sums up.
+    /// Stops polling and computes the result; `before` and `after` are the log's
+    /// counters at both ends of `elapsed`, and `lacking` is the number of processes
+    /// without the last change.
     pub(super) fn finish(
         &mut self,
         bench: &ControlBench,
@@ -107,7 +112,7 @@
         after: &LogStats,
     ) -> ControlResult {
         self.ended.store(true, Ordering::Release);
-        let poller = self.poller.take().expect("a watch is finished once");
+        let poller = self.poller.take().expect("a monitor is finished once");
         let observations = poller.join().expect("the poller thread does not panic");
         let elapsed_s = elapsed.as_secs_f64();
         let per_second = |bytes: u64| bytes as f64 / elapsed_s;
@@ -148,7 +153,7 @@
     }
 }
 
-/// Looks at the heads of all processes until `ended`.
+/// Polls the heads of all processes until `ended` is set.
 fn poll_heads(nodes: &[Arc<Node>], changes: &Changes, ended: &AtomicBool) -> HeadObservations {
     let mut observations = HeadObservations {
         in_force_ms: Histogram::new_with_bounds(1, MAX_IN_FORCE_MS, 3)
@@ -156,6 +161,7 @@
         reverts: 0,
     };
     let mut heads = vec![0; nodes.len()];
+    // Index of the first change that each process does not yet have in force.
     let mut next_change = vec![0; nodes.len()];
     while !ended.load(Ordering::Acquire) {
         let changes = changes
@@ -166,7 +172,7 @@
             let head = node.follower().fold().head();
             observations.reverts += u64::from(head < heads[index]);
             heads[index] = head;
-            // Changes come in the order of their offsets.
+            // Changes are recorded in the order of their offsets.
             while let Some((offset, appended_at)) = changes.get(next_change[index])
                 && head > *offset
             {
@@ -180,7 +186,7 @@
     observations
 }
 
-/// Ticks of processor time that `threads` of this process have used.
+/// CPU time of `threads` of this process in clock ticks.
 fn cpu_ticks(threads: &[u32]) -> u64 {
     threads
         .iter()
@@ -188,9 +194,10 @@
         .sum()
 }
 
+/// User and system time of a thread in clock ticks; `None` when it has ended.
 fn thread_ticks(thread: u32) -> Option<u64> {
     let stat = fs::read_to_string(format!("/proc/self/task/{thread}/stat")).ok()?;
-    // The name of the thread is in brackets and may hold blanks.
+    // The thread name is in parentheses and may contain spaces.
     let fields = stat.rsplit_once(')')?.1;
     let mut fields = fields.split_whitespace().skip(11);
     let user: u64 = fields.next()?.parse().ok()?;
@@ -198,7 +205,7 @@
     Some(user + system)
 }
 
-/// Resident memory of this process.
+/// Resident memory of this process; 0 when the kernel does not report it.
 fn rss_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/src/bench/control_result.rs
+++ b/src/bench/control_result.rs
@@ -2,55 +2,56 @@
 
 use serde::Serialize;
 
-/// What a measurement of the configuration's way found.
+/// Result of a [`crate::bench::ControlBench`].
 #[derive(Debug, Clone, Serialize)]
 pub struct ControlResult {
-    /// Roles measured; all share one process of the bench.
+    /// Number of hosts measured; all run in the bench process.
     pub processes: usize,
-    /// Entries among them.
+    /// Number of entries among them.
     pub entries: usize,
-    /// Endpoints among them.
+    /// Number of endpoints among them.
     pub endpoints: usize,
-    /// What went wrong.
+    /// Name of the injected fault.
     pub fault: &'static str,
-    /// Changes made.
+    /// Number of configuration changes.
     pub changes: usize,
-    /// Processes that lack the last change at the end.
+    /// Number of processes that lack the last change at the end.
     pub lacking_last_change: usize,
-    /// Time from the log's reply to a change until a process has it in force.
+    /// Median time from the log's reply to an append until a process has the change in force.
     pub in_force_p50_ms: u64,
-    /// The same, 99 in 100.
+    /// 99th percentile of the same time.
     pub in_force_p99_ms: u64,
-    /// The same, the longest.
+    /// Maximum of the same time.
     pub in_force_max_ms: u64,
-    /// Times measured: changes by processes.
+    /// Number of times measured, one for each change and process.
     pub in_force_samples: u64,
-    /// Times that an offset went back on a process.
+    /// Number of times that the log offset of a process went back.
     pub reverts: u64,
-    /// Records appended to the log.
+    /// Records appended to the log per second.
     pub appends_per_s: f64,
-    /// Reads that the log answered.
+    /// Reads answered by the log per second.
     pub log_reads_per_s: f64,
-    /// Control traffic of the busiest process, both ways.
+    /// Control traffic of the busiest process, both directions.
     pub control_bytes_per_s_max: f64,
-    /// Control traffic of an entry on average.
+    /// Mean control traffic of an entry, both directions.
     pub entry_control_bytes_per_s: f64,
-    /// Control traffic of an endpoint on average.
+    /// Mean control traffic of an endpoint, both directions.
     pub endpoint_control_bytes_per_s: f64,
-    /// Processor time of the busiest process in percent of a core.
+    /// CPU time of the busiest process in percent of a core.
     pub cpu_percent_max: f64,
-    /// Processor time of an entry on average.
+    /// Mean CPU time of an entry in percent of a core.
     pub entry_cpu_percent: f64,
-    /// Processor time of an endpoint on average.
+    /// Mean CPU time of an endpoint in percent of a core.
     pub endpoint_cpu_percent: f64,
-    /// Resident memory of the bench, divided by its roles.
+    /// Larger resident memory of the bench process at the start and the end, divided
+    /// by the number of hosts.
     pub rss_mib_max: f64,
-    /// Length of the measurement.
+    /// Duration of the measurement.
     pub elapsed_ms: u64,
 }
 
 impl ControlResult {
-    /// Whether every process has every change and none went back.
+    /// Whether every process has the last change and no log offset went back.
     pub fn is_successful(&self) -> bool {
         self.lacking_last_change == 0 && self.reverts == 0
     }
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,4 +1,6 @@
-//! The load and experiment tool: measurements, each against its own baseline.
+//! Measurements behind `bergamotfork bench`: configuration propagation, weight
+//! distribution and request routing. All processes of a measurement run on
+//! threads of the bench process and use loopback addresses.
 
 mod control;
 mod control_fleet;
--- a/src/bench/requests.rs
+++ b/src/bench/requests.rs
@@ -25,39 +25,39 @@
 use crate::hosts::Load;
 use crate::links::HttpClient;
 
-/// Time between looks at the engines.
+/// Interval at which the engines are sampled and faults are injected.
 const SAMPLE_INTERVAL_MS: u64 = 100;
 
-/// Time between load reports.
+/// Interval of the load reports.
 const REPORT_INTERVAL_MS: u64 = 1000;
 
-/// Reports by which the load lags behind.
+/// Number of report intervals by which reported loads are out of date.
 const LOAD_LAG_REPORTS: usize = 5;
 
-/// Time between death and return of a flapping endpoint.
+/// Time between the crash and the restart of a flapping endpoint, and back.
 const FLAP_INTERVAL_MS: u64 = 700;
 
-/// Pace of a slow engine.
+/// Duration of each step of the slow engine in percent of normal.
 const SLOW_PACE_PERCENT: u64 = 1000;
 
-/// Endpoint that the faults hit.
+/// Index of the endpoint that the faults affect.
 const FAULTY_ENDPOINT: usize = 3;
 
-/// Longest time an engine has to tell its state.
+/// Timeout of a request to set the pace of an engine.
 const ENGINE_TIMEOUT_MS: u64 = 1000;
 
-/// A measurement of routing and fair shares.
+/// Measurement of routing and fair shares under load and faults.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestsBench {
-    /// What is done to the fleet.
+    /// Load and fault of the run.
     pub scenario: RequestsScenario,
-    /// Which policies are measured.
+    /// Policies to measure.
     pub policy: RequestsPolicy,
     /// Seed of the arrivals.
     pub seed: u64,
 }
 
-/// Figures of one run.
+/// Results of a [`RequestsBench`].
 #[derive(Debug, Serialize)]
 pub struct RequestsResult {
     scenario: String,
@@ -71,11 +71,11 @@
 }
 
 impl RequestsBench {
-    /// Runs the scenario.
+    /// Runs the scenario once for each policy to measure.
     ///
     /// # Errors
     ///
-    /// The I/O error when the fleet cannot be started.
+    /// The I/O error when the fleet cannot be started or a fault cannot be injected.
     pub async fn run(&self) -> io::Result<RequestsResult> {
         let mut result = RequestsResult {
             scenario: self.scenario.name(),
@@ -97,6 +97,7 @@
         Ok(result)
     }
 
+    /// Measures one policy; a branch burst is also run without the burst to compare.
     async fn run_policy(&self, policy: RequestsPolicy) -> io::Result<PolicyResult> {
         let load_percent = self.scenario.load_percent();
         let mut result = self.run_once(policy, load_percent).await?;
@@ -108,6 +109,7 @@
         Ok(result)
     }
 
+    /// Starts a fleet, applies the load for warm-up and measured time, and collects the result.
     async fn run_once(
         &self,
         policy: RequestsPolicy,
@@ -144,6 +146,7 @@
         Ok(result)
     }
 
+    /// Injects the faults that the scenario has at `now_ms` after the start of the load.
     async fn inject_fault(&self, fleet: &mut RequestsFleet, now_ms: u64) -> io::Result<()> {
         let since_ms = now_ms.checked_sub(WARM_UP_MS);
         match (self.scenario, since_ms) {
@@ -161,16 +164,19 @@
     }
 }
 
-/// What is watched while the load runs.
+/// Samples taken while the load runs.
 #[derive(Debug, Default)]
 struct RunSamples {
+    /// Loads of all endpoints at each report interval.
     loads: Vec<Vec<Load>>,
+    /// Share of busy engine slots at each sample.
     busy_samples: Vec<f64>,
+    /// Counters at the end of the warm-up.
     before: Option<Snapshot>,
 }
 
 impl RunSamples {
-    /// Reports, each second, the load of some seconds ago.
+    /// Once per report interval, gives the entries loads that are some intervals old.
     fn report_delayed_loads(&mut self, fleet: &RequestsFleet, now_ms: u64) {
         if !now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
             return;
@@ -181,6 +187,7 @@
     }
 }
 
+/// Slows the engine of the faulty endpoint down.
 async fn slow_engine(fleet: &RequestsFleet) -> io::Result<()> {
     let url = format!(
         "http://{}/fault",
@@ -193,7 +200,7 @@
         .map_err(io::Error::other)
 }
 
-/// State of every engine.
+/// State of every engine that answers.
 pub(super) async fn engine_states(fleet: &RequestsFleet) -> Vec<EngineState> {
     let states = fleet
         .endpoints
@@ -203,6 +210,7 @@
     states.into_iter().filter_map(Result::ok).collect()
 }
 
+/// Share of all engine slots that are in use.
 fn busy_share(states: &[EngineState]) -> f64 {
     let running: u32 = states.iter().map(|state| state.running).sum();
     f64::from(running) / (ENDPOINTS as f64 * f64::from(SLOTS))
--- a/src/bench/requests_baseline.rs
+++ b/src/bench/requests_baseline.rs
@@ -16,7 +16,7 @@
 use crate::clients::GenerateOrder;
 use crate::links::HttpClient;
 
-/// Plain entry: the endpoints in turn, one try.
+/// State of a baseline entry: round robin over the endpoints, without retries.
 #[derive(Debug)]
 pub(super) struct RoundRobin {
     endpoints: Vec<SocketAddr>,
@@ -24,6 +24,7 @@
 }
 
 impl RoundRobin {
+    /// Starts with the endpoint at index `first`.
     pub(super) fn new(endpoints: Vec<SocketAddr>, first: usize) -> Self {
         Self {
             endpoints,
@@ -32,15 +33,17 @@
     }
 }
 
-/// Plain endpoint: requests run in the order they came.
+/// State of a baseline endpoint: requests run in order of arrival.
 #[derive(Debug)]
 pub(super) struct Fifo {
     slots: Arc<Semaphore>,
     engine: EngineClient,
+    /// Number of calls that reached endpoints.
     pub(super) received: Arc<AtomicUsize>,
 }
 
 impl Fifo {
+    /// Runs up to `slots` requests at a time.
     pub(super) fn new(slots: u32, engine: EngineClient, received: Arc<AtomicUsize>) -> Self {
         Self {
             slots: Arc::new(Semaphore::new(slots as usize)),
@@ -50,6 +53,7 @@
     }
 }
 
+/// Handler of a baseline entry: relays the request to the next endpoint.
 pub(super) async fn relay_to_next(state: Data<RoundRobin>, body: Bytes) -> HttpResponse {
     let call_no = state.next.fetch_add(1, Ordering::Relaxed);
     let address = state.endpoints[call_no % state.endpoints.len()];
@@ -63,6 +67,7 @@
     }
 }
 
+/// Handler of a baseline endpoint: waits for a slot and streams the engine's answer.
 pub(super) async fn run_in_order(state: Data<Fifo>, order: Json<GenerateOrder>) -> HttpResponse {
     state.received.fetch_add(1, Ordering::Relaxed);
     let slot = Arc::clone(&state.slots).acquire_owned().await;
--- a/src/bench/requests_document.rs
+++ b/src/bench/requests_document.rs
@@ -16,14 +16,14 @@
 use crate::hosts::HostRole;
 use crate::weights::Digest;
 
-/// Key the processes share.
+/// Key with which the processes authenticate each other.
 const SHARED_KEY: &str = "a key of the bench";
 
-/// Settings of an entry of the bench.
+/// Settings of the entry with index `number`.
 pub(super) fn entry_settings(number: usize, listen: SocketAddr) -> EntrySettings {
     let name = format!("entry-{number}");
     let process = ProcessSettings::new(HostRole::Entry, name, "or-north", "a", listen);
-    // No part of the platform takes part.
+    // The bench runs without a platform: nothing listens at this address.
     let platform = PlatformSettings::new(
         "http://127.0.0.1:1",
         "http://127.0.0.1:1",
@@ -32,7 +32,7 @@
     EntrySettings::new(process, platform, ClusterSettings::new(SHARED_KEY))
 }
 
-/// The whole log: one edit for each section.
+/// Page with the complete log: one edit for each section.
 pub(super) fn log_page() -> LogPage {
     let record = |(offset, (section, body)): (usize, (String, String))| RawLogRecord {
         offset: offset as u64,
@@ -53,6 +53,7 @@
     }
 }
 
+/// Names and bodies of the sections of the configuration document.
 fn sections() -> Vec<(String, String)> {
     let model = format!(
         "version = 1\nmanifest = {}\nreplicas = {ENDPOINTS}\n",
--- a/src/bench/requests_driver.rs
+++ b/src/bench/requests_driver.rs
@@ -29,13 +29,13 @@
 use crate::clients::LineBuffer;
 use crate::standin::engine::token_text;
 
-/// Seed of every request.
+/// Token seed of every request.
 const TOKEN_SEED: u64 = 7;
 
-/// Time after its deadline at which a caller stops to listen.
+/// Time after the deadline of a request at which its caller stops waiting.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(3000);
 
-/// A line of an answer.
+/// Line of a streamed answer.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 enum AnswerLine {
@@ -45,13 +45,14 @@
     Error { code: String },
 }
 
-/// Threads that send requests.
+/// Number of threads that send requests.
 const DRIVER_THREADS: usize = 3;
 
-/// Tallies of each branch.
+/// Tally of each branch, shared by the driver threads.
 pub(super) type Tallies = Arc<Mutex<Vec<Tally>>>;
 
-/// Sends all `arrivals` from several threads and waits for the last answer.
+/// Sends all `arrivals` from several threads, waits for the last answer and returns
+/// the tally of each branch.
 pub(super) async fn send_arrivals(
     policy: RequestsPolicy,
     entries: Vec<SocketAddr>,
@@ -72,7 +73,7 @@
                 Driver::new(policy, entries, tallies)
                     .run(start, thread_arrivals)
                     .await;
-                // A run that was given up needs no word.
+                // The receiver is dropped when the run was cancelled.
                 let _ = done.send(());
             });
         });
@@ -86,7 +87,8 @@
     tallies.clone()
 }
 
-/// Sends requests when they are due, however slow the answers are.
+/// Open-loop load generator: sends requests when they are due, however slow the
+/// answers are.
 #[derive(Clone)]
 pub(super) struct Driver {
     client: Client,
@@ -95,16 +97,17 @@
     tallies: Tallies,
 }
 
-/// What a caller asks.
+/// Request of a caller.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BenchRequest<'a> {
     pub(super) branch: &'a str,
     pub(super) prompt: &'a str,
+    /// Number of tokens to generate.
     pub(super) tokens: u32,
     pub(super) number: usize,
 }
 
-/// What a caller saw of one request.
+/// Result of one request as its caller observed it.
 #[derive(Debug)]
 pub(super) struct RequestResult {
     pub(super) outcome: Outcome,
@@ -112,6 +115,7 @@
 }
 
 impl Driver {
+    /// Creates a driver with a client that has no timeout and no connection limit.
     pub(super) fn new(policy: RequestsPolicy, entries: Vec<SocketAddr>, tallies: Tallies) -> Self {
         let client = Client::builder()
             .connector(Connector::new().limit(0))
@@ -125,6 +129,7 @@
         }
     }
 
+    /// Sends each arrival at its time after `start` and waits for all answers.
     async fn run(&self, start: Instant, arrivals: Vec<(usize, Arrival)>) {
         let mut sent = Vec::with_capacity(arrivals.len());
         for (number, arrival) in arrivals {
@@ -140,6 +145,7 @@
         }
     }
 
+    /// Sends one request, waits for its answer and, after the warm-up, adds it to the tally.
     async fn run_request(&self, arrival: Arrival, number: usize, due: Instant) {
         let prompt = build_prompt(&arrival, number);
         let max_wait = Duration::from_millis(DEADLINE_MS) + LATE_ANSWER_WAIT;
@@ -169,7 +175,7 @@
         tallies[arrival.branch].add(&outcome, first_token, took);
     }
 
-    /// Sends one request and reads its answer.
+    /// Sends one request to an entry and reads its answer.
     pub(super) async fn send_to_entry(
         &self,
         entry: usize,
@@ -186,7 +192,7 @@
             .await
     }
 
-    /// Sends one request straight to an engine.
+    /// Sends one request directly to an engine and reads its answer.
     pub(super) async fn send_to_engine(
         &self,
         engine: SocketAddr,
@@ -197,6 +203,7 @@
             .await
     }
 
+    /// Posts `body` to `url` and reads the answer to `request`.
     async fn send(&self, url: &str, body: &Value, request: &BenchRequest<'_>) -> RequestResult {
         let http_request = self.client.post(url).bearer_auth(TOKEN);
         let mut first_token_at = None;
@@ -222,7 +229,8 @@
     }
 }
 
-/// Reads an answer and checks that it is whole and its own.
+/// Reads an answer and checks that it is complete and belongs to `request`; stores
+/// the time of the first token.
 async fn read_answer(
     mut chunks: impl StreamExt<Item = Option<bytes::Bytes>> + Unpin,
     request: &BenchRequest<'_>,
@@ -261,6 +269,7 @@
     }
 }
 
+/// Body of a request to an engine or a baseline entry.
 fn engine_order(request: &BenchRequest<'_>) -> Value {
     json!({
         "request_id": format!("request-{}", request.number),
@@ -275,6 +284,7 @@
     })
 }
 
+/// Body of a request to an entry of the product.
 fn entry_request(request: &BenchRequest<'_>) -> Value {
     json!({
         "branch": request.branch,
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -55,60 +55,67 @@
 /// Bearer token of every branch.
 pub(super) const TOKEN: &str = "a token of the bench";
 
-/// The weights that the engines load.
+/// Weights that the engines load.
 const WEIGHTS: &[u8] = b"weights of a small model";
 
-/// Requests of one branch that wait at an endpoint.
+/// Largest number of requests of one branch that wait at an endpoint.
 const MAX_WAITING_PER_BRANCH: usize = 64;
 
-/// Port of every process; each has a loopback address of its own.
+/// Port of every server; each server has a loopback address of its own.
 const PORT: u16 = 7400;
 
+/// Last byte of the next loopback address to use.
 static NEXT_HOST: AtomicU32 = AtomicU32::new(1);
 
-/// Which policy a fleet runs.
+/// Policy that a fleet runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum RequestsPolicy {
     /// The entries and endpoints of this system.
     Product,
     /// Round robin over endpoints that run requests in order.
     Baseline,
-    /// One after the other.
+    /// Both policies, one after the other.
     Both,
 }
 
-/// One endpoint of the fleet with its engine.
+/// Endpoint of the fleet with its engine.
 #[derive(Debug)]
 pub(super) struct FleetEndpoint {
     pub(super) engine: EngineClient,
     pub(super) engine_address: SocketAddr,
     pub(super) address: SocketAddr,
+    /// Server of the endpoint; `None` while it is killed.
     pub(super) handle: Option<Handle>,
     queue: Arc<GenerateQueue>,
 }
 
-/// Engines, endpoints and entries on loopback.
+/// Engines, endpoints and entries on loopback addresses.
 #[derive(Debug)]
 pub(super) struct RequestsFleet {
     policy: RequestsPolicy,
     pub(super) endpoints: Vec<FleetEndpoint>,
     pub(super) entries: Vec<SocketAddr>,
+    /// State of each product entry.
     states: Vec<Arc<EntryState>>,
-    /// Calls that reached endpoints.
+    /// Number of calls that reached endpoints.
     pub(super) received: Arc<AtomicUsize>,
+    /// Servers of the entries, the engines and the weights source.
     handles: Vec<Handle>,
     entry_threads: ThreadIds,
     endpoint_threads: ThreadIds,
 }
 
-/// Numbers of the worker threads of some servers.
+/// Ids of the worker threads of the servers of one role.
 type ThreadIds = Arc<Mutex<Vec<String>>>;
 
+/// Adds the calling thread to `threads`.
 fn record_thread(threads: &ThreadIds) {
     let mut threads = threads.lock().expect("no holder of the lock panics");
     threads.extend(current_thread_id());
 }
 
+/// Next loopback address; two of its bytes derive from the process id, so that
+/// benches that run at the same time do not collide.
 fn next_address() -> SocketAddr {
     let process = std::process::id();
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
@@ -117,12 +124,12 @@
     SocketAddr::new(ip.into(), PORT)
 }
 
-/// Manifest of the model, which the bench only names.
+/// Digest of the model's manifest; the manifest itself does not exist.
 pub(super) fn manifest_digest() -> Digest {
     Digest::of_bytes(b"manifest of a small model")
 }
 
-/// Whole digest of the model's weights.
+/// Digest of the model's complete weights.
 pub(super) fn weights_digest() -> Digest {
     Digest::of_bytes(WEIGHTS)
 }
@@ -154,6 +161,7 @@
         Ok(fleet)
     }
 
+    /// Starts an engine, loads the weights from `source` and starts its endpoint.
     async fn add_endpoint(&mut self, source: &Handle, cache_blocks: usize) -> io::Result<()> {
         let mut options = EngineOptions::new(next_address());
         options.slots = SLOTS;
@@ -201,7 +209,7 @@
         Ok(())
     }
 
-    /// Starts the endpoint process of a member, at first or again.
+    /// Starts the server of an endpoint, for the first time or after it was killed.
     fn start_endpoint(&self, endpoint: &mut FleetEndpoint) -> io::Result<()> {
         let engine = endpoint.engine.clone();
         let queue = Arc::clone(&endpoint.queue);
@@ -232,6 +240,7 @@
         Ok(())
     }
 
+    /// Starts the entry with index `number`.
     fn add_entry(&mut self, number: usize) -> io::Result<()> {
         let address = next_address();
         self.entries.push(address);
@@ -266,13 +275,14 @@
         Ok(())
     }
 
-    /// Load of each endpoint as its next report would say.
+    /// Current load of each endpoint, as its next report would contain it.
     pub(super) fn loads(&self) -> Vec<Load> {
         let queues = self.endpoints.iter().map(|endpoint| &endpoint.queue);
         queues.map(|queue| queue.load()).collect()
     }
 
-    /// Gives the entries a report of every endpoint that runs, with the given loads.
+    /// Gives every entry the configuration log and a report of each running endpoint
+    /// with the given loads.
     pub(super) fn merge_reports(&self, loads: &[Load]) {
         for state in &self.states {
             let now_ms = state.node.now_ms();
@@ -309,14 +319,14 @@
         }
     }
 
-    /// Kills the endpoint process of a member; its engine goes on.
+    /// Kills the server of endpoint `number`; its engine continues to run.
     pub(super) async fn kill(&mut self, number: usize) {
         if let Some(handle) = self.endpoints[number].handle.take() {
             handle.kill().await;
         }
     }
 
-    /// Starts a killed endpoint process again.
+    /// Restarts the server of the killed endpoint `number`.
     pub(super) fn restart(&mut self, number: usize) -> io::Result<()> {
         let mut endpoint = self.endpoints.remove(number);
         let started = self.start_endpoint(&mut endpoint);
@@ -324,13 +334,13 @@
         started
     }
 
-    /// Metrics of every entry as text.
+    /// Metrics of every entry in text format.
     pub(super) fn metrics(&self) -> Vec<String> {
         let states = self.states.iter();
         states.map(|state| state.node.metrics().render()).collect()
     }
 
-    /// Worker threads of the entries.
+    /// Ids of the worker threads of the entries.
     pub(super) fn entry_threads(&self) -> Vec<String> {
         self.entry_threads
             .lock()
@@ -338,7 +348,7 @@
             .clone()
     }
 
-    /// Worker threads of the endpoints.
+    /// Ids of the worker threads of the endpoints.
     pub(super) fn endpoint_threads(&self) -> Vec<String> {
         self.endpoint_threads
             .lock()
@@ -346,7 +356,7 @@
             .clone()
     }
 
-    /// Stops everything.
+    /// Kills all endpoints, entries and engines.
     pub(super) async fn stop(mut self) {
         for number in 0..self.endpoints.len() {
             self.kill(number).await;
@@ -357,12 +367,14 @@
     }
 }
 
+/// State of an endpoint of the product.
 #[derive(Debug)]
 struct ProductEndpoint {
     server: GenerateServer,
     received: Arc<AtomicUsize>,
 }
 
+/// Handler of an endpoint of the product: counts the call and runs it.
 async fn product_endpoint(state: Data<ProductEndpoint>, body: Bytes) -> HttpResponse {
     state.received.fetch_add(1, Ordering::Relaxed);
     match read_rmp::<GenerateCall>(&body) {
--- a/src/bench/requests_overhead.rs
+++ b/src/bench/requests_overhead.rs
@@ -20,25 +20,26 @@
 use super::requests_tally::Outcome;
 use crate::links::HttpClient;
 
-/// Requests of each measurement.
+/// Number of requests of each measurement.
 const REQUESTS: usize = 600;
 
-/// Requests between two load reports.
+/// Number of requests between two load reports.
 const BATCH_REQUESTS: usize = 100;
 
-/// Longest time the histograms hold.
+/// Upper bound of the histograms; longer times are recorded as this one.
 const MAX_RECORDED_US: u64 = 60_000_000;
 
-/// Requests in flight.
+/// Number of requests in flight.
 const CONCURRENCY: usize = 4;
 
-/// Pace of the engines, so that the path weighs more.
+/// Duration of the engines' steps in percent of normal; short steps make the
+/// overhead of the path a larger part of the total.
 const FAST_PACE_PERCENT: u64 = 10;
 
-/// Time an engine has to take a fault.
+/// Timeout of the request that sets the pace of an engine.
 const FAULT_TIMEOUT_MS: u64 = 1000;
 
-/// What the path adds to a direct call.
+/// Latency and CPU time that entry and endpoint add to a direct call of the engine.
 #[derive(Debug, Serialize)]
 pub struct OverheadResult {
     requests: usize,
@@ -55,7 +56,7 @@
     requests_per_s_per_entry_core: f64,
 }
 
-/// Measures direct calls, then calls through entries and endpoints.
+/// Measures direct calls of the engines, then calls through entries and endpoints.
 pub(super) async fn measure_overhead() -> io::Result<OverheadResult> {
     let fleet = RequestsFleet::start(RequestsPolicy::Product, 0).await?;
     for endpoint in &fleet.endpoints {
@@ -102,11 +103,13 @@
     })
 }
 
+/// Times to the first token and number of failed calls of one measurement.
 struct CallTimes {
     first_token_us: Histogram<u64>,
     failed: usize,
 }
 
+/// Sends all requests, to `engines` when given and to the entries otherwise.
 async fn measure_calls(
     fleet: &RequestsFleet,
     driver: &Driver,
@@ -117,7 +120,7 @@
         failed: 0,
     };
     for first in (0..REQUESTS).step_by(BATCH_REQUESTS) {
-        // Entries forget endpoints that do not report.
+        // Entries drop endpoints that do not report.
         fleet.merge_reports(&fleet.loads());
         let calls =
             (first..first + BATCH_REQUESTS).map(|number| time_request(driver, engines, number));
@@ -133,7 +136,8 @@
     times
 }
 
-/// Asks an engine, or an entry where none is given; tells the time to the first token.
+/// Sends one request to an engine, or to an entry when `engines` is `None`; returns
+/// the outcome and the time to the first token in microseconds.
 async fn time_request(
     driver: &Driver,
     engines: Option<&[SocketAddr]>,
@@ -160,7 +164,7 @@
     (result.outcome, first_token_us)
 }
 
-/// Processor time of threads of this process, named by their numbers.
+/// Total CPU time in nanoseconds of threads of this process, given by id.
 fn cpu_ns(threads: &[String]) -> u64 {
     let of_thread = |thread: &String| {
         let text = fs::read_to_string(format!("/proc/self/task/{thread}/schedstat")).ok()?;
@@ -169,7 +173,7 @@
     threads.iter().filter_map(of_thread).sum()
 }
 
-/// Number of the calling thread.
+/// Id of the calling thread, as listed in `/proc/self/task`.
 pub(super) fn current_thread_id() -> Option<String> {
     let link = fs::read_link("/proc/thread-self").ok()?;
     Some(link.file_name()?.to_str()?.to_owned())
--- a/src/bench/requests_result.rs
+++ b/src/bench/requests_result.rs
@@ -12,19 +12,21 @@
 use super::requests_tally::TallyResult;
 use crate::clients::EngineState;
 
-/// Name of the counter of retries in the metrics.
+/// Start of a metrics line that holds a counter of retries.
 const RETRIES: &str = "bergamotfork_retries_total{";
 
-/// Counters at one time.
+/// Counters of the fleet at one time.
 #[derive(Debug)]
 pub(super) struct Snapshot {
+    /// Number of calls that reached endpoints.
     received: usize,
-    /// Retries by reason, sorted.
+    /// Number of retries by reason, with an item for each entry and reason.
     retried: Vec<(String, u64)>,
     engines: Vec<EngineState>,
 }
 
 impl Snapshot {
+    /// Reads the counters of `fleet`.
     pub(super) async fn take(fleet: &RequestsFleet) -> Self {
         Self {
             received: fleet.received.load(Ordering::Relaxed),
@@ -38,7 +40,7 @@
     }
 }
 
-/// Retries by reason in a metrics text.
+/// Reads the number of retries by reason from metrics in text format.
 fn parse_retries(text: &str) -> Vec<(String, u64)> {
     let lines = text.lines().filter_map(|line| line.strip_prefix(RETRIES));
     lines
@@ -52,24 +54,33 @@
         .collect()
 }
 
-/// Figures of one policy.
+/// Result of one policy.
 #[derive(Debug, Serialize)]
 pub struct PolicyResult {
+    /// Requests that the fleet can finish per second.
     capacity_per_s: f64,
     #[serde(flatten)]
+    /// Totals of all branches.
     all: TallyResult,
+    /// Number of calls that reached endpoints.
     sent: usize,
+    /// Number of retries by the entries.
     retried: ReasonCounts,
+    /// Mean share of engine slots in use.
     busy_share: f64,
+    /// Share of prompt blocks that the engines found in their caches.
     cache_hit_share: f64,
+    /// Requests started by the busiest engine, relative to the mean.
     max_load_over_mean: f64,
     branches: BTreeMap<&'static str, TallyResult>,
-    /// The same fleet without the burst.
+    /// Result of the same fleet without the burst.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) quiet: Option<Box<PolicyResult>>,
 }
 
 impl PolicyResult {
+    /// Computes the result from the tallies and the counters at the end of the warm-up
+    /// and at the end of the run.
     pub(super) fn new(
         tallies: &[Tally],
         before: &Snapshot,
@@ -110,6 +121,7 @@
     }
 }
 
+/// Increase of a counter of each engine between two snapshots.
 fn counter_increases(
     before: &Snapshot,
     after: &Snapshot,
--- a/src/bench/requests_scenario.rs
+++ b/src/bench/requests_scenario.rs
@@ -3,49 +3,49 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// Endpoints of the fleet.
+/// Number of endpoints of the fleet.
 pub(super) const ENDPOINTS: usize = 10;
 
-/// Entries before them.
+/// Number of entries of the fleet.
 pub(super) const ENTRIES: usize = 3;
 
-/// Streams an engine decodes at a time.
+/// Number of streams that an engine decodes at a time.
 pub(super) const SLOTS: u32 = 32;
 
 /// Time to the first token of an uncached prompt.
 pub(super) const FIRST_TOKEN_MS: u64 = 150;
 
-/// Time between the tokens of a lone stream.
+/// Time between the tokens of a stream that has the engine to itself.
 pub(super) const TOKEN_MS: u64 = 30;
 
-/// How much slower a full batch decodes.
+/// Increase of the time between tokens in a full batch.
 pub(super) const BATCH_SLOWDOWN_PERCENT: u64 = 50;
 
-/// Tokens of an answer on average.
+/// Mean number of tokens of an answer.
 pub(super) const TOKENS: u32 = 8;
 
-/// Most by which an answer is shorter or longer.
+/// Largest difference of the number of tokens from the mean.
 const TOKENS_SPREAD: u32 = 4;
 
-/// Time a caller gives its request.
+/// Deadline of every request, relative to its arrival.
 pub(super) const DEADLINE_MS: u64 = 2000;
 
-/// Time before arrivals count.
+/// Time from the start during which arrivals are not counted.
 pub(super) const WARM_UP_MS: u64 = 1500;
 
-/// Time in which arrivals count.
+/// Time after the warm-up during which arrivals are counted.
 pub(super) const MEASURED_MS: u64 = 6000;
 
 /// Branches, each with an equal share.
 pub(super) const BRANCHES: [&str; 4] = ["longbeach", "seaside", "florence", "yachats"];
 
-/// Prompt heads of the prefix scenario.
+/// Number of different prompt prefixes.
 const PREFIXES: u32 = 40;
 
-/// Bytes of a prompt head.
+/// Length of a prompt prefix.
 const PREFIX_BYTES: usize = 1024;
 
-/// What is done to the fleet and by whom.
+/// Load and fault of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum RequestsScenario {
     /// All branches within their shares, 60% of capacity.
@@ -56,29 +56,33 @@
     Overload,
     /// One endpoint ten times slower, at 60% of capacity.
     SlowEndpoint,
-    /// One endpoint that dies and comes back all the time.
+    /// One endpoint that crashes and restarts repeatedly.
     Flapping,
-    /// A tenth of the endpoints killed.
+    /// A tenth of the endpoints is killed.
     KillTenth,
-    /// Prompts with common heads and a small cache.
+    /// Prompts with common prefixes and a small cache.
     Prefix,
-    /// One request at a time: what the path adds to a direct call.
+    /// Few requests at a time: overhead of the path compared with a direct call.
     Overhead,
 }
 
 /// One request to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Arrival {
+    /// Time after the start of the run.
     pub(super) at_us: u64,
+    /// Index of the branch in [`BRANCHES`].
     pub(super) branch: usize,
+    /// Index of the entry.
     pub(super) entry: usize,
-    /// Number of the prompt's head.
+    /// Number of the prompt prefix.
     pub(super) prefix: u32,
+    /// Number of tokens to generate.
     pub(super) tokens: u32,
 }
 
 impl RequestsScenario {
-    /// Name on the command line.
+    /// Name of the scenario on the command line and in the result.
     pub(super) fn name(self) -> String {
         let value = self.to_possible_value();
         value.map_or_else(String::new, |value| value.get_name().to_owned())
@@ -96,17 +100,17 @@
         }
     }
 
-    /// Prompt blocks that an engine caches.
+    /// Number of prompt blocks that an engine caches.
     pub(super) fn cache_blocks(self) -> usize {
         match self {
-            // Eight of the forty heads, of sixteen blocks each.
+            // Room for 8 of the 40 prefixes, of 16 blocks each.
             Self::Prefix => 128,
             _ => 0,
         }
     }
 }
 
-/// Requests the fleet can finish in a second when all slots are busy.
+/// Requests that the fleet can finish per second when all slots are busy.
 pub(super) fn capacity_per_s() -> f64 {
     let others = u64::from(SLOTS - 1);
     let interval_us =
@@ -115,7 +119,7 @@
     (ENDPOINTS as u64 * u64::from(SLOTS)) as f64 * 1e6 / service_us as f64
 }
 
-/// Poisson arrivals of all branches, by time.
+/// Poisson arrivals of all branches, sorted by time.
 pub(super) fn poisson_arrivals(load_percent: [f64; BRANCHES.len()], seed: u64) -> Vec<Arrival> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let end_us = (WARM_UP_MS + MEASURED_MS) as f64 * 1000.0;
@@ -128,7 +132,7 @@
                 at_us: at_us as u64,
                 branch,
                 entry: random.random_range(0..ENTRIES),
-                // Squaring makes low numbers more frequent.
+                // Squaring makes prefixes with low numbers more frequent.
                 prefix: (random.random::<f64>().powi(2) * f64::from(PREFIXES)) as u32,
                 tokens: random.random_range(TOKENS - TOKENS_SPREAD..=TOKENS + TOKENS_SPREAD),
             });
@@ -145,7 +149,7 @@
     -uniform.ln() * mean_us
 }
 
-/// The prompt of an arrival: a common head and a tail of its own.
+/// Prompt of an arrival: a common prefix and a unique suffix.
 pub(super) fn build_prompt(arrival: &Arrival, number: usize) -> String {
     let head = format!("rules of beach number {:04}; ", arrival.prefix);
     let mut prompt = head.repeat(PREFIX_BYTES / head.len() + 1);
--- a/src/bench/requests_tally.rs
+++ b/src/bench/requests_tally.rs
@@ -7,25 +7,26 @@
 
 use super::requests_scenario::MEASURED_MS;
 
-/// Longest time the histograms hold.
+/// Upper bound of the histograms; longer times are recorded as this one.
 const MAX_RECORDED_US: u64 = 60_000_000;
 
-/// How a request ended for its caller.
+/// Outcome of a request as its caller observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// The whole answer came in time.
+    /// The complete answer arrived before the deadline.
     Done,
-    /// A final refusal with its code.
+    /// The request was refused with this code.
     Refused(String),
-    /// No whole answer, with the code of the cause.
+    /// No complete answer arrived in time; the code names the cause.
     Failed(String),
 }
 
-/// Counts by reason, sorted.
+/// Counts by reason, sorted by reason.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReasonCounts(Vec<(String, u64)>);
 
 impl ReasonCounts {
+    /// Adds `count` to the count of `reason`.
     pub(super) fn add(&mut self, reason: &str, count: u64) {
         match self
             .0
@@ -38,7 +39,7 @@
 }
 
 impl ReasonCounts {
-    /// Takes back what was counted before.
+    /// Subtracts `count` from the count of `reason`, down to 0.
     pub(super) fn subtract(&mut self, reason: &str, count: u64) {
         if let Ok(index) = self
             .0
@@ -59,7 +60,7 @@
     }
 }
 
-/// What callers saw.
+/// Counts and times of requests as their callers observed them.
 #[derive(Debug, Clone)]
 pub(super) struct Tally {
     offered: u64,
@@ -71,6 +72,7 @@
 }
 
 impl Tally {
+    /// Creates an empty tally.
     pub(super) fn new() -> Self {
         let histogram =
             || Histogram::new_with_max(MAX_RECORDED_US, 3).expect("the bounds are valid");
@@ -84,7 +86,8 @@
         }
     }
 
-    /// Counts a request; times run from when it was due, not from when it was sent.
+    /// Adds a request; times are measured from when it was due, not from when it was
+    /// sent.
     pub(super) fn add(&mut self, outcome: &Outcome, first_token: Option<Duration>, took: Duration) {
         self.offered += 1;
         match outcome {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Adds what other callers saw.
+    /// Adds the counts and times of `other`.
     pub(super) fn merge(&mut self, other: &Self) {
         self.offered += other.offered;
         self.done += other.done;
@@ -118,6 +121,7 @@
         self.refusal_us.add(&other.refusal_us).expect(same_bounds);
     }
 
+    /// Computes rates and percentiles.
     pub(super) fn result(&self) -> TallyResult {
         let first_token_ms = |quantile| ms(self.first_token_us.value_at_quantile(quantile));
         TallyResult {
@@ -134,20 +138,30 @@
     }
 }
 
+/// Converts microseconds to milliseconds.
 fn ms(us: u64) -> f64 {
     us as f64 / 1000.0
 }
 
-/// What callers saw, for output.
+/// Counts, rates and percentiles of a [`Tally`].
 #[derive(Debug, Clone, Serialize)]
 pub struct TallyResult {
+    /// Number of requests sent.
     pub offered: u64,
+    /// Number of complete answers that arrived before the deadline.
     pub done: u64,
+    /// Number of refused requests by code.
     pub(super) refused: ReasonCounts,
+    /// Number of failed requests by cause.
     pub(super) failed: ReasonCounts,
+    /// Complete answers per second.
     pub goodput_per_s: f64,
+    /// Median time to the first token.
     pub first_token_p50_ms: f64,
+    /// 95th percentile of the time to the first token.
     pub first_token_p95_ms: f64,
+    /// 99th percentile of the time to the first token.
     pub first_token_p99_ms: f64,
+    /// 99th percentile of the time to a refusal.
     pub refusal_p99_ms: f64,
 }
--- a/src/bench/weights.rs
+++ b/src/bench/weights.rs
@@ -30,99 +30,102 @@
 use crate::weights::Manifest;
 use crate::weights::mix64;
 
-/// Copies the origin's link carries in the allowed time.
+/// Copies of the version that the origin's link carries in the allowed time.
 const ORIGIN_COPIES: u64 = 4;
 
-/// Copies a host's link carries each way in the allowed time.
+/// Copies of the version that a host's link carries each way in the allowed time.
 const HOST_COPIES: u64 = 2;
 
 /// Rate of a link between regions, in percent of a host's link.
 const CROSSING_PERCENT: u64 = 40;
 
-/// Share of hosts that a list lacks when lists disagree.
+/// Share of hosts that are missing from a host's list when the lists disagree.
 const UNLISTED_PERCENT: u64 = 5;
 
-/// When the doomed hosts end, in percent of the bound.
+/// Time at which hosts are killed, in percent of the lower bound.
 const KILL_AT_PERCENT: u64 = 40;
 
-/// Time after which a run is given up, in bounds.
+/// Timeout of a run of the product's scheme, in multiples of the lower bound.
 const TIMEOUT_BOUNDS: u64 = 8;
 
-/// Time given to hosts for a version that a baseline moves badly.
+/// Timeout of a run of a baseline, in multiples of the lower bound; baselines are
+/// much slower than the bound.
 const BASELINE_TIMEOUT_BOUNDS: u64 = 400;
 
-/// How often the bench looks whether all hosts serve.
+/// Interval of the checks whether all hosts serve.
 const POLL_INTERVAL_MS: u64 = 20;
 
-/// Time for a call of the bench itself.
+/// Timeout of the bench's own calls to the origin.
 const CALL_TIMEOUT_MS: u64 = 10_000;
 
-/// A plain scheme to compare with.
+/// Simple distribution scheme to compare with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Baseline {
-    /// Every host reads all from the origin.
+    /// Every host reads the complete version from the origin.
     Origin,
-    /// Every host reads all from the host before it.
+    /// Every host reads the complete version from the host before it.
     Chain,
-    /// Every region is fed from the origin's region.
+    /// Every region reads the version from the origin's region.
     Star,
 }
 
-/// One measurement of a burst.
+/// Measurement of how fast a new version reaches all hosts.
 #[derive(Debug, Clone, Args)]
 pub struct WeightsBench {
-    /// Hosts that want the version.
+    /// Number of hosts that fetch the version.
     #[arg(long, default_value_t = 16, value_parser = RangedU64ValueParser::<usize>::new().range(1..=1000))]
     pub hosts: usize,
-    /// Regions they stand in.
+    /// Number of regions of the hosts.
     #[arg(long, default_value_t = 1, value_parser = RangedU64ValueParser::<usize>::new().range(1..=16))]
     pub regions: usize,
-    /// Share of the hosts killed on the way; with any, the hosts' lists
-    /// disagree and the origin runs at half its rate.
+    /// Share of the hosts killed during the transfer; above 0, the hosts' lists
+    /// also disagree and the origin runs at half its rate.
     #[arg(long, value_name = "PERCENT", default_value_t = 0, value_parser = RangedU64ValueParser::<u64>::new().range(0..=90))]
     pub kill_percent: u64,
     /// Scheme to measure instead of the product's.
     #[arg(long)]
     pub baseline: Option<Baseline>,
-    /// Let each host's link carry both ways together.
+    /// Let both directions of a host's link share its rate.
     #[arg(long)]
     pub shared_link: bool,
-    /// Size of the version.
+    /// Size of the version in bytes.
     #[arg(long = "size-bytes", value_name = "BYTES", default_value_t = 4 << 20, value_parser = RangedU64ValueParser::<u64>::new().range(1..=1 << 30))]
     pub bytes: u64,
-    /// Size of a chunk.
+    /// Size of a chunk in bytes.
     #[arg(long, value_name = "BYTES", default_value_t = 16 << 10, value_parser = RangedU64ValueParser::<u32>::new().range(1..=1 << 26))]
     pub chunk_bytes: u32,
-    /// Time in which the origin's link carries 4 copies and a host's 2 each way.
+    /// Time in milliseconds in which the origin's link carries 4 copies and a
+    /// host's link 2 copies each way.
     #[arg(long, value_name = "MS", default_value_t = 20_000, value_parser = RangedU64ValueParser::<u64>::new().range(100..=3_600_000))]
     pub allowed_ms: u64,
-    /// Reads in progress at each host.
+    /// Number of fetches in flight at each host.
     #[arg(long, default_value_t = 4, value_parser = RangedU64ValueParser::<usize>::new().range(1..=64))]
     pub fetches: usize,
-    /// Peers each host asks for news.
+    /// Number of peers that each host probes for updates.
     #[arg(long, default_value_t = 8)]
     pub neighbours: usize,
-    /// Seed of all choices.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Print how the transfer goes on standard error.
+    /// Print the progress of the transfer to standard error.
     #[arg(long)]
     pub trace: bool,
     /// Print one JSON object.
     #[arg(long)]
     pub json: bool,
-    /// Draw the serving replicas over time.
+    /// Draw the number of serving replicas over time.
     #[arg(long, value_name = "FILE.svg")]
     pub plot: Option<PathBuf>,
 }
 
+/// Reply of the origin stand-in to a publication.
 #[derive(Debug, Deserialize)]
 struct Published {
     manifest: Digest,
 }
 
 impl WeightsBench {
-    /// Rate of a host's link.
+    /// Rate of a host's link each way.
     pub fn host_bytes_per_s(&self) -> u64 {
         self.bytes * HOST_COPIES * 1000 / self.allowed_ms
     }
@@ -136,12 +139,12 @@
         }
     }
 
-    /// Rate of a link between regions.
+    /// Rate of a link between regions each way.
     pub fn crossing_bytes_per_s(&self) -> u64 {
         self.host_bytes_per_s() * CROSSING_PERCENT / 100
     }
 
-    /// The shortest time in which any scheme could be done.
+    /// Lower bound of the time in which any scheme can bring the version to all hosts.
     pub fn lower_bound_ms(&self) -> u64 {
         lower_bound_ms(&BoundInput {
             bytes: self.bytes,
@@ -154,21 +157,22 @@
         })
     }
 
-    /// Name of the host `index`.
+    /// Name of host `index`.
     pub(super) fn host_name(index: usize) -> String {
         format!("host-{index}")
     }
 
+    /// Names of the regions; the origin is in the first one.
     pub(super) fn region_names(&self) -> Vec<String> {
         (0..self.regions.max(1))
             .map(|index| format!("region-{index}"))
             .collect()
     }
 
-    /// Whether host `index` is killed on the way.
+    /// Whether host `index` is killed during the transfer.
     pub(super) fn will_be_killed(&self, index: usize) -> bool {
         let killed_hosts = self.hosts * usize::try_from(self.kill_percent).unwrap_or(0) / 100;
-        // Hosts in an order that the seed decides.
+        // Orders the hosts pseudorandomly by the seed.
         let rank = |host: usize| (mix64(self.seed ^ host as u64), host);
         (0..self.hosts)
             .filter(|other| rank(*other) < rank(index))
@@ -176,12 +180,13 @@
             < killed_hosts
     }
 
-    /// Whether the list of `index` lacks `other`.
+    /// Whether host `other` is missing from the list of host `index`.
     pub(super) fn is_unlisted(&self, index: usize, other: usize) -> bool {
         let hash = mix64(self.seed ^ (index as u64) << 32 ^ other as u64);
         self.kill_percent > 0 && hash % 100 < UNLISTED_PERCENT
     }
 
+    /// Largest number of fetches in flight at a host from the origin and other regions.
     pub(super) fn max_imports(&self) -> usize {
         match self.baseline {
             Some(Baseline::Origin | Baseline::Chain) => self.fetches,
@@ -189,6 +194,7 @@
         }
     }
 
+    /// Largest number of fetches in flight at a host from one peer.
     pub(super) fn max_fetches_per_peer(&self) -> usize {
         match self.baseline {
             Some(Baseline::Chain) => self.fetches,
@@ -196,6 +202,7 @@
         }
     }
 
+    /// Time after which the run ends even if hosts do not serve yet.
     fn timeout_ms(&self) -> u64 {
         let bounds = match self.baseline {
             None => TIMEOUT_BOUNDS,
@@ -204,11 +211,12 @@
         self.lower_bound_ms() * bounds
     }
 
-    /// Runs the burst until every surviving host serves, or time is up.
+    /// Distributes the version until every surviving host serves it or the run times
+    /// out.
     ///
     /// # Errors
     ///
-    /// The I/O error when the hosts or the origin can't start.
+    /// The I/O error when the hosts or the origin can't start or the origin does not answer.
     pub async fn run(&self) -> io::Result<WeightsResult> {
         let fleet = WeightsFleet::start(self)?;
         let origin = origin::start(OriginOptions {
@@ -236,6 +244,7 @@
         Ok(result)
     }
 
+    /// Publishes the version at the origin and returns its verified manifest.
     async fn publish_version(&self, origin: &Handle) -> Result<Manifest, LinkError> {
         let publication = Publication {
             model: "bench".to_owned(),
@@ -260,6 +269,8 @@
         }
     }
 
+    /// Waits until every surviving host serves or the run times out; kills the
+    /// selected hosts when their time has come.
     async fn wait_until_served(&self, fleet: &WeightsFleet, started: Instant) {
         let timeout = Duration::from_millis(self.timeout_ms());
         let kill_at = Duration::from_millis(self.lower_bound_ms() * KILL_AT_PERCENT / 100);
--- a/src/bench/weights_fleet.rs
+++ b/src/bench/weights_fleet.rs
@@ -32,38 +32,43 @@
 use crate::weights::PlanSettings;
 use crate::weights::SwarmSettings;
 
-/// Threads that run the transfers of all hosts.
+/// Number of threads that run the transfers of all hosts.
 const TRANSFER_THREADS: usize = 4;
 
-/// Threads that answer the reads of all hosts.
+/// Number of threads that serve the chunks of all surviving hosts.
 const SERVER_THREADS: usize = 4;
 
+/// Key with which the hosts authenticate each other.
 const SHARED_KEY: &str = "bench";
 
-/// One host of the fleet.
+/// Host of the fleet.
 pub(super) struct FleetHost {
     pub(super) share: Arc<WeightsShare>,
+    /// Whether the host is killed during the transfer.
     pub(super) will_be_killed: bool,
-    /// Time from the start of the burst until the host served.
+    /// Time from the start of the transfers until the host served.
     served_ms: Arc<Mutex<Option<u64>>>,
+    /// Address of the transfer actor, once started.
     transfer: Arc<Mutex<Option<Addr<Transfer>>>>,
+    /// Server of its own, only for a host that will be killed.
     server: Option<ServerHandle>,
 }
 
 impl FleetHost {
-    /// When the host served, if it does.
+    /// Time from the start of the transfers until the host served, if it does.
     pub(super) fn served_ms(&self) -> Option<u64> {
         *self.served_ms.lock().expect("no holder of the time panics")
     }
 }
 
-/// Hosts on loopback, each with links of its own.
+/// Hosts on loopback addresses, each with links of its own.
 pub(super) struct WeightsFleet {
     pub(super) hosts: Vec<FleetHost>,
-    /// Links between regions, by name of the pair.
+    /// Links between regions, each with its name `FROM>TO`.
     pub(super) crossings: Vec<(String, Arc<WeightLink>)>,
     addresses: Vec<SocketAddr>,
     arbiters: Vec<Arbiter>,
+    /// Server of all surviving hosts.
     server: ServerHandle,
 }
 
@@ -99,7 +104,7 @@
         })
     }
 
-    /// Announces the version to every host.
+    /// Starts the transfer of the version on every host.
     pub(super) fn start_transfers(
         &self,
         bench: &WeightsBench,
@@ -127,7 +132,8 @@
         }
     }
 
-    /// Ends the doomed hosts: their connections break and new ones are refused.
+    /// Kills the hosts selected to be killed: their connections break and new ones are
+    /// refused.
     pub(super) async fn kill_selected(&self) {
         for host in self.hosts.iter().filter(|host| host.will_be_killed) {
             let transfer = host
@@ -144,7 +150,7 @@
         }
     }
 
-    /// Ends everything.
+    /// Stops all transfers and servers.
     pub(super) async fn stop(self) {
         for arbiter in &self.arbiters {
             arbiter.stop();
@@ -158,7 +164,8 @@
     }
 }
 
-/// Plays the engine: loads what was verified and reports its digest.
+/// Acts as the engine of a host: loads the fetched version, reports its digest and
+/// records when the host serves.
 async fn load_and_serve(
     share: Arc<WeightsShare>,
     digest: Digest,
@@ -182,6 +189,7 @@
     *served_ms.lock().expect("no holder of the time panics") = Some(elapsed_ms);
 }
 
+/// Options of each host's transfer.
 fn transfer_options(bench: &WeightsBench, origin_url: &str) -> TransferOptions {
     TransferOptions {
         origin: OriginClient::new(origin_url),
@@ -201,6 +209,7 @@
     }
 }
 
+/// Weights share of host `index` with its links to hosts and regions.
 fn weights_share(
     bench: &WeightsBench,
     index: usize,
@@ -225,6 +234,7 @@
     )
 }
 
+/// Creates a link for each ordered pair of regions, named `FROM>TO`.
 fn crossing_links(bench: &WeightsBench, regions: &[String]) -> Vec<(String, Arc<WeightLink>)> {
     let mut links = Vec::new();
     for from in regions {
@@ -236,13 +246,15 @@
     links
 }
 
+/// Binds `count` listeners on free loopback ports.
 fn bind_listeners(count: usize) -> io::Result<Vec<TcpListener>> {
     (0..count)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
         .collect()
 }
 
-/// One server for the hosts that stay, and one for each doomed host.
+/// Starts one server for all surviving hosts and one for each host that will be
+/// killed; returns the handle of the former.
 fn start_servers(
     hosts: &mut [FleetHost],
     listeners: Vec<TcpListener>,
--- a/src/bench/weights_member_lists.rs
+++ b/src/bench/weights_member_lists.rs
@@ -5,11 +5,11 @@
 use crate::endpoint::SwarmMember;
 use crate::weights::SwarmHost;
 
-/// What each host of a bench believes the swarm to be.
+/// Member list of the swarm as each host of a bench has it.
 ///
 /// A baseline is the product's own transfer with a list that leaves no choice:
-/// a host that sees only itself reads all from the origin; one that sees only
-/// the host before it, in another region, reads all from that one.
+/// a host that lists only itself reads everything from the origin; one that lists
+/// only the host before it, in another region, reads everything from that host.
 #[derive(Debug)]
 pub(super) struct MemberLists<'a> {
     bench: &'a WeightsBench,
@@ -17,6 +17,7 @@
 }
 
 impl<'a> MemberLists<'a> {
+    /// Creates the complete list from the hosts' addresses.
     pub(super) fn new(bench: &'a WeightsBench, addresses: &[SocketAddr]) -> Self {
         let regions = bench.region_names();
         let all = addresses
@@ -34,7 +35,7 @@
         Self { bench, all }
     }
 
-    /// The list of host `index`.
+    /// Member list of host `index`.
     pub(super) fn list_of(&self, index: usize) -> Vec<SwarmMember> {
         match self.bench.baseline {
             None => self.partial_list(index),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// All hosts, but for those that this host's list lacks.
+    /// All hosts except those missing from the list of host `index`.
     fn partial_list(&self, index: usize) -> Vec<SwarmMember> {
         self.all
             .iter()
@@ -54,6 +55,8 @@
             .collect()
     }
 
+    /// The host itself and the one before it, in different regions; only the host
+    /// itself for the first one.
     fn chain_list(&self, index: usize) -> Vec<SwarmMember> {
         let mut own = self.all[index].clone();
         if index == 0 {
@@ -65,7 +68,8 @@
         vec![before, own]
     }
 
-    /// The origin's region and the own one, which is then fed from there.
+    /// Hosts of the origin's region and of the host's own region, which thus reads from
+    /// the origin's region.
     fn star_list(&self, index: usize) -> Vec<SwarmMember> {
         let first = &self.all[0].host.region;
         let own = &self.all[index].host.region;
--- a/src/bench/weights_plot.rs
+++ b/src/bench/weights_plot.rs
@@ -11,10 +11,10 @@
 
 use super::WeightsResult;
 
-/// Width and height of the picture.
+/// Width and height of the plot.
 const SIZE_PIXELS: (u32, u32) = (800, 480);
 
-/// Draws the number of serving replicas over time, and the bound.
+/// Draws the number of serving replicas over time and the lower bound as an SVG file.
 ///
 /// # Errors
 ///
--- a/src/bench/weights_result.rs
+++ b/src/bench/weights_result.rs
@@ -6,56 +6,58 @@
 use super::weights_fleet::WeightsFleet;
 use crate::standin::origin::OriginStats;
 
-/// What a burst measured.
+/// Result of a [`WeightsBench`].
 #[derive(Debug, Clone, Serialize)]
 pub struct WeightsResult {
-    /// Hosts that wanted the version.
+    /// Number of hosts that fetched the version.
     pub hosts: usize,
-    /// Regions they stood in.
+    /// Number of regions of the hosts.
     pub regions: usize,
-    /// Processes that held them.
+    /// Number of processes in which the hosts ran.
     pub processes: usize,
-    /// Scheme measured.
+    /// Name of the measured scheme.
     pub scheme: String,
-    /// Whether a host's link carried both ways together.
+    /// Whether both directions of a host's link shared its rate.
     pub shared_link: bool,
     /// Size of the version.
     pub bytes: u64,
-    /// Number of its chunks.
+    /// Number of chunks of the version.
     pub chunks: u64,
-    /// Hosts killed on the way.
+    /// Number of hosts killed during the transfer.
     pub killed_hosts: usize,
-    /// Hosts that serve the whole verified version.
+    /// Number of hosts that serve the complete verified version.
     pub verified_hosts: usize,
     /// Time until the last of them served.
     pub time_ms: u64,
     /// Time until half of them served.
     pub half_ms: u64,
-    /// Shortest time possible.
+    /// Lower bound of the time for any scheme.
     pub bound_ms: u64,
-    /// Time in bounds.
+    /// Time divided by the lower bound.
     pub ratio_to_bound: f64,
-    /// Bytes read from the origin, in copies.
+    /// Bytes read from the origin, in copies of the version.
     pub origin_copies: f64,
-    /// Bytes over the busiest link between two regions each way, in copies.
+    /// Bytes over the busiest link between two regions in one direction, in copies of
+    /// the version.
     pub region_link_copies: f64,
-    /// Bytes sent by the busiest host, in copies.
+    /// Bytes sent by the busiest host, in copies of the version.
     pub host_up_copies_max: f64,
-    /// Control traffic of a host on average, asked and asking.
+    /// Mean control traffic of a host, as client and as server.
     pub control_bytes_per_s: f64,
-    /// Processor time of the bench process per host, in percent of a core.
+    /// CPU time of the bench process per host, in percent of a core.
     pub cpu_percent_per_host: f64,
-    /// Reads sent again, by reason.
+    /// Number of retried reads by reason.
     pub retries: Vec<(String, u64)>,
-    /// When each host served, in order.
+    /// Times at which hosts began to serve, in ascending order.
     #[serde(skip)]
     pub served_ms: Vec<u64>,
-    /// Hosts that had to serve in the end and did not.
+    /// Number of surviving hosts that do not serve at the end.
     #[serde(skip)]
     pub missing_hosts: usize,
 }
 
 impl WeightsResult {
+    /// Computes the result from the hosts' and the origin's counters.
     pub(super) fn collect(
         bench: &WeightsBench,
         fleet: &WeightsFleet,
@@ -124,7 +126,7 @@
     }
 }
 
-/// Retries of all hosts, read from their exported counters.
+/// Number of retries of all hosts by reason, read from their exported counters.
 fn sum_retries(fleet: &WeightsFleet) -> Vec<(String, u64)> {
     let mut totals: Vec<(String, u64)> = Vec::new();
     for host in &fleet.hosts {
@@ -141,6 +143,7 @@
     totals
 }
 
+/// Reads reason and count from a metrics line; `None` for other metrics.
 fn parse_retry_line(line: &str) -> Option<(&str, u64)> {
     let labels = line.strip_prefix("bergamotfork_retries_total{")?;
     let (_, reason) = labels.split_once("reason=\"")?;
@@ -149,6 +152,7 @@
     Some((reason, count as u64))
 }
 
+/// Name of the measured scheme in the result.
 fn scheme_name(bench: &WeightsBench) -> String {
     match bench.baseline {
         None => "swarm".to_owned(),
@@ -156,13 +160,14 @@
     }
 }
 
+/// Rounds to three decimals.
 fn round_to_thousandths(value: f64) -> f64 {
     (value * 1000.0).round() / 1000.0
 }
 
-/// Processor time of this process so far; 0 where the system doesn't tell.
+/// CPU time of this process so far; 0 when the system does not report it.
 fn process_cpu_s() -> f64 {
-    /// Clock ticks in a second, fixed by the kernel's interface.
+    /// Clock ticks per second, fixed by the kernel's interface.
     const TICKS_PER_S: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     // User and system time are the 12th and 13th fields after the name.
--- a/src/bench/weights_trace.rs
+++ b/src/bench/weights_trace.rs
@@ -3,23 +3,27 @@
 use super::WeightsBench;
 use super::weights_fleet::WeightsFleet;
 
-/// Samples in one bound.
+/// Number of samples in the time of the lower bound.
 const SAMPLES_PER_BOUND: u64 = 20;
 
-/// Missing chunks that are worth naming.
+/// Largest number of missing chunks that are printed.
 const MAX_SHOWN_CHUNKS: usize = 8;
 
-/// Prints how much of the links' capacity the transfer uses.
+/// Periodically prints how much of the links' capacity the transfer uses.
 #[derive(Debug)]
 pub(super) struct WeightsTrace {
     interval_ms: u64,
+    /// Time of the next sample.
     next_ms: u64,
+    /// Number of chunks that all hosts held at the previous sample.
     previous_chunks: u64,
+    /// Number of chunks that the hosts' links can carry in an interval.
     chunks_per_interval: f64,
     hosts: usize,
 }
 
 impl WeightsTrace {
+    /// Computes the sampling interval and the links' capacity.
     pub(super) fn new(bench: &WeightsBench) -> Self {
         let interval_ms = (bench.lower_bound_ms() / SAMPLES_PER_BOUND).max(1);
         let chunk_ms = f64::from(bench.chunk_bytes) * 1000.0 / bench.host_bytes_per_s() as f64;
@@ -66,7 +70,7 @@
                 .filter(|chunk| !status.have.contains(*chunk))
                 .collect();
             if !missing.is_empty() && missing.len() <= MAX_SHOWN_CHUNKS {
-                eprintln!("the best host lacks {missing:?}");
+                eprintln!("the most complete host lacks chunks {missing:?}");
             }
         }
         self.previous_chunks = chunks;
