--- a/src/bench/control_monitor.rs
+++ b/src/bench/control_monitor.rs
@@ -116,8 +116,8 @@
         let observations = poller.join().expect("the poller thread does not panic");
         let elapsed_s = elapsed.as_secs_f64();
         let per_second = |bytes: u64| bytes as f64 / elapsed_s;
-        let control = |host: &HostUsage| host.node.control_bytes() - host.control_bytes;
-        let cpu = |host: &HostUsage| cpu_ticks(&host.threads) - host.cpu_ticks;
+        let control_bytes = |host: &HostUsage| host.node.control_bytes() - host.control_bytes;
+        let used_cpu_ticks = |host: &HostUsage| cpu_ticks(&host.threads) - host.cpu_ticks;
         let max_of =
             |measure: &dyn Fn(&HostUsage) -> u64| self.hosts.iter().map(measure).max().unwrap_or(0);
         let (entries, endpoints) = self.hosts.split_at(bench.entries.min(self.hosts.len()));
@@ -139,12 +139,12 @@
             reverts: observations.reverts,
             appends_per_s: per_second(after.appends - before.appends),
             log_reads_per_s: per_second(after.reads - before.reads),
-            control_bytes_per_s_max: per_second(max_of(&control)),
-            entry_control_bytes_per_s: mean_of(entries, &control) / elapsed_s,
-            endpoint_control_bytes_per_s: mean_of(endpoints, &control) / elapsed_s,
-            cpu_percent_max: percent(max_of(&cpu) as f64),
-            entry_cpu_percent: percent(mean_of(entries, &cpu)),
-            endpoint_cpu_percent: percent(mean_of(endpoints, &cpu)),
+            control_bytes_per_s_max: per_second(max_of(&control_bytes)),
+            entry_control_bytes_per_s: mean_of(entries, &control_bytes) / elapsed_s,
+            endpoint_control_bytes_per_s: mean_of(endpoints, &control_bytes) / elapsed_s,
+            cpu_percent_max: percent(max_of(&used_cpu_ticks) as f64),
+            entry_cpu_percent: percent(mean_of(entries, &used_cpu_ticks)),
+            endpoint_cpu_percent: percent(mean_of(endpoints, &used_cpu_ticks)),
             rss_mib_max: rss_bytes().max(self.rss_before_bytes) as f64
                 / MIB
                 / self.hosts.len().max(1) as f64,
--- a/src/bench/requests_overhead.rs
+++ b/src/bench/requests_overhead.rs
@@ -42,17 +42,29 @@
 /// Latency and CPU time that entry and endpoint add to a direct call of the engine.
 #[derive(Debug, Serialize)]
 pub struct OverheadResult {
+    /// Number of requests of each of the two measurements.
     requests: usize,
+    /// Number of requests in flight.
     concurrency: usize,
+    /// Number of failed or refused requests of both measurements.
     failed: usize,
+    /// Median time to the first token of a direct call.
     direct_first_token_p50_ms: f64,
+    /// 99th percentile of the time to the first token of a direct call.
     direct_first_token_p99_ms: f64,
+    /// Median time to the first token through entry and endpoint.
     path_first_token_p50_ms: f64,
+    /// 99th percentile of the time to the first token through entry and endpoint.
     path_first_token_p99_ms: f64,
+    /// Difference of the medians.
     added_p50_ms: f64,
+    /// Difference of the 99th percentiles.
     added_p99_ms: f64,
+    /// CPU time of the entries per request.
     entry_cpu_us_per_request: f64,
+    /// CPU time of the endpoints per request.
     endpoint_cpu_us_per_request: f64,
+    /// Requests per second that one core of CPU time of the entries sustains.
     requests_per_s_per_entry_core: f64,
 }
 
--- a/src/bench/requests_result.rs
+++ b/src/bench/requests_result.rs
@@ -33,7 +33,7 @@
             retried: fleet
                 .metrics()
                 .iter()
-                .flat_map(|it| parse_retries(it))
+                .flat_map(|metrics| parse_retries(metrics))
                 .collect(),
             engines: engine_states(fleet).await,
         }
--- a/src/bench/requests_scenario.rs
+++ b/src/bench/requests_scenario.rs
@@ -151,8 +151,8 @@
 
 /// Prompt of an arrival: a common prefix and a unique suffix.
 pub(super) fn build_prompt(arrival: &Arrival, number: usize) -> String {
-    let head = format!("rules of beach number {:04}; ", arrival.prefix);
-    let mut prompt = head.repeat(PREFIX_BYTES / head.len() + 1);
+    let prefix = format!("rules of beach number {:04}; ", arrival.prefix);
+    let mut prompt = prefix.repeat(PREFIX_BYTES / prefix.len() + 1);
     prompt.truncate(PREFIX_BYTES);
     prompt.push_str(&format!("question {number:06}"));
     prompt
--- a/src/bench/weights_plot.rs
+++ b/src/bench/weights_plot.rs
@@ -31,7 +31,7 @@
         .build_cartesian_2d(0..end_ms, 0..hosts + 1)?;
     chart
         .configure_mesh()
-        .x_desc("milliseconds since the burst began")
+        .x_desc("milliseconds since the start of the transfers")
         .y_desc("replicas serving")
         .draw()?;
     let mut steps = vec![(0, 0)];
