--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -79,7 +79,7 @@
     /// Number of endpoint processes.
     #[arg(long, default_value_t = 60)]
     pub endpoints: usize,
-    /// Fault to inject after a third of the changes.
+    /// Fault to inject during the run.
     #[arg(long, value_enum, default_value = "none")]
     pub fault: ControlFault,
     /// Number of configuration changes.
@@ -114,7 +114,8 @@
         Ok(result)
     }
 
-    /// Appends every change, injects the fault after a third of them and returns the offsets.
+    /// Appends every change and returns the offsets. The fault is injected after a third
+    /// of the changes, but lost replies affect every second append from the start.
     async fn append_changes(&self, fleet: &ControlFleet, monitor: &ControlMonitor) -> Vec<u64> {
         let mut offsets = Vec::new();
         for number in 0..self.changes {
--- a/src/bench/requests.rs
+++ b/src/bench/requests.rs
@@ -71,7 +71,8 @@
 }
 
 impl RequestsBench {
-    /// Runs the scenario once for each policy to measure.
+    /// Runs the scenario once for each policy to measure; the overhead is measured for
+    /// the product only.
     ///
     /// # Errors
     ///
