--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -34,64 +34,66 @@
 use crate::standin::log::LogOptions;
 use crate::standin::log::LogStats;
 
-/// Key the processes share.
+/// Key with which the processes authenticate each other.
 const SHARED_KEY: &str = "the shared key of the bench";
 
-/// Time the log keeps a record.
+/// Time for which the log retains a record.
 const RETENTION_MS: u64 = 3_600_000;
 
-/// Time for a call of the bench itself.
-const CALL_WAIT_MS: u64 = 10_000;
+/// Timeout of the bench's own calls to the stand-ins.
+const CALL_TIMEOUT_MS: u64 = 10_000;
 
-/// Regions of the fleet.
+/// Regions of the fleet; hosts alternate between them.
 const REGIONS: [&str; 2] = ["north", "south"];
 
-/// One role on threads of its own, as a process would be.
+/// Entry or endpoint that runs in an actix system on threads of its own, in place
+/// of a process.
 #[derive(Debug)]
 pub(super) struct ControlHost {
     pub(super) node: Arc<Node>,
-    /// Threads that the role started.
+    /// Ids of the threads that the host started.
     pub(super) threads: Vec<u32>,
     arbiter: ArbiterHandle,
     system: System,
 }
 
-/// Stand-ins, entries and endpoints of one measurement.
+/// Platform stand-ins, entries and endpoints of one measurement.
 #[derive(Debug)]
 pub(super) struct ControlFleet {
     log: HttpServerHandle,
-    list: HttpServerHandle,
+    host_list: HttpServerHandle,
     pub(super) hosts: Vec<ControlHost>,
 }
 
 impl ControlFleet {
-    /// Starts every role and lists it.
+    /// Starts the stand-ins and every host, and registers the hosts in the list.
     pub(super) async fn start(entries: usize, endpoints: usize) -> io::Result<Self> {
         let log = log::start(LogOptions {
             listen: free_address()?,
             retention_ms: RETENTION_MS,
         })
         .await?;
-        let list = hosts::start(HostsOptions {
+        let host_list = hosts::start(HostsOptions {
             listen: free_address()?,
             lag_ms: 0,
         })
         .await?;
         let mut fleet = Self {
             log,
-            list,
+            host_list,
             hosts: Vec::new(),
         };
         for number in 0..entries {
-            fleet.add(HostRole::Entry, number).await?;
+            fleet.add_host(HostRole::Entry, number).await?;
         }
         for number in 0..endpoints {
-            fleet.add(HostRole::Endpoint, number).await?;
+            fleet.add_host(HostRole::Endpoint, number).await?;
         }
         Ok(fleet)
     }
 
-    async fn add(&mut self, role: HostRole, number: usize) -> io::Result<()> {
+    /// Starts a host and registers it in the host list.
+    async fn add_host(&mut self, role: HostRole, number: usize) -> io::Result<()> {
         let address = free_address()?;
         let region = REGIONS[number % REGIONS.len()];
         let domain = format!("{region}-{}", number / REGIONS.len() % 2);
@@ -100,8 +102,8 @@
             HostRole::Endpoint => (format!("endpoint-{number:03}"), Some("desk".to_owned())),
         };
         let process = ProcessSettings::new(role, &name, region, &domain, address);
-        let platform = PlatformSettings::new(self.log.url(), self.list.url(), self.log.url());
-        self.hosts.push(start_role(process, platform)?);
+        let platform = PlatformSettings::new(self.log.url(), self.host_list.url(), self.log.url());
+        self.hosts.push(start_host(process, platform)?);
         let record = HostRecord {
             name: name.clone(),
             address,
@@ -111,39 +113,43 @@
             service,
             state: HostState::Live,
         };
-        let url = format!("{}/v1/hosts/{name}", self.list.url());
+        let url = format!("{}/v1/hosts/{name}", self.host_list.url());
         let put: Result<Value, LinkError> = HttpClient::to_platform()
-            .send_json(Method::PUT, &url, &record, CALL_WAIT_MS)
+            .send_json(Method::PUT, &url, &record, CALL_TIMEOUT_MS)
             .await;
         put.map(drop).map_err(io::Error::other)
     }
 
-    /// Base URL of the log.
+    /// Base URL of the log stand-in.
     pub(super) fn log_url(&self) -> String {
         self.log.url()
     }
 
-    /// What the log has served.
+    /// Counters of the appends and reads that the log has served.
     pub(super) async fn log_stats(&self) -> io::Result<LogStats> {
         let url = format!("{}/stats", self.log.url());
-        let stats = HttpClient::to_platform().get_json(&url, CALL_WAIT_MS).await;
+        let stats = HttpClient::to_platform()
+            .get_json(&url, CALL_TIMEOUT_MS)
+            .await;
         stats.map_err(io::Error::other)
     }
 
-    /// Processes where the record at `offset` is not in force.
-    pub(super) fn lacking(&self, offset: u64) -> usize {
-        let lacks = |host: &&ControlHost| host.node.follower().fold().head() <= offset;
-        self.hosts.iter().filter(lacks).count()
+    /// Number of hosts on which the record at `offset` is not in force.
+    pub(super) fn count_lacking(&self, offset: u64) -> usize {
+        let is_lacking = |host: &&ControlHost| host.node.follower().fold().head() <= offset;
+        self.hosts.iter().filter(is_lacking).count()
     }
 
-    /// Stops every third role from following for `time`.
+    /// Blocks the main thread of every third host for `time`, so that it does not follow
+    /// the log.
     pub(super) fn pause_third(&self, time: Duration) {
         for host in self.hosts.iter().step_by(3) {
             host.arbiter.spawn_fn(move || thread::sleep(time));
         }
     }
 
-    /// SimulatedPartition the regions from each other, and the second from the platform, for `time`.
+    /// For `time`, blocks connections between the regions and from the second region
+    /// to the platform stand-ins.
     pub(super) fn cut_regions(&self, time: Duration) {
         let region_of = |host: &ControlHost| host.node.process().region.clone();
         for host in &self.hosts {
@@ -155,25 +161,26 @@
                 .collect();
             if region_of(host) != REGIONS[0] {
                 cut.push(self.log.address());
-                cut.push(self.list.address());
+                cut.push(self.host_list.address());
             }
             host.node.cuts().start(cut, time);
         }
     }
 
-    /// Ends every role and stand-in.
+    /// Stops every host and stand-in.
     pub(super) async fn stop(self) {
         for host in &self.hosts {
             host.system.stop();
         }
         self.log.kill().await;
-        self.list.kill().await;
+        self.host_list.kill().await;
     }
 }
 
-/// Starts a role on a system of its own and notes which threads it started.
-fn start_role(process: ProcessSettings, platform: PlatformSettings) -> io::Result<ControlHost> {
-    let before = threads()?;
+/// Starts a host in an actix system of its own and finds the threads it started by
+/// comparing the thread ids before and after.
+fn start_host(process: ProcessSettings, platform: PlatformSettings) -> io::Result<ControlHost> {
+    let before = thread_ids()?;
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         let runner = System::new();
@@ -184,12 +191,12 @@
             .send(started.map(|node| (node, arbiter, system)))
             .is_ok()
         {
-            // The run ends when the fleet stops the system.
+            // Runs until `ControlFleet::stop` stops the system.
             let _ = runner.run();
         }
     });
     let (node, arbiter, system) = receiver.recv().map_err(io::Error::other)??;
-    let mut started = threads()?;
+    let mut started = thread_ids()?;
     started.retain(|thread| before.binary_search(thread).is_err());
     Ok(ControlHost {
         node,
@@ -199,6 +206,7 @@
     })
 }
 
+/// Starts the entry or endpoint on the current system and returns its node.
 async fn start_node(process: ProcessSettings, platform: PlatformSettings) -> io::Result<Arc<Node>> {
     let cluster = ClusterSettings::new(SHARED_KEY);
     match process.role {
@@ -217,8 +225,8 @@
     }
 }
 
-/// Threads of this process, in ascending order.
-fn threads() -> io::Result<Vec<u32>> {
+/// Ids of the threads of this process, in ascending order.
+fn thread_ids() -> io::Result<Vec<u32>> {
     let mut threads = Vec::new();
     for entry in fs::read_dir("/proc/self/task")? {
         if let Some(thread) = entry?
@@ -233,6 +241,7 @@
     Ok(threads)
 }
 
+/// Loopback address with a port that was free when it was chosen.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
--- a/src/bench/control_watch.rs
+++ b/src/bench/control_monitor.rs
@@ -16,54 +16,57 @@
 use crate::node::Node;
 use crate::standin::log::LogStats;
 
-/// How often the processes are looked at.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which the heads of all processes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest time that is told apart.
-const LONGEST_MS: u64 = 600_000;
+/// Upper bound of the histogram; longer times are recorded as this one.
+const MAX_IN_FORCE_MS: u64 = 600_000;
 
-/// Length of a tick of the processor time that the kernel counts.
-const TICK_MS: f64 = 10.0;
+/// Length of a clock tick in `/proc`, fixed by the kernel's interface.
+const CPU_TICK_MS: f64 = 10.0;
 
-/// Bytes of a MiB.
+/// Bytes in a MiB.
 const MIB: f64 = 1024.0 * 1024.0;
 
-/// Changes made and when.
+/// Offset of each change and the time at which its append was confirmed.
 type Changes = Arc<Mutex<Vec<(u64, Instant)>>>;
 
-/// Looks at every process until the run ends.
+/// Polls the log head of every process and measures resource usage until the run ends.
 #[derive(Debug)]
-pub(super) struct ControlWatch {
+pub(super) struct ControlMonitor {
     changes: Changes,
     ended: Arc<AtomicBool>,
-    looking: Option<JoinHandle<Seen>>,
-    hosts: Vec<HostStart>,
+    poller: Option<JoinHandle<HeadObservations>>,
+    hosts: Vec<HostUsage>,
+    /// Resident memory of the bench process at the start.
     rss_before_bytes: u64,
 }
 
-/// What a process had used when the run began.
+/// Counters of a process at the start of the run.
 #[derive(Debug)]
-struct HostStart {
+struct HostUsage {
     node: Arc<Node>,
     threads: Vec<u32>,
     control_bytes: u64,
     cpu_ticks: u64,
 }
 
-/// What the looks found.
+/// Results of polling the heads.
 #[derive(Debug)]
-struct Seen {
+struct HeadObservations {
+    /// Time from the confirmed append of a change until a process has it in force.
     in_force_ms: Histogram<u64>,
+    /// Number of times that the head of a process went back.
     reverts: u64,
 }
 
-impl ControlWatch {
-    /// Starts to look at the processes of `fleet`.
+impl ControlMonitor {
+    /// Starts polling the processes of `fleet`.
     pub(super) fn start(fleet: &ControlFleet) -> Self {
-        let hosts: Vec<HostStart> = fleet
+        let hosts: Vec<HostUsage> = fleet
             .hosts
             .iter()
-            .map(|host| HostStart {
+            .map(|host| HostUsage {
                 node: Arc::clone(&host.node),
                 threads: host.threads.clone(),
                 control_bytes: host.node.control_bytes(),
@@ -73,22 +76,22 @@
         let nodes: Vec<Arc<Node>> = hosts.iter().map(|host| Arc::clone(&host.node)).collect();
         let changes = Changes::default();
         let ended = Arc::new(AtomicBool::new(false));
-        let looking = {
+        let poller = {
             let changes = Arc::clone(&changes);
             let ended = Arc::clone(&ended);
-            thread::spawn(move || look(&nodes, &changes, &ended))
+            thread::spawn(move || poll_heads(&nodes, &changes, &ended))
         };
         Self {
             changes,
             ended,
-            looking: Some(looking),
+            poller: Some(poller),
             hosts,
             rss_before_bytes: rss_bytes(),
         }
     }
 
-    /// Notes that the log took a change at `offset` just now.
-    pub(super) fn note_change(&self, offset: u64) {
+    /// Records that the log has just confirmed a change at `offset`.
+    pub(super) fn record_change(&self, offset: u64) {
         let mut changes = self
             .changes
             .lock()
@@ -96,7 +99,9 @@
         changes.push((offset, Instant::now()));
     }
 
-    /// Ends the looks and sums up.
+    /// Stops polling and computes the result; `before` and `after` are the log's
+    /// counters at both ends of `elapsed`, and `lacking` is the number of processes
+    /// without the last change.
     pub(super) fn finish(
         &mut self,
         bench: &ControlBench,
@@ -107,19 +112,19 @@
         after: &LogStats,
     ) -> ControlResult {
         self.ended.store(true, Ordering::Release);
-        let looking = self.looking.take().expect("a watch is finished once");
-        let seen = looking.join().expect("the looking thread does not panic");
+        let poller = self.poller.take().expect("a monitor is finished once");
+        let observations = poller.join().expect("the poller thread does not panic");
         let elapsed_s = elapsed.as_secs_f64();
         let per_second = |bytes: u64| bytes as f64 / elapsed_s;
-        let control = |host: &HostStart| host.node.control_bytes() - host.control_bytes;
-        let cpu = |host: &HostStart| cpu_ticks(&host.threads) - host.cpu_ticks;
+        let control_bytes = |host: &HostUsage| host.node.control_bytes() - host.control_bytes;
+        let used_cpu_ticks = |host: &HostUsage| cpu_ticks(&host.threads) - host.cpu_ticks;
         let max_of =
-            |measure: &dyn Fn(&HostStart) -> u64| self.hosts.iter().map(measure).max().unwrap_or(0);
+            |measure: &dyn Fn(&HostUsage) -> u64| self.hosts.iter().map(measure).max().unwrap_or(0);
         let (entries, endpoints) = self.hosts.split_at(bench.entries.min(self.hosts.len()));
-        let mean_of = |hosts: &[HostStart], measure: &dyn Fn(&HostStart) -> u64| {
+        let mean_of = |hosts: &[HostUsage], measure: &dyn Fn(&HostUsage) -> u64| {
             hosts.iter().map(measure).sum::<u64>() as f64 / hosts.len().max(1) as f64
         };
-        let percent = |ticks: f64| ticks * TICK_MS / elapsed.as_millis() as f64 * 100.0;
+        let percent = |ticks: f64| ticks * CPU_TICK_MS / elapsed.as_millis() as f64 * 100.0;
         ControlResult {
             processes: self.hosts.len(),
             entries: bench.entries,
@@ -127,19 +132,19 @@
             fault: bench.fault.name(),
             changes: offsets.len(),
             lacking_last_change: lacking,
-            in_force_p50_ms: seen.in_force_ms.value_at_quantile(0.50),
-            in_force_p99_ms: seen.in_force_ms.value_at_quantile(0.99),
-            in_force_max_ms: seen.in_force_ms.max(),
-            in_force_samples: seen.in_force_ms.len(),
-            reverts: seen.reverts,
+            in_force_p50_ms: observations.in_force_ms.value_at_quantile(0.50),
+            in_force_p99_ms: observations.in_force_ms.value_at_quantile(0.99),
+            in_force_max_ms: observations.in_force_ms.max(),
+            in_force_samples: observations.in_force_ms.len(),
+            reverts: observations.reverts,
             appends_per_s: per_second(after.appends - before.appends),
             log_reads_per_s: per_second(after.reads - before.reads),
-            control_bytes_per_s_max: per_second(max_of(&control)),
-            entry_control_bytes_per_s: mean_of(entries, &control) / elapsed_s,
-            endpoint_control_bytes_per_s: mean_of(endpoints, &control) / elapsed_s,
-            cpu_percent_max: percent(max_of(&cpu) as f64),
-            entry_cpu_percent: percent(mean_of(entries, &cpu)),
-            endpoint_cpu_percent: percent(mean_of(endpoints, &cpu)),
+            control_bytes_per_s_max: per_second(max_of(&control_bytes)),
+            entry_control_bytes_per_s: mean_of(entries, &control_bytes) / elapsed_s,
+            endpoint_control_bytes_per_s: mean_of(endpoints, &control_bytes) / elapsed_s,
+            cpu_percent_max: percent(max_of(&used_cpu_ticks) as f64),
+            entry_cpu_percent: percent(mean_of(entries, &used_cpu_ticks)),
+            endpoint_cpu_percent: percent(mean_of(endpoints, &used_cpu_ticks)),
             rss_mib_max: rss_bytes().max(self.rss_before_bytes) as f64
                 / MIB
                 / self.hosts.len().max(1) as f64,
@@ -148,15 +153,16 @@
     }
 }
 
-/// Looks at the heads of all processes until `ended`.
-fn look(nodes: &[Arc<Node>], changes: &Changes, ended: &AtomicBool) -> Seen {
-    let mut seen = Seen {
-        in_force_ms: Histogram::new_with_bounds(1, LONGEST_MS, 3)
+/// Polls the heads of all processes until `ended` is set.
+fn poll_heads(nodes: &[Arc<Node>], changes: &Changes, ended: &AtomicBool) -> HeadObservations {
+    let mut observations = HeadObservations {
+        in_force_ms: Histogram::new_with_bounds(1, MAX_IN_FORCE_MS, 3)
             .expect("the bounds and three digits are valid"),
         reverts: 0,
     };
     let mut heads = vec![0; nodes.len()];
-    let mut found = vec![0; nodes.len()];
+    // Index of the first change that each process does not yet have in force.
+    let mut next_change = vec![0; nodes.len()];
     while !ended.load(Ordering::Acquire) {
         let changes = changes
             .lock()
@@ -164,23 +170,23 @@
             .clone();
         for (index, node) in nodes.iter().enumerate() {
             let head = node.follower().fold().head();
-            seen.reverts += u64::from(head < heads[index]);
+            observations.reverts += u64::from(head < heads[index]);
             heads[index] = head;
-            // Changes come in the order of their offsets.
-            while let Some((offset, made)) = changes.get(found[index])
+            // Changes are recorded in the order of their offsets.
+            while let Some((offset, appended_at)) = changes.get(next_change[index])
                 && head > *offset
             {
-                let took_ms = u64::try_from(made.elapsed().as_millis()).unwrap_or(u64::MAX);
-                seen.in_force_ms.saturating_record(took_ms);
-                found[index] += 1;
+                let took_ms = u64::try_from(appended_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+                observations.in_force_ms.saturating_record(took_ms);
+                next_change[index] += 1;
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    seen
+    observations
 }
 
-/// Ticks of processor time that `threads` of this process have used.
+/// CPU time of `threads` of this process in clock ticks.
 fn cpu_ticks(threads: &[u32]) -> u64 {
     threads
         .iter()
@@ -188,9 +194,10 @@
         .sum()
 }
 
+/// User and system time of a thread in clock ticks; `None` when it has ended.
 fn thread_ticks(thread: u32) -> Option<u64> {
     let stat = fs::read_to_string(format!("/proc/self/task/{thread}/stat")).ok()?;
-    // The name of the thread is in brackets and may hold blanks.
+    // The thread name is in parentheses and may contain spaces.
     let fields = stat.rsplit_once(')')?.1;
     let mut fields = fields.split_whitespace().skip(11);
     let user: u64 = fields.next()?.parse().ok()?;
@@ -198,7 +205,7 @@
     Some(user + system)
 }
 
-/// Resident memory of this process.
+/// Resident memory of this process; 0 when the kernel does not report it.
 fn rss_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,9 +1,11 @@
-//! The load and experiment tool: measurements, each against its own baseline.
+//! Measurements behind `bergamotfork bench`: configuration propagation, weight
+//! distribution and request routing. All processes of a measurement run on
+//! threads of the bench process and use loopback addresses.
 
 mod control;
 mod control_fleet;
+mod control_monitor;
 mod control_result;
-mod control_watch;
 mod requests;
 mod requests_baseline;
 mod requests_document;
@@ -16,7 +18,7 @@
 mod weights;
 mod weights_bound;
 mod weights_fleet;
-mod weights_members;
+mod weights_member_lists;
 mod weights_plot;
 mod weights_result;
 mod weights_trace;
@@ -34,6 +36,6 @@
 pub use weights::Baseline;
 pub use weights::WeightsBench;
 pub use weights_bound::BoundInput;
-pub use weights_bound::bound_ms;
+pub use weights_bound::lower_bound_ms;
 pub use weights_plot::plot_weights;
 pub use weights_result::WeightsResult;
--- a/src/bench/requests_fleet.rs
+++ b/src/bench/requests_fleet.rs
@@ -17,7 +17,7 @@
 use super::requests_baseline::RoundRobin;
 use super::requests_document::entry_settings;
 use super::requests_document::log_page;
-use super::requests_overhead::thread_number;
+use super::requests_overhead::current_thread_id;
 use super::requests_scenario::BATCH_SLOWDOWN_PERCENT;
 use super::requests_scenario::BRANCHES;
 use super::requests_scenario::ENDPOINTS;
@@ -55,60 +55,67 @@
 /// Bearer token of every branch.
 pub(super) const TOKEN: &str = "a token of the bench";
 
-/// The weights that the engines load.
+/// Weights that the engines load.
 const WEIGHTS: &[u8] = b"weights of a small model";
 
-/// Requests of one branch that wait at an endpoint.
-const BRANCH_WAITING: usize = 64;
+/// Largest number of requests of one branch that wait at an endpoint.
+const MAX_WAITING_PER_BRANCH: usize = 64;
 
-/// Port of every process; each has a loopback address of its own.
+/// Port of every server; each server has a loopback address of its own.
 const PORT: u16 = 7400;
 
+/// Last byte of the next loopback address to use.
 static NEXT_HOST: AtomicU32 = AtomicU32::new(1);
 
-/// Which policy a fleet runs.
+/// Policy that a fleet runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum RequestsPolicy {
     /// The entries and endpoints of this system.
     Product,
     /// Round robin over endpoints that run requests in order.
     Baseline,
-    /// One after the other.
+    /// Both policies, one after the other.
     Both,
 }
 
-/// One endpoint of the fleet with its engine.
+/// Endpoint of the fleet with its engine.
 #[derive(Debug)]
-pub(super) struct Member {
+pub(super) struct FleetEndpoint {
     pub(super) engine: EngineClient,
     pub(super) engine_address: SocketAddr,
     pub(super) address: SocketAddr,
+    /// Server of the endpoint; `None` while it is killed.
     pub(super) handle: Option<HttpServerHandle>,
     queue: Arc<GenerateQueue>,
 }
 
-/// Engines, endpoints and entries on loopback.
+/// Engines, endpoints and entries on loopback addresses.
 #[derive(Debug)]
-pub(super) struct Fleet {
+pub(super) struct RequestsFleet {
     policy: RequestsPolicy,
-    pub(super) members: Vec<Member>,
+    pub(super) endpoints: Vec<FleetEndpoint>,
     pub(super) entries: Vec<SocketAddr>,
+    /// State of each product entry.
     states: Vec<Arc<EntryState>>,
-    /// Calls that reached endpoints.
+    /// Number of calls that reached endpoints.
     pub(super) received: Arc<AtomicUsize>,
+    /// Servers of the entries, the engines and the weights source.
     handles: Vec<HttpServerHandle>,
-    entry_threads: Threads,
-    endpoint_threads: Threads,
+    entry_threads: ThreadIds,
+    endpoint_threads: ThreadIds,
 }
 
-/// Numbers of the worker threads of some servers.
-type Threads = Arc<Mutex<Vec<String>>>;
+/// Ids of the worker threads of the servers of one role.
+type ThreadIds = Arc<Mutex<Vec<String>>>;
 
-fn add_thread(threads: &Threads) {
+/// Adds the calling thread to `threads`.
+fn record_thread(threads: &ThreadIds) {
     let mut threads = threads.lock().expect("no holder of the lock panics");
-    threads.extend(thread_number());
+    threads.extend(current_thread_id());
 }
 
+/// Next loopback address; two of its bytes derive from the process id, so that
+/// benches that run at the same time do not collide.
 fn next_address() -> SocketAddr {
     let process = std::process::id();
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
@@ -117,17 +124,17 @@
     SocketAddr::new(ip.into(), PORT)
 }
 
-/// Manifest of the model, which the bench only names.
-pub(super) fn manifest() -> Digest {
+/// Digest of the model's manifest; the manifest itself does not exist.
+pub(super) fn manifest_digest() -> Digest {
     Digest::of_bytes(b"manifest of a small model")
 }
 
-/// Whole digest of the model's weights.
-pub(super) fn whole() -> Digest {
+/// Digest of the model's complete weights.
+pub(super) fn weights_digest() -> Digest {
     Digest::of_bytes(WEIGHTS)
 }
 
-impl Fleet {
+impl RequestsFleet {
     /// Starts engines with loaded weights, endpoints and entries.
     pub(super) async fn start(policy: RequestsPolicy, cache_blocks: usize) -> io::Result<Self> {
         let source = serve(next_address(), &ServeOptions::default(), |app| {
@@ -135,26 +142,27 @@
         })?;
         let mut fleet = Self {
             policy,
-            members: Vec::new(),
+            endpoints: Vec::new(),
             entries: Vec::new(),
             states: Vec::new(),
             received: Arc::default(),
             handles: Vec::new(),
-            entry_threads: Threads::default(),
-            endpoint_threads: Threads::default(),
+            entry_threads: ThreadIds::default(),
+            endpoint_threads: ThreadIds::default(),
         };
         for _ in 0..ENDPOINTS {
-            fleet.add_member(&source, cache_blocks).await?;
+            fleet.add_endpoint(&source, cache_blocks).await?;
         }
         for number in 0..ENTRIES {
             fleet.add_entry(number)?;
         }
         fleet.handles.push(source);
-        fleet.report(&fleet.loads());
+        fleet.merge_reports(&fleet.loads());
         Ok(fleet)
     }
 
-    async fn add_member(
+    /// Starts an engine, loads the weights from `source` and starts its endpoint.
+    async fn add_endpoint(
         &mut self,
         source: &HttpServerHandle,
         cache_blocks: usize,
@@ -175,7 +183,7 @@
             },
             model: MODEL.to_owned(),
             version: "1".to_owned(),
-            manifest: manifest(),
+            manifest: manifest_digest(),
             base: None,
             source_url: source.url(),
         };
@@ -183,8 +191,8 @@
         let queue = GenerateQueue::new(QueueLimits {
             slots: SLOTS,
             reserved_slots: SLOTS / SLOTS_PER_RESERVED_SLOT,
-            max_waiting_per_branch: BRANCH_WAITING,
-            max_waiting: BRANCH_WAITING * BRANCHES.len(),
+            max_waiting_per_branch: MAX_WAITING_PER_BRANCH,
+            max_waiting: MAX_WAITING_PER_BRANCH * BRANCHES.len(),
         });
         let shares = BRANCHES.map(|branch| BranchShare {
             branch: branch.to_owned(),
@@ -192,31 +200,31 @@
             burst_percent: 100,
         });
         queue.set_shares(0, shares);
-        let mut member = Member {
+        let mut endpoint = FleetEndpoint {
             engine,
             engine_address: handle.address(),
             address: next_address(),
             handle: None,
             queue,
         };
-        self.start_endpoint(&mut member)?;
-        self.members.push(member);
+        self.start_endpoint(&mut endpoint)?;
+        self.endpoints.push(endpoint);
         self.handles.push(handle);
         Ok(())
     }
 
-    /// Starts the endpoint process of a member, at first or again.
-    fn start_endpoint(&self, member: &mut Member) -> io::Result<()> {
-        let engine = member.engine.clone();
-        let queue = Arc::clone(&member.queue);
+    /// Starts the server of an endpoint, for the first time or after it was killed.
+    fn start_endpoint(&self, endpoint: &mut FleetEndpoint) -> io::Result<()> {
+        let engine = endpoint.engine.clone();
+        let queue = Arc::clone(&endpoint.queue);
         let received = Arc::clone(&self.received);
         let options = ServeOptions::default();
         let handle = match self.policy {
             RequestsPolicy::Baseline => {
                 let fifo = Data::new(Fifo::new(SLOTS, engine, received));
-                serve(member.address, &options, move |app| {
+                serve(endpoint.address, &options, move |app| {
                     app.app_data(fifo.clone())
-                        .route("/generate", web::post().to(requests_baseline::endpoint));
+                        .route("/generate", web::post().to(requests_baseline::run_in_order));
                 })?
             }
             RequestsPolicy::Product | RequestsPolicy::Both => {
@@ -225,28 +233,35 @@
                     received,
                 });
                 let threads = Arc::clone(&self.endpoint_threads);
-                serve(member.address, &options, move |app| {
-                    add_thread(&threads);
+                serve(endpoint.address, &options, move |app| {
+                    record_thread(&threads);
                     app.app_data(server.clone())
                         .route("/x/generate", web::post().to(product_endpoint));
                 })?
             }
         };
-        member.handle = Some(handle);
+        endpoint.handle = Some(handle);
         Ok(())
     }
 
+    /// Starts the entry with index `number`.
     fn add_entry(&mut self, number: usize) -> io::Result<()> {
         let address = next_address();
         self.entries.push(address);
         let options = ServeOptions::default();
         if self.policy == RequestsPolicy::Baseline {
-            let endpoints = self.members.iter().map(|member| member.address).collect();
+            let endpoints = self
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.address)
+                .collect();
             let first = number * ENDPOINTS / ENTRIES;
             let state = Data::new(RoundRobin::new(endpoints, first));
             let handle = serve(address, &options, move |app| {
-                app.app_data(state.clone())
-                    .route("/generate", web::post().to(requests_baseline::entry));
+                app.app_data(state.clone()).route(
+                    "/generate",
+                    web::post().to(requests_baseline::relay_to_next),
+                );
             })?;
             self.handles.push(handle);
             return Ok(());
@@ -255,7 +270,7 @@
         let shared = Data::from(Arc::clone(&state));
         let threads = Arc::clone(&self.entry_threads);
         let handle = serve(address, &options, move |app| {
-            add_thread(&threads);
+            record_thread(&threads);
             app.app_data(shared.clone())
                 .route("/v1/generate", web::post().to(post_generate));
         })?;
@@ -264,25 +279,26 @@
         Ok(())
     }
 
-    /// Load of each endpoint as its next report would say.
+    /// Current load of each endpoint, as its next report would contain it.
     pub(super) fn loads(&self) -> Vec<Load> {
-        let queues = self.members.iter().map(|member| &member.queue);
+        let queues = self.endpoints.iter().map(|endpoint| &endpoint.queue);
         queues.map(|queue| queue.load()).collect()
     }
 
-    /// Gives the entries a report of every endpoint that runs, with the given loads.
-    pub(super) fn report(&self, loads: &[Load]) {
+    /// Gives every entry the configuration log and a report of each running endpoint
+    /// with the given loads.
+    pub(super) fn merge_reports(&self, loads: &[Load]) {
         for state in &self.states {
             let now_ms = state.node.now_ms();
             state
                 .node
                 .follower()
                 .apply_log_page(now_ms, now_ms, &log_page());
-            let running = self.members.iter().enumerate();
-            for (number, member) in running.filter(|(_, member)| member.handle.is_some()) {
+            let running = self.endpoints.iter().enumerate();
+            for (number, endpoint) in running.filter(|(_, endpoint)| endpoint.handle.is_some()) {
                 let report = Report {
                     name: format!("endpoint-{number}"),
-                    address: member.address,
+                    address: endpoint.address,
                     role: HostRole::Endpoint,
                     region: "or-north".to_owned(),
                     domain: "a".to_owned(),
@@ -294,7 +310,7 @@
                     served: vec![HostedVersion {
                         model: MODEL.to_owned(),
                         version: "1".to_owned(),
-                        manifest: manifest(),
+                        manifest: manifest_digest(),
                         progress: VersionProgress::Serving,
                         present_percent: 100,
                         held: None,
@@ -307,28 +323,28 @@
         }
     }
 
-    /// Kills the endpoint process of a member; its engine goes on.
+    /// Kills the server of endpoint `number`; its engine continues to run.
     pub(super) async fn kill(&mut self, number: usize) {
-        if let Some(handle) = self.members[number].handle.take() {
+        if let Some(handle) = self.endpoints[number].handle.take() {
             handle.kill().await;
         }
     }
 
-    /// Starts a killed endpoint process again.
+    /// Restarts the server of the killed endpoint `number`.
     pub(super) fn restart(&mut self, number: usize) -> io::Result<()> {
-        let mut member = self.members.remove(number);
-        let started = self.start_endpoint(&mut member);
-        self.members.insert(number, member);
+        let mut endpoint = self.endpoints.remove(number);
+        let started = self.start_endpoint(&mut endpoint);
+        self.endpoints.insert(number, endpoint);
         started
     }
 
-    /// Metrics of every entry as text.
+    /// Metrics of every entry in text format.
     pub(super) fn metrics(&self) -> Vec<String> {
         let states = self.states.iter();
         states.map(|state| state.node.metrics().render()).collect()
     }
 
-    /// Worker threads of the entries.
+    /// Ids of the worker threads of the entries.
     pub(super) fn entry_threads(&self) -> Vec<String> {
         self.entry_threads
             .lock()
@@ -336,7 +352,7 @@
             .clone()
     }
 
-    /// Worker threads of the endpoints.
+    /// Ids of the worker threads of the endpoints.
     pub(super) fn endpoint_threads(&self) -> Vec<String> {
         self.endpoint_threads
             .lock()
@@ -344,9 +360,9 @@
             .clone()
     }
 
-    /// Stops everything.
+    /// Kills all endpoints, entries and engines.
     pub(super) async fn stop(mut self) {
-        for number in 0..self.members.len() {
+        for number in 0..self.endpoints.len() {
             self.kill(number).await;
         }
         for handle in &self.handles {
@@ -355,16 +371,18 @@
     }
 }
 
+/// State of an endpoint of the product.
 #[derive(Debug)]
 struct ProductEndpoint {
     server: GenerateServer,
     received: Arc<AtomicUsize>,
 }
 
+/// Handler of an endpoint of the product: counts the call and runs it.
 async fn product_endpoint(state: Data<ProductEndpoint>, body: Bytes) -> HttpResponse {
     state.received.fetch_add(1, Ordering::Relaxed);
     match decode_rmp::<GenerateCall>(&body) {
-        Ok(call) => state.server.run(call, whole()),
+        Ok(call) => state.server.run(call, weights_digest()),
         Err(error) => HttpResponse::BadRequest().body(error.to_string()),
     }
 }
--- a/src/bench/weights_fleet.rs
+++ b/src/bench/weights_fleet.rs
@@ -14,7 +14,7 @@
 use actix_web::dev::ServerHandle;
 
 use super::WeightsBench;
-use crate::bench::weights_members::Members;
+use crate::bench::weights_member_lists::MemberLists;
 use crate::clients::OriginClient;
 use crate::endpoint::StopTransfer;
 use crate::endpoint::TransferOptions;
@@ -32,42 +32,47 @@
 use crate::weights::PlanSettings;
 use crate::weights::SwarmSettings;
 
-/// Threads that run the transfers of all hosts.
+/// Number of threads that run the transfers of all hosts.
 const TRANSFER_THREADS: usize = 4;
 
-/// Threads that answer the reads of all hosts.
+/// Number of threads that serve the chunks of all surviving hosts.
 const SERVER_THREADS: usize = 4;
 
+/// Key with which the hosts authenticate each other.
 const SHARED_KEY: &str = "bench";
 
-/// One host of the fleet.
+/// Host of the fleet.
 pub(super) struct FleetHost {
     pub(super) share: Arc<WeightsState>,
-    pub(super) doomed: bool,
-    /// Time from the start of the burst until the host served.
+    /// Whether the host is killed during the transfer.
+    pub(super) will_be_killed: bool,
+    /// Time from the start of the transfers until the host served.
     served_ms: Arc<Mutex<Option<u64>>>,
+    /// Address of the transfer actor, once started.
     transfer: Arc<Mutex<Option<Addr<WeightsTransfer>>>>,
+    /// Server of its own, only for a host that will be killed.
     server: Option<ServerHandle>,
 }
 
 impl FleetHost {
-    /// When the host served, if it does.
+    /// Time from the start of the transfers until the host served, if it does.
     pub(super) fn served_ms(&self) -> Option<u64> {
         *self.served_ms.lock().expect("no holder of the time panics")
     }
 }
 
-/// Hosts on loopback, each with links of its own.
-pub(super) struct Fleet {
+/// Hosts on loopback addresses, each with links of its own.
+pub(super) struct WeightsFleet {
     pub(super) hosts: Vec<FleetHost>,
-    /// Links between regions, by name of the pair.
+    /// Links between regions, each with its name `FROM>TO`.
     pub(super) crossings: Vec<(String, Arc<WeightLink>)>,
     addresses: Vec<SocketAddr>,
     arbiters: Vec<Arbiter>,
+    /// Server of all surviving hosts.
     server: ServerHandle,
 }
 
-impl Fleet {
+impl WeightsFleet {
     /// Starts the servers of all hosts; nothing is fetched yet.
     pub(super) fn start(bench: &WeightsBench) -> io::Result<Self> {
         let regions = bench.region_names();
@@ -76,19 +81,19 @@
         for index in 0..bench.hosts {
             let region = &regions[index % regions.len()];
             hosts.push(FleetHost {
-                share: share(bench, index, region, &crossings),
-                doomed: bench.is_doomed(index),
+                share: weights_share(bench, index, region, &crossings),
+                will_be_killed: bench.will_be_killed(index),
                 served_ms: Arc::default(),
                 transfer: Arc::default(),
                 server: None,
             });
         }
-        let listeners = listeners(bench.hosts)?;
+        let listeners = bind_listeners(bench.hosts)?;
         let addresses: Vec<SocketAddr> = listeners
             .iter()
             .map(TcpListener::local_addr)
             .collect::<io::Result<_>>()?;
-        let server = serve(&mut hosts, listeners, &addresses)?;
+        let server = start_servers(&mut hosts, listeners, &addresses)?;
         let arbiters = (0..TRANSFER_THREADS).map(|_| Arbiter::new()).collect();
         Ok(Self {
             hosts,
@@ -99,20 +104,20 @@
         })
     }
 
-    /// Announces the version to every host.
-    pub(super) fn burst(
+    /// Starts the transfer of the version on every host.
+    pub(super) fn start_transfers(
         &self,
         bench: &WeightsBench,
         manifest: &Manifest,
         origin_url: &str,
         started: Instant,
     ) {
-        let members = Members::new(bench, &self.addresses);
+        let member_lists = MemberLists::new(bench, &self.addresses);
         for (index, host) in self.hosts.iter().enumerate() {
             let share = Arc::clone(&host.share);
             let manifest = manifest.clone();
-            let view = members.view(index);
-            let options = options(bench, origin_url);
+            let view = member_lists.list_of(index);
+            let options = transfer_options(bench, origin_url);
             let served_ms = Arc::clone(&host.served_ms);
             let transfer = Arc::clone(&host.transfer);
             self.arbiters[index % self.arbiters.len()].spawn_fn(move || {
@@ -123,14 +128,15 @@
                     return;
                 };
                 *transfer.lock().expect("no holder of the address panics") = Some(actor.start());
-                actix_rt::spawn(load(share, digest, served_ms, started));
+                actix_rt::spawn(load_and_serve(share, digest, served_ms, started));
             });
         }
     }
 
-    /// Ends the doomed hosts: their connections break and new ones are refused.
-    pub(super) async fn kill_doomed(&self) {
-        for host in self.hosts.iter().filter(|host| host.doomed) {
+    /// Kills the hosts selected to be killed: their connections break and new ones are
+    /// refused.
+    pub(super) async fn kill_selected(&self) {
+        for host in self.hosts.iter().filter(|host| host.will_be_killed) {
             let transfer = host
                 .transfer
                 .lock()
@@ -145,7 +151,7 @@
         }
     }
 
-    /// Ends everything.
+    /// Stops all transfers and servers.
     pub(super) async fn stop(self) {
         for arbiter in &self.arbiters {
             arbiter.stop();
@@ -159,8 +165,9 @@
     }
 }
 
-/// Plays the engine: loads what was verified and reports its digest.
-async fn load(
+/// Acts as the engine of a host: loads the fetched version, reports its digest and
+/// records when the host serves.
+async fn load_and_serve(
     share: Arc<WeightsState>,
     digest: Digest,
     served_ms: Arc<Mutex<Option<u64>>>,
@@ -183,7 +190,8 @@
     *served_ms.lock().expect("no holder of the time panics") = Some(elapsed_ms);
 }
 
-fn options(bench: &WeightsBench, origin_url: &str) -> TransferOptions {
+/// Options of each host's transfer.
+fn transfer_options(bench: &WeightsBench, origin_url: &str) -> TransferOptions {
     TransferOptions {
         origin: OriginClient::new(origin_url),
         origin_region: bench.region_names()[0].clone(),
@@ -191,8 +199,8 @@
         swarm: SwarmSettings {
             plan: PlanSettings {
                 max_regional_fetches: bench.fetches,
-                max_imports: bench.duties(),
-                max_fetches_per_peer: bench.per_peer(),
+                max_imports: bench.max_imports(),
+                max_fetches_per_peer: bench.max_fetches_per_peer(),
                 ..PlanSettings::default()
             },
             max_probed_peers: bench.neighbours,
@@ -202,7 +210,8 @@
     }
 }
 
-fn share(
+/// Weights share of host `index` with its links to hosts and regions.
+fn weights_share(
     bench: &WeightsBench,
     index: usize,
     region: &str,
@@ -226,6 +235,7 @@
     )
 }
 
+/// Creates a link for each ordered pair of regions, named `FROM>TO`.
 fn crossing_links(bench: &WeightsBench, regions: &[String]) -> Vec<(String, Arc<WeightLink>)> {
     let mut links = Vec::new();
     for from in regions {
@@ -237,41 +247,43 @@
     links
 }
 
-fn listeners(count: usize) -> io::Result<Vec<TcpListener>> {
+/// Binds `count` listeners on free loopback ports.
+fn bind_listeners(count: usize) -> io::Result<Vec<TcpListener>> {
     (0..count)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
         .collect()
 }
 
-/// One server for the hosts that stay, and one for each doomed host.
-fn serve(
+/// Starts one server for all surviving hosts and one for each host that will be
+/// killed; returns the handle of the former.
+fn start_servers(
     hosts: &mut [FleetHost],
     listeners: Vec<TcpListener>,
     addresses: &[SocketAddr],
 ) -> io::Result<ServerHandle> {
-    let staying: Vec<(SocketAddr, Arc<WeightsState>)> = hosts
+    let surviving: Vec<(SocketAddr, Arc<WeightsState>)> = hosts
         .iter()
         .zip(addresses)
-        .filter(|(host, _)| !host.doomed)
+        .filter(|(host, _)| !host.will_be_killed)
         .map(|(host, address)| (*address, Arc::clone(&host.share)))
         .collect();
-    let many = WeightsHosts::multiple(staying, SHARED_KEY);
+    let surviving_hosts = WeightsHosts::multiple(surviving, SHARED_KEY);
     let mut server = HttpServer::new(move || {
-        let many = many.clone();
-        App::new().configure(move |app| configure_weights_routes(app, many))
+        let surviving_hosts = surviving_hosts.clone();
+        App::new().configure(move |app| configure_weights_routes(app, surviving_hosts))
     })
     .workers(SERVER_THREADS)
     .disable_signals()
     .shutdown_timeout(0);
     for (host, listener) in hosts.iter_mut().zip(listeners) {
-        if !host.doomed {
+        if !host.will_be_killed {
             server = server.listen(listener)?;
             continue;
         }
-        let one = WeightsHosts::single(Arc::clone(&host.share), SHARED_KEY);
+        let killed_host = WeightsHosts::single(Arc::clone(&host.share), SHARED_KEY);
         let running = HttpServer::new(move || {
-            let one = one.clone();
-            App::new().configure(move |app| configure_weights_routes(app, one))
+            let killed_host = killed_host.clone();
+            App::new().configure(move |app| configure_weights_routes(app, killed_host))
         })
         .workers(1)
         .disable_signals()
--- a/src/bench/weights_members.rs
+++ b/src/bench/weights_member_lists.rs
@@ -5,18 +5,19 @@
 use crate::endpoint::SwarmMember;
 use crate::weights::SwarmHost;
 
-/// What each host of a bench believes the swarm to be.
+/// Member list of the swarm as each host of a bench has it.
 ///
 /// A baseline is the product's own transfer with a list that leaves no choice:
-/// a host that sees only itself reads all from the origin; one that sees only
-/// the host before it, in another region, reads all from that one.
+/// a host that lists only itself reads everything from the origin; one that lists
+/// only the host before it, in another region, reads everything from that host.
 #[derive(Debug)]
-pub(super) struct Members<'a> {
+pub(super) struct MemberLists<'a> {
     bench: &'a WeightsBench,
     all: Vec<SwarmMember>,
 }
 
-impl<'a> Members<'a> {
+impl<'a> MemberLists<'a> {
+    /// Creates the complete list from the hosts' addresses.
     pub(super) fn new(bench: &'a WeightsBench, addresses: &[SocketAddr]) -> Self {
         let regions = bench.region_names();
         let all = addresses
@@ -34,18 +35,18 @@
         Self { bench, all }
     }
 
-    /// The list of host `index`.
-    pub(super) fn view(&self, index: usize) -> Vec<SwarmMember> {
+    /// Member list of host `index`.
+    pub(super) fn list_of(&self, index: usize) -> Vec<SwarmMember> {
         match self.bench.baseline {
-            None => self.listed(index),
+            None => self.partial_list(index),
             Some(Baseline::Origin) => vec![self.all[index].clone()],
-            Some(Baseline::Chain) => self.chain(index),
-            Some(Baseline::Star) => self.star(index),
+            Some(Baseline::Chain) => self.chain_list(index),
+            Some(Baseline::Star) => self.star_list(index),
         }
     }
 
-    /// All hosts, but for those that this host's list lacks.
-    fn listed(&self, index: usize) -> Vec<SwarmMember> {
+    /// All hosts except those missing from the list of host `index`.
+    fn partial_list(&self, index: usize) -> Vec<SwarmMember> {
         self.all
             .iter()
             .enumerate()
@@ -54,7 +55,9 @@
             .collect()
     }
 
-    fn chain(&self, index: usize) -> Vec<SwarmMember> {
+    /// The host itself and the one before it, in different regions; only the host
+    /// itself for the first one.
+    fn chain_list(&self, index: usize) -> Vec<SwarmMember> {
         let mut own = self.all[index].clone();
         if index == 0 {
             return vec![own];
@@ -65,12 +68,13 @@
         vec![before, own]
     }
 
-    /// The origin's region and the own one, which is then fed from there.
-    fn star(&self, index: usize) -> Vec<SwarmMember> {
+    /// Hosts of the origin's region and of the host's own region, which thus reads from
+    /// the origin's region.
+    fn star_list(&self, index: usize) -> Vec<SwarmMember> {
         let first = &self.all[0].host.region;
         let own = &self.all[index].host.region;
-        let seen =
+        let is_listed =
             |member: &&SwarmMember| member.host.region == *first || member.host.region == *own;
-        self.all.iter().filter(seen).cloned().collect()
+        self.all.iter().filter(is_listed).cloned().collect()
     }
 }
--- a/src/bench/weights_result.rs
+++ b/src/bench/weights_result.rs
@@ -3,66 +3,68 @@
 use serde::Serialize;
 
 use super::WeightsBench;
-use super::weights_fleet::Fleet;
+use super::weights_fleet::WeightsFleet;
 use crate::standin::origin::OriginStats;
 
-/// What a burst measured.
+/// Result of a [`WeightsBench`].
 #[derive(Debug, Clone, Serialize)]
 pub struct WeightsResult {
-    /// Hosts that wanted the version.
+    /// Number of hosts that fetched the version.
     pub hosts: usize,
-    /// Regions they stood in.
+    /// Number of regions of the hosts.
     pub regions: usize,
-    /// Processes that held them.
+    /// Number of processes in which the hosts ran.
     pub processes: usize,
-    /// Scheme measured.
+    /// Name of the measured scheme.
     pub scheme: String,
-    /// Whether a host's link carried both ways together.
+    /// Whether both directions of a host's link shared its rate.
     pub shared_link: bool,
     /// Size of the version.
     pub bytes: u64,
-    /// Number of its chunks.
+    /// Number of chunks of the version.
     pub chunks: u64,
-    /// Hosts killed on the way.
+    /// Number of hosts killed during the transfer.
     pub killed_hosts: usize,
-    /// Hosts that serve the whole verified version.
+    /// Number of hosts that serve the complete verified version.
     pub verified_hosts: usize,
     /// Time until the last of them served.
     pub time_ms: u64,
     /// Time until half of them served.
     pub half_ms: u64,
-    /// Shortest time possible.
+    /// Lower bound of the time for any scheme.
     pub bound_ms: u64,
-    /// Time in bounds.
+    /// Time divided by the lower bound.
     pub ratio_to_bound: f64,
-    /// Bytes read from the origin, in copies.
+    /// Bytes read from the origin, in copies of the version.
     pub origin_copies: f64,
-    /// Bytes over the busiest link between two regions each way, in copies.
+    /// Bytes over the busiest link between two regions in one direction, in copies of
+    /// the version.
     pub region_link_copies: f64,
-    /// Bytes sent by the busiest host, in copies.
+    /// Bytes sent by the busiest host, in copies of the version.
     pub host_up_copies_max: f64,
-    /// Control traffic of a host on average, asked and asking.
+    /// Mean control traffic of a host, as client and as server.
     pub control_bytes_per_s: f64,
-    /// Processor time of the bench process per host, in percent of a core.
+    /// CPU time of the bench process per host, in percent of a core.
     pub cpu_percent_per_host: f64,
-    /// Reads sent again, by reason.
+    /// Number of retried reads by reason.
     pub retries: Vec<(String, u64)>,
-    /// When each host served, in order.
+    /// Times at which hosts began to serve, in ascending order.
     #[serde(skip)]
     pub served_ms: Vec<u64>,
-    /// Hosts that had to serve in the end and did not.
+    /// Number of surviving hosts that do not serve at the end.
     #[serde(skip)]
     pub missing_hosts: usize,
 }
 
 impl WeightsResult {
-    pub(super) fn gather(
+    /// Computes the result from the hosts' and the origin's counters.
+    pub(super) fn collect(
         bench: &WeightsBench,
-        fleet: &Fleet,
+        fleet: &WeightsFleet,
         origin: &OriginStats,
         elapsed_ms: u64,
     ) -> Self {
-        let surviving = fleet.hosts.iter().filter(|host| !host.doomed);
+        let surviving = fleet.hosts.iter().filter(|host| !host.will_be_killed);
         let mut served_ms: Vec<u64> = surviving
             .clone()
             .filter_map(|host| host.served_ms())
@@ -73,7 +75,7 @@
             0 => served_ms.last().copied().unwrap_or(elapsed_ms),
             _ => elapsed_ms,
         };
-        let copies = |bytes: u64| rounded(bytes as f64 / bench.bytes as f64);
+        let copies = |bytes: u64| round_to_thousandths(bytes as f64 / bench.bytes as f64);
         let crossing_bytes = fleet
             .crossings
             .iter()
@@ -90,16 +92,20 @@
             .map(|host| host.share.control_bytes())
             .sum();
         let host_seconds = bench.hosts as f64 * time_ms as f64 / 1000.0;
-        let bound_ms = bench.bound_ms();
+        let bound_ms = bench.lower_bound_ms();
         Self {
             hosts: bench.hosts,
             regions: bench.regions,
             processes: 1,
-            scheme: scheme(bench),
+            scheme: scheme_name(bench),
             shared_link: bench.shared_link,
             bytes: bench.bytes,
             chunks: bench.bytes.div_ceil(u64::from(bench.chunk_bytes)),
-            killed_hosts: fleet.hosts.iter().filter(|host| host.doomed).count(),
+            killed_hosts: fleet
+                .hosts
+                .iter()
+                .filter(|host| host.will_be_killed)
+                .count(),
             verified_hosts: served_ms.len(),
             time_ms,
             half_ms: served_ms
@@ -107,37 +113,38 @@
                 .copied()
                 .unwrap_or(elapsed_ms),
             bound_ms,
-            ratio_to_bound: rounded(time_ms as f64 / bound_ms as f64),
+            ratio_to_bound: round_to_thousandths(time_ms as f64 / bound_ms as f64),
             origin_copies: copies(origin.chunk_bytes_sent),
             region_link_copies: copies(crossing_bytes.unwrap_or(0)),
             host_up_copies_max: copies(up_bytes.unwrap_or(0)),
-            control_bytes_per_s: rounded(control_bytes as f64 / host_seconds),
-            cpu_percent_per_host: rounded(cpu_seconds() * 100.0 / host_seconds),
-            retries: retries(fleet),
+            control_bytes_per_s: round_to_thousandths(control_bytes as f64 / host_seconds),
+            cpu_percent_per_host: round_to_thousandths(process_cpu_s() * 100.0 / host_seconds),
+            retries: sum_retries(fleet),
             served_ms,
             missing_hosts,
         }
     }
 }
 
-/// Retries of all hosts, read from their exported counters.
-fn retries(fleet: &Fleet) -> Vec<(String, u64)> {
+/// Number of retries of all hosts by reason, read from their exported counters.
+fn sum_retries(fleet: &WeightsFleet) -> Vec<(String, u64)> {
     let mut totals: Vec<(String, u64)> = Vec::new();
     for host in &fleet.hosts {
         for line in host.share.metrics.render().lines() {
-            let Some((reason, count)) = retry_line(line) else {
+            let Some((reason, count)) = parse_retry_line(line) else {
                 continue;
             };
             match totals.binary_search_by(|(known, _)| known.as_str().cmp(reason)) {
-                Ok(at) => totals[at].1 += count,
-                Err(at) => totals.insert(at, (reason.to_owned(), count)),
+                Ok(index) => totals[index].1 += count,
+                Err(index) => totals.insert(index, (reason.to_owned(), count)),
             }
         }
     }
     totals
 }
 
-fn retry_line(line: &str) -> Option<(&str, u64)> {
+/// Reads reason and count from a metrics line; `None` for other metrics.
+fn parse_retry_line(line: &str) -> Option<(&str, u64)> {
     let labels = line.strip_prefix("bergamotfork_retries_total{")?;
     let (_, reason) = labels.split_once("reason=\"")?;
     let (reason, _) = reason.split_once('"')?;
@@ -145,20 +152,22 @@
     Some((reason, count as u64))
 }
 
-fn scheme(bench: &WeightsBench) -> String {
+/// Name of the measured scheme in the result.
+fn scheme_name(bench: &WeightsBench) -> String {
     match bench.baseline {
         None => "swarm".to_owned(),
         Some(baseline) => format!("{baseline:?}").to_lowercase(),
     }
 }
 
-fn rounded(value: f64) -> f64 {
+/// Rounds to three decimals.
+fn round_to_thousandths(value: f64) -> f64 {
     (value * 1000.0).round() / 1000.0
 }
 
-/// Processor time of this process so far; 0 where the system doesn't tell.
-fn cpu_seconds() -> f64 {
-    /// Clock ticks in a second, fixed by the kernel's interface.
+/// CPU time of this process so far; 0 when the system does not report it.
+fn process_cpu_s() -> f64 {
+    /// Clock ticks per second, fixed by the kernel's interface.
     const TICKS_PER_S: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     // User and system time are the 12th and 13th fields after the name.
--- a/src/cli/bench.rs
+++ b/src/cli/bench.rs
@@ -49,7 +49,7 @@
     } else {
         println!("{result}");
     }
-    if result.is_good() {
+    if result.is_successful() {
         return Ok(());
     }
     let reason = "a process did not receive the last change, or an offset decreased";
