--- a/tests/api_input/main.rs
+++ b/tests/api_input/main.rs
@@ -29,21 +29,21 @@
     let settings = format!(
         "max_body_bytes = {MAX_BODY_BYTES}\nslow_client_timeout_ms = {SLOW_CLIENT_TIMEOUT_MS}\n"
     );
-    let url = cluster.entry("entry-1", "or-north", &settings).await;
+    let url = cluster.start_entry("entry-1", "or-north", &settings).await;
     let model = format!(
         "version = v1\nmanifest = {}\nreplicas = 1\n",
         Digest::of_bytes(b"no weights")
     );
-    cluster.edit("model chat", 0, &model).await;
-    cluster.edit("model secret", 0, &model).await;
+    cluster.append_edit("model chat", 0, &model).await;
+    cluster.append_edit("model secret", 0, &model).await;
     let service = "idempotent = lookup\ntimeout_ms = 1000\n";
-    cluster.edit("service bookdesk", 0, service).await;
+    cluster.append_edit("service bookdesk", 0, service).await;
     let branch = format!(
         "token_digest = {}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n",
         Digest::of_bytes(TOKEN.as_bytes())
     );
-    cluster.edit("branch seaside", 0, &branch).await;
+    cluster.append_edit("branch seaside", 0, &branch).await;
     let address = url.strip_prefix("http://").expect("a URL of an entry");
     let address: SocketAddr = address.parse().expect("an entry has an address");
     until("the entry knows the branch", 20, async || {
--- a/tests/api_status/main.rs
+++ b/tests/api_status/main.rs
@@ -16,7 +16,7 @@
 /// Status as answered by an entry; `None` if it does not answer.
 async fn get_status(cluster: &Cluster, entry: &str) -> Option<StatusView> {
     let url = format!("{entry}/v1/status");
-    let body = cluster.call(Method::GET, &url, None).await.ok()?;
+    let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
     Some(serde_json::from_slice(&body).expect("the answer is a status"))
 }
 
@@ -34,12 +34,14 @@
 /// service.
 async fn start_cluster() -> (Cluster, String) {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-1", "or-north", "").await;
-    cluster.engine("engine-1", "or-north", &[]).await;
-    cluster.service("desk-1", "wa-coast", "bookdesk", &[]).await;
+    let entry = cluster.start_entry("entry-1", "or-north", "").await;
+    cluster.start_engine("engine-1", "or-north", &[]).await;
+    cluster
+        .start_service("desk-1", "wa-coast", "bookdesk", &[])
+        .await;
     let manifest = cluster.publish("chat", "v1", 1 << 17).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 1\n");
-    cluster.edit("model chat", 0, &model).await;
+    cluster.append_edit("model chat", 0, &model).await;
     (cluster, entry)
 }
 
@@ -94,7 +96,7 @@
 #[actix_rt::test]
 async fn status_command_failures() {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-1", "or-north", "").await;
+    let entry = cluster.start_entry("entry-1", "or-north", "").await;
     until("the entry answers", 20, async || {
         get_status(&cluster, &entry).await
     })
--- a/tests/api_stop/main.rs
+++ b/tests/api_stop/main.rs
@@ -34,27 +34,27 @@
 /// Starts the processes and waits until the entry answers both kinds of requests.
 async fn start_system() -> TestSystem {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-1", "or-north", "").await;
+    let entry = cluster.start_entry("entry-1", "or-north", "").await;
     let engine = cluster
-        .engine("engine-1", "or-north", &["--token-ms", "50"])
+        .start_engine("engine-1", "or-north", &["--token-ms", "50"])
         .await;
     let engine = cluster.backend_of(&engine);
     let delay = ["--delay-ms", "1500"];
     let service = cluster
-        .service("desk-1", "or-north", "bookdesk", &delay)
+        .start_service("desk-1", "or-north", "bookdesk", &delay)
         .await;
     let service = cluster.backend_of(&service);
     let manifest = cluster.publish("chat", "v1", 1 << 17).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 1\n");
-    cluster.edit("model chat", 0, &model).await;
+    cluster.append_edit("model chat", 0, &model).await;
     let section = "idempotent = lookup\ntimeout_ms = 5000\n";
-    cluster.edit("service bookdesk", 0, section).await;
+    cluster.append_edit("service bookdesk", 0, section).await;
     let branch = format!(
         "token_digest = {}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n",
         Digest::of_bytes(TOKEN.as_bytes())
     );
-    cluster.edit("branch seaside", 0, &branch).await;
+    cluster.append_edit("branch seaside", 0, &branch).await;
     let system = TestSystem {
         cluster,
         entry,
@@ -78,7 +78,7 @@
         });
         let answer = self
             .cluster
-            .call(Method::POST, &url, Some(&body))
+            .send_request(Method::POST, &url, Some(&body))
             .await
             .ok()?;
         let last = answer
@@ -98,7 +98,7 @@
         });
         let answer = self
             .cluster
-            .call(Method::POST, &url, Some(&body))
+            .send_request(Method::POST, &url, Some(&body))
             .await
             .ok()?;
         serde_json::from_slice(&answer).ok()
--- a/tests/calls_faults/desk.rs
+++ b/tests/calls_faults/desk.rs
@@ -26,13 +26,13 @@
         let mut desk_entries = Vec::new();
         for number in 0..entries {
             let name = format!("entry-{number}");
-            desk_entries.push(cluster.entry(&name, "or-north", "").await);
+            desk_entries.push(cluster.start_entry(&name, "or-north", "").await);
         }
         let mut desk_endpoints = Vec::new();
         for number in 0..endpoints {
             let name = format!("desk-{number}");
             let address = cluster
-                .service(&name, "or-north", "bookdesk", service_args)
+                .start_service(&name, "or-north", "bookdesk", service_args)
                 .await;
             desk_endpoints.push(address);
         }
@@ -41,9 +41,9 @@
             "token_digest = {digest}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
              models =\nservices = bookdesk\n"
         );
-        cluster.edit("branch seaside", 0, &branch).await;
+        cluster.append_edit("branch seaside", 0, &branch).await;
         let service = "idempotent = lookup\ntimeout_ms = 5000\n";
-        cluster.edit("service bookdesk", 0, service).await;
+        cluster.append_edit("service bookdesk", 0, service).await;
         let desk = Self {
             cluster,
             entries: desk_entries,
--- a/tests/calls_faults/silence.rs
+++ b/tests/calls_faults/silence.rs
@@ -95,7 +95,7 @@
     let desk = Desk::start(2, 1, &[]).await;
     for fault in ["lose_reply", "crossed_reply"] {
         let url = desk.service_url(0);
-        desk.cluster.fault(&url, &json!({ fault: 1 })).await;
+        desk.cluster.set_faults(&url, &json!({ fault: 1 })).await;
         let permit = caller::permit(&desk.entries[0]).await.expect("a permit");
         for (send_no, entry) in (1..).zip(&desk.entries) {
             let event = caller::send(entry, "book", &body(), Some(&permit), send_no).await;
@@ -119,7 +119,7 @@
     let second = caller::permit(&desk.entries[0]).await.expect("a permit");
     let other = caller::permit(&desk.entries[1]).await.expect("a permit");
     desk.cluster.process("desk-0").kill();
-    desk.cluster.start_again("endpoint", "desk-0");
+    desk.cluster.restart("endpoint", "desk-0");
     until("the new endpoint is known", 20, async || {
         let permit = caller::permit(&desk.entries[0]).await?;
         (permit.incarnation > first.incarnation).then_some(())
--- a/tests/calls_faults/storm.rs
+++ b/tests/calls_faults/storm.rs
@@ -38,11 +38,11 @@
     match rng.random_range(0..6) {
         0 => {
             desk.cluster.process(&desk_name).kill();
-            desk.cluster.start_again("endpoint", &desk_name);
+            desk.cluster.restart("endpoint", &desk_name);
         }
         1 => {
             desk.cluster.process(&entry_name).kill();
-            desk.cluster.start_again("entry", &entry_name);
+            desk.cluster.restart("entry", &entry_name);
         }
         2 => {
             desk.cluster.process(&desk_name).signal("STOP");
@@ -56,10 +56,10 @@
         }
         4 => {
             desk.cluster
-                .fault(&service, &json!({"lose_reply": 2, "crossed_reply": 2}))
+                .set_faults(&service, &json!({"lose_reply": 2, "crossed_reply": 2}))
                 .await
         }
-        _ => desk.cluster.fault(&log, &json!({"down": true})).await,
+        _ => desk.cluster.set_faults(&log, &json!({"down": true})).await,
     }
     sleep(FAULT_PAUSE).await;
 }
@@ -95,7 +95,7 @@
         caller.await.expect("a caller ends");
     }
     let log = desk.cluster.log_url();
-    desk.cluster.fault(&log, &json!({})).await;
+    desk.cluster.set_faults(&log, &json!({})).await;
     let events = events.take();
     let ledger = desk.ledger().await;
     let count = |is: fn(&Outcome) -> bool| events.iter().filter(|event| is(&event.outcome)).count();
@@ -115,7 +115,7 @@
     let desk = Desk::start(1, 1, &[]).await;
     let service = desk.service_url(0);
     desk.cluster
-        .fault(&service, &json!({"lose_reply": 1}))
+        .set_faults(&service, &json!({"lose_reply": 1}))
         .await;
     for _ in 0..2 {
         let url = format!("{service}/v1/call/book");
--- a/tests/config_api/main.rs
+++ b/tests/config_api/main.rs
@@ -27,9 +27,11 @@
         "[team desk]\ntoken_digest = {}\nsections = service desk-*\n",
         Digest::of_bytes(DESK_TOKEN.as_bytes())
     );
-    let entry_1 = cluster.entry("entry-1", "or-north", &desk).await;
-    let entry_2 = cluster.entry("entry-2", "wa-coast", &desk).await;
-    cluster.service("desk-1", "or-north", "bookdesk", &[]).await;
+    let entry_1 = cluster.start_entry("entry-1", "or-north", &desk).await;
+    let entry_2 = cluster.start_entry("entry-2", "wa-coast", &desk).await;
+    cluster
+        .start_service("desk-1", "or-north", "bookdesk", &[])
+        .await;
     for entry in [&entry_1, &entry_2] {
         wait_until_ready(&cluster, entry).await;
         wait_for_processes(&cluster, entry).await;
@@ -40,7 +42,7 @@
 async fn wait_until_ready(cluster: &Cluster, entry: &str) {
     let url = format!("{entry}/health/ready");
     until("the entry is ready", 20, async || {
-        cluster.call(Method::GET, &url, None).await.ok()
+        cluster.send_request(Method::GET, &url, None).await.ok()
     })
     .await;
 }
@@ -49,7 +51,7 @@
 async fn wait_for_processes(cluster: &Cluster, entry: &str) {
     let url = format!("{entry}/v1/config/wait?revision=0");
     until("the entry knows all processes", 20, async || {
-        let answer = cluster.call(Method::GET, &url, None).await.ok()?;
+        let answer = cluster.send_request(Method::GET, &url, None).await.ok()?;
         let answer: Value = serde_json::from_slice(&answer).ok()?;
         (answer["processes"] == 3).then_some(())
     })
@@ -67,7 +69,7 @@
     let (edit_id, base_revision, body) = edit;
     let url = format!("{entry}/v1/config/sections/{}", section.replace(' ', "%20"));
     let body = json!({ "edit_id": edit_id, "base_revision": base_revision, "body": body });
-    match cluster.call(Method::PUT, &url, Some(&body)).await {
+    match cluster.send_request(Method::PUT, &url, Some(&body)).await {
         Ok(answer) => Ok(serde_json::from_slice(&answer).expect("the answer is JSON")),
         Err(LinkError::Status { status, body, .. }) => Err((
             status,
@@ -128,7 +130,10 @@
     let forbidden = put_section(&cluster, &entry_1, "planet x", ("c", 0, "a = b")).await;
     assert_eq!(forbidden.expect_err("no team may write the section").0, 403);
     let url = format!("{entry_1}/v1/config");
-    let shown = cluster.call(Method::GET, &url, None).await.expect("shown");
+    let shown = cluster
+        .send_request(Method::GET, &url, None)
+        .await
+        .expect("shown");
     let shown: Value = serde_json::from_slice(&shown).expect("JSON");
     assert_eq!(shown["offset"], 0, "nothing was appended: {shown}");
 }
--- a/tests/config_faults/api.rs
+++ b/tests/config_faults/api.rs
@@ -27,7 +27,7 @@
     let (edit_id, base_revision, body) = edit;
     let url = format!("{entry}/v1/config/sections/{}", section.replace(' ', "%20"));
     let body = json!({ "edit_id": edit_id, "base_revision": base_revision, "body": body });
-    match cluster.call(Method::PUT, &url, Some(&body)).await {
+    match cluster.send_request(Method::PUT, &url, Some(&body)).await {
         Ok(answer) => Told::Accepted {
             revision: number(&answer, "/revision"),
         },
@@ -65,13 +65,13 @@
 /// What an entry shows of its configuration, if it answers.
 pub async fn shown(cluster: &Cluster, entry: &str) -> Option<DocumentAnswer> {
     let url = format!("{entry}/v1/config");
-    let body = cluster.call(Method::GET, &url, None).await.ok()?;
+    let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
 pub async fn is_ready(cluster: &Cluster, process: &str) -> bool {
     let url = format!("{process}/health/ready");
-    cluster.call(Method::GET, &url, None).await.is_ok()
+    cluster.send_request(Method::GET, &url, None).await.is_ok()
 }
 
 pub async fn until_ready(cluster: &Cluster, process: &str) {
@@ -85,7 +85,7 @@
 pub async fn until_in_force(cluster: &Cluster, entry: &str, revision: u64, processes: u64) {
     let url = format!("{entry}/v1/config/wait?revision={revision}&wait_ms=1000");
     until("the revision is in force", IN_FORCE_S, async || {
-        let answer = cluster.call(Method::GET, &url, None).await.ok()?;
+        let answer = cluster.send_request(Method::GET, &url, None).await.ok()?;
         (number(&answer, "/in_force") == processes).then_some(())
     })
     .await;
--- a/tests/config_faults/outage.rs
+++ b/tests/config_faults/outage.rs
@@ -20,7 +20,7 @@
     let mut cluster = Cluster::new().await;
     let mut entries = Vec::new();
     for (name, region) in ENTRIES {
-        entries.push(cluster.entry(name, region, "").await);
+        entries.push(cluster.start_entry(name, region, "").await);
     }
     for entry in &entries {
         until_ready(&cluster, entry).await;
@@ -40,20 +40,22 @@
 /// Kills the entry and starts it again with nothing but its settings.
 fn replace(cluster: &mut Cluster, name: &str) {
     cluster.process(name).kill();
-    cluster.start_again("entry", name);
+    cluster.restart("entry", name);
 }
 
 #[actix_rt::test]
 async fn outage_every_host_replaced_in_turn() {
     let (mut cluster, entries) = start().await;
-    let endpoint = cluster.service("desk-1", "or-north", "bookdesk", &[]).await;
+    let endpoint = cluster
+        .start_service("desk-1", "or-north", "bookdesk", &[])
+        .await;
     let endpoint = format!("http://{endpoint}");
     until_ready(&cluster, &endpoint).await;
     let first = accepted(&cluster, &entries[0], "a", 0).await;
     let revision = accepted(&cluster, &entries[1], "b", first).await;
     until_in_force(&cluster, &entries[0], revision, 4).await;
     cluster
-        .fault(&cluster.log_url(), &json!({"down": true}))
+        .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
     for (entry, (name, _)) in entries.iter().zip(ENTRIES) {
         replace(&mut cluster, name);
@@ -62,7 +64,7 @@
         assert_eq!(shown.offset, revision, "{name} came back behind");
     }
     cluster.process("desk-1").kill();
-    cluster.start_again("endpoint", "desk-1");
+    cluster.restart("endpoint", "desk-1");
     until_ready(&cluster, &endpoint).await;
     until_in_force(&cluster, &entries[2], revision, 4).await;
 }
@@ -73,7 +75,7 @@
     let revision = accepted(&cluster, &entries[0], "a", 0).await;
     until_in_force(&cluster, &entries[0], revision, 3).await;
     cluster
-        .fault(&cluster.log_url(), &json!({"down": true}))
+        .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
     replace(&mut cluster, "entry-0");
     replace(&mut cluster, "entry-1");
@@ -87,7 +89,7 @@
         assert!(!is_ready(&cluster, entry).await);
     }
     cluster
-        .fault(&cluster.log_url(), &json!({"down": false}))
+        .set_faults(&cluster.log_url(), &json!({"down": false}))
         .await;
     for entry in &entries {
         until_ready(&cluster, entry).await;
@@ -97,10 +99,10 @@
 #[actix_rt::test]
 async fn outage_alone_serves_last_configuration() {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-0", "wa-coast", "").await;
+    let entry = cluster.start_entry("entry-0", "wa-coast", "").await;
     until_ready(&cluster, &entry).await;
     cluster
-        .fault(&cluster.log_url(), &json!({"down": true}))
+        .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
     assert!(is_ready(&cluster, &entry).await);
     let told = put(&cluster, &entry, "service desk", ("a", 0, "timeout_ms = 1"));
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -28,26 +28,29 @@
     let mut cluster = Cluster::new().await;
     let mut entries = Vec::new();
     for name in ["entry-0", "entry-1", "entry-2"] {
-        entries.push(cluster.entry(name, "wa-coast", "").await);
+        entries.push(cluster.start_entry(name, "wa-coast", "").await);
     }
     for entry in &entries {
         until_ready(&cluster, entry).await;
     }
     cluster.process("entry-0").signal("STOP");
     // The read that waits at the log gets the first edit; the second comes after it.
-    let first = cluster.edit("service desk", 0, "timeout_ms = 600").await + 1;
+    let first = cluster
+        .append_edit("service desk", 0, "timeout_ms = 600")
+        .await
+        + 1;
     until("the others have the first edit", 20, async || {
         let shown = shown(&cluster, &entries[1]).await?;
         (shown.offset >= first).then_some(())
     })
     .await;
     let revision = cluster
-        .edit("service desk", first, "timeout_ms = 700")
+        .append_edit("service desk", first, "timeout_ms = 700")
         .await
         + 1;
     actix_rt::time::sleep(PAUSE).await;
     let slow = json!({ "delay_ms": 2000 });
-    cluster.fault(&cluster.log_url(), &slow).await;
+    cluster.set_faults(&cluster.log_url(), &slow).await;
     cluster.process("entry-0").signal("CONT");
     // From its first answer on, it is either not ready or up to date.
     for _ in 0..200 {
@@ -67,7 +70,7 @@
     let names = ["entry-0", "entry-1", "entry-2", "entry-3", "entry-4"];
     let mut entries = Vec::new();
     for name in names {
-        entries.push(cluster.entry(name, "wa-coast", "").await);
+        entries.push(cluster.start_entry(name, "wa-coast", "").await);
     }
     for entry in &entries {
         until_ready(&cluster, entry).await;
@@ -75,14 +78,17 @@
     // Every entry knows the others, and no read of a later rank waits at the log.
     until_in_force(&cluster, &entries[3], 0, 5).await;
     until_in_force(&cluster, &entries[4], 0, 5).await;
-    let first = cluster.edit("service desk", 0, "timeout_ms = 600").await + 1;
+    let first = cluster
+        .append_edit("service desk", 0, "timeout_ms = 600")
+        .await
+        + 1;
     until_in_force(&cluster, &entries[3], first, 5).await;
     for name in &names[..3] {
         cluster.process(name).signal("STOP");
     }
     // The entries that are left read the log in their place.
     let revision = cluster
-        .edit("service desk", first, "timeout_ms = 700")
+        .append_edit("service desk", first, "timeout_ms = 700")
         .await
         + 1;
     for entry in &entries[3..] {
@@ -115,9 +121,9 @@
 async fn bootstrap_answer_to_an_earlier_incarnation() {
     let mut cluster = Cluster::new().await;
     cluster
-        .fault(&cluster.log_url(), &json!({"down": true}))
+        .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
-    let entry = cluster.entry("entry-0", "wa-coast", "").await;
+    let entry = cluster.start_entry("entry-0", "wa-coast", "").await;
     // A listed entry that answers what the process before this one asked.
     let other = StdUdpSocket::bind("127.0.0.1:0").expect("a free port");
     let address = other.local_addr().expect("it is bound");
@@ -126,7 +132,7 @@
         "domain": "or-north-a", "service": null, "state": "live",
     });
     let url = format!("{}/v1/hosts/entry-1", cluster.hosts_url());
-    let put = cluster.call(Method::PUT, &url, Some(&record)).await;
+    let put = cluster.send_request(Method::PUT, &url, Some(&record)).await;
     put.expect("the host list takes a host");
     let answer = HeartbeatAnswer {
         name: NameTag::of("entry-1"),
--- a/tests/config_faults/race.rs
+++ b/tests/config_faults/race.rs
@@ -47,13 +47,13 @@
     let mut entries = Vec::new();
     for (number, region) in ["wa-coast", "or-north", "or-south"].iter().enumerate() {
         let name = format!("entry-{number}");
-        entries.push(cluster.entry(&name, region, "").await);
+        entries.push(cluster.start_entry(&name, region, "").await);
     }
     for entry in &entries {
         until_ready(cluster, entry).await;
     }
     if let Some(faults) = faults {
-        cluster.fault(&cluster.log_url(), &faults).await;
+        cluster.set_faults(&cluster.log_url(), &faults).await;
     }
     let operators =
         (0..EDITORS).map(|editor| operate(cluster, &entries[editor % entries.len()], editor));
@@ -84,7 +84,9 @@
     let mut cluster = Cluster::new().await;
     race(&mut cluster, Some(json!({ "lose_replies": 8 }))).await;
     let url = format!("{}/stats", cluster.log_url());
-    let stats = cluster.call(actix_web::http::Method::GET, &url, None).await;
+    let stats = cluster
+        .send_request(actix_web::http::Method::GET, &url, None)
+        .await;
     let stats: serde_json::Value =
         serde_json::from_slice(&stats.expect("the log answers")).expect("JSON");
     assert!(stats["appends"].as_u64() > Some(8), "{stats}");
@@ -99,7 +101,7 @@
 #[actix_rt::test]
 async fn race_record_appended_again() {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-0", "wa-coast", "").await;
+    let entry = cluster.start_entry("entry-0", "wa-coast", "").await;
     until_ready(&cluster, &entry).await;
     let edit = |edit_id: &str, base_revision: u64, body: &str| Edit {
         edit_id: edit_id.to_owned(),
--- a/tests/config_faults/trim.rs
+++ b/tests/config_faults/trim.rs
@@ -14,7 +14,7 @@
     let mut cluster = Cluster::with_log_args(&["--retention-ms", RETENTION_MS]).await;
     let mut entries = Vec::new();
     for name in ["entry-0", "entry-1"] {
-        entries.push(cluster.entry(name, "wa-coast", SETTINGS).await);
+        entries.push(cluster.start_entry(name, "wa-coast", SETTINGS).await);
     }
     for entry in &entries {
         until_ready(&cluster, entry).await;
@@ -34,7 +34,7 @@
         cluster.process(name).kill();
     }
     for name in ["entry-0", "entry-1"] {
-        cluster.start_again("entry", name);
+        cluster.restart("entry", name);
     }
     for entry in &entries {
         until_ready(&cluster, entry).await;
--- a/tests/domain_loss/main.rs
+++ b/tests/domain_loss/main.rs
@@ -37,28 +37,32 @@
     let mut cluster = Cluster::new().await;
     let mut entries = Vec::new();
     for region in REGIONS {
-        entries.push(cluster.entry(&format!("entry-{region}"), region, "").await);
+        entries.push(
+            cluster
+                .start_entry(&format!("entry-{region}"), region, "")
+                .await,
+        );
         for number in 0..2 {
             let name = format!("engine-{region}-{number}");
-            cluster.engine(&name, region, &[]).await;
+            cluster.start_engine(&name, region, &[]).await;
         }
     }
     let manifest = cluster.publish("chat", "v1", 1 << 18).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 4\n");
-    cluster.edit("model chat", 0, &model).await;
+    cluster.append_edit("model chat", 0, &model).await;
     let digest = Digest::of_bytes(TOKEN.as_bytes());
     let branch = format!(
         "token_digest = {digest}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices =\n"
     );
-    cluster.edit("branch seaside", 0, &branch).await;
+    cluster.append_edit("branch seaside", 0, &branch).await;
     (cluster, entries)
 }
 
 /// Replicas that the entry at `url` sees serving.
 async fn serving(cluster: &Cluster, url: &str) -> Option<usize> {
     let url = format!("{url}/v1/status");
-    let body = cluster.call(Method::GET, &url, None).await.ok()?;
+    let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
     let status = String::from_utf8(body.to_vec()).ok()?;
     Some(status.matches("\"progress\":\"serving\"").count())
 }
@@ -69,7 +73,9 @@
         "branch": "seaside", "model": "chat", "prompt": format!("hut {number}?"), "max_tokens": 3,
     });
     let url = format!("{url}/v1/generate");
-    let body = cluster.call(Method::POST, &url, Some(&request)).await;
+    let body = cluster
+        .send_request(Method::POST, &url, Some(&request))
+        .await;
     let last = body.ok().and_then(|body| {
         let line = body
             .split(|byte| *byte == b'\n')
--- a/tests/generate_path/generate_cluster.rs
+++ b/tests/generate_path/generate_cluster.rs
@@ -33,20 +33,20 @@
     /// Starts the cluster and waits until every replica serves the model.
     pub async fn start(replicas: usize) -> Self {
         let mut cluster = Cluster::new().await;
-        let entry = cluster.entry("entry-1", "or-north", "").await;
+        let entry = cluster.start_entry("entry-1", "or-north", "").await;
         let mut engines = Vec::new();
         for number in 0..replicas {
             let name = format!("engine-{number}");
-            let endpoint = cluster.engine(&name, "or-north", &ENGINE_ARGS).await;
+            let endpoint = cluster.start_engine(&name, "or-north", &ENGINE_ARGS).await;
             engines.push(cluster.backend_of(&endpoint));
         }
         let manifest = cluster.publish("chat", "v1", 100_000).await;
         let replicas = replicas.max(1);
         let model = format!("version = v1\nmanifest = {manifest}\nreplicas = {replicas}\n");
-        cluster.edit("model chat", 0, &model).await;
+        cluster.append_edit("model chat", 0, &model).await;
         let digest = Digest::of_bytes(TOKEN.as_bytes());
         let branch = format!("token_digest = {digest}\nshare_percent = 50\nmodels = chat\n");
-        cluster.edit("branch seaside", 0, &branch).await;
+        cluster.append_edit("branch seaside", 0, &branch).await;
         let started = Self {
             cluster,
             entry,
--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -25,11 +25,11 @@
     let mut cluster = Cluster::new().await;
     let mut urls = Vec::new();
     for (name, region) in [("a", "wa-coast"), ("b", "or-north"), ("c", "or-south")] {
-        urls.push(cluster.entry(name, region, "").await);
+        urls.push(cluster.start_entry(name, region, "").await);
     }
     let digest = Digest::of_bytes(TOKEN.as_bytes());
     cluster
-        .edit(
+        .append_edit(
             "branch seaside",
             0,
             &format!("token_digest = {digest}\n{BRANCH}"),
@@ -41,7 +41,7 @@
 /// Entries that the entry at `url` names, in ascending order.
 async fn named(cluster: &Cluster, url: &str) -> Option<Vec<String>> {
     let url = format!("{url}/v1/addresses?branch=seaside");
-    let body = cluster.call(Method::GET, &url, None).await.ok()?;
+    let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
     let answer: Value = serde_json::from_slice(&body).ok()?;
     let entries = answer["entries"].as_array()?.iter();
     let mut urls: Vec<String> = entries
@@ -70,7 +70,7 @@
     assert!(killed.elapsed() <= NO_NEW_WORK, "{:?}", killed.elapsed());
 
     // The replacement at the same address is a new incarnation and joins.
-    cluster.start_again("entry", "b");
+    cluster.restart("entry", "b");
     until_named(&cluster, &urls[0], &urls).await;
 }
 
@@ -93,7 +93,7 @@
         json!({"empty": true}),
         json!({"halved": true}),
     ] {
-        cluster.fault(&cluster.hosts_url(), &faults).await;
+        cluster.set_faults(&cluster.hosts_url(), &faults).await;
         // Long enough for several reads of the list.
         let deadline = Instant::now() + Duration::from_secs(1);
         while Instant::now() < deadline {
--- a/tests/path/main.rs
+++ b/tests/path/main.rs
@@ -31,21 +31,23 @@
 #[actix_rt::test]
 async fn path_generate_and_call() {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-1", "or-north", "").await;
-    let one = cluster.engine("engine-1", "or-north", &[]).await;
-    cluster.engine("engine-2", "wa-coast", &[]).await;
-    cluster.service("desk-1", "or-north", "bookdesk", &[]).await;
+    let entry = cluster.start_entry("entry-1", "or-north", "").await;
+    let one = cluster.start_engine("engine-1", "or-north", &[]).await;
+    cluster.start_engine("engine-2", "wa-coast", &[]).await;
+    cluster
+        .start_service("desk-1", "or-north", "bookdesk", &[])
+        .await;
     let manifest = cluster.publish("chat", "v1", MODEL_BYTES).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 2\n");
-    cluster.edit("model chat", 0, &model).await;
+    cluster.append_edit("model chat", 0, &model).await;
     let digest = Digest::of_bytes(TOKEN.as_bytes());
     let branch = format!(
         "token_digest = {digest}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n"
     );
-    cluster.edit("branch seaside", 0, &branch).await;
+    cluster.append_edit("branch seaside", 0, &branch).await;
     cluster
-        .edit(
+        .append_edit(
             "service bookdesk",
             0,
             "idempotent = lookup\ntimeout_ms = 5000\n",
@@ -54,7 +56,7 @@
 
     let url = format!("{entry}/v1/addresses?branch=seaside&service=bookdesk");
     let addresses = until("the entry gives addresses and permits", 30, async || {
-        let body = cluster.call(Method::GET, &url, None).await.ok()?;
+        let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
         let answer: Value = serde_json::from_slice(&body).ok()?;
         (!answer["permits"].as_array()?.is_empty()).then_some(answer)
     })
@@ -67,7 +69,10 @@
         "branch": "seaside", "model": "chat", "prompt": "tide rules?", "max_tokens": 5, "seed": 3,
     });
     let body = until("a replica answers", 30, async || {
-        cluster.call(Method::POST, &url, Some(&request)).await.ok()
+        cluster
+            .send_request(Method::POST, &url, Some(&request))
+            .await
+            .ok()
     })
     .await;
     let events = events(&body);
@@ -99,7 +104,7 @@
         "branch": "seaside", "service": "bookdesk", "path": "lookup", "body": {"hut": 12},
     });
     let body = cluster
-        .call(Method::POST, &url, Some(&request))
+        .send_request(Method::POST, &url, Some(&request))
         .await
         .expect("the service answers");
     let answer: Value = serde_json::from_slice(&body).expect("the answer is JSON");
--- a/tests/rollout_history/command.rs
+++ b/tests/rollout_history/command.rs
@@ -16,12 +16,12 @@
 #[actix_rt::test]
 async fn rollout_command_watch() {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-1", "or-north", "").await;
-    cluster.engine("engine-1", "or-north", &[]).await;
+    let entry = cluster.start_entry("entry-1", "or-north", "").await;
+    cluster.start_engine("engine-1", "or-north", &[]).await;
     let first = cluster.publish("chat", "v1", 1 << 18).await;
     let second = cluster.publish("chat", "v2", (1 << 18) + 5).await;
     let body = format!("version = v1\nmanifest = {first}\nreplicas = 1\n");
-    cluster.edit("model chat", 0, &body).await;
+    cluster.append_edit("model chat", 0, &body).await;
     until("the replica serves v1", 60, async || {
         (serving(&cluster, &entry, &first).await? == 1).then_some(())
     })
--- a/tests/rollout_history/main.rs
+++ b/tests/rollout_history/main.rs
@@ -76,14 +76,16 @@
         "branch": "seaside", "model": "chat", "prompt": prompt, "max_tokens": TOKENS, "seed": SEED,
     });
     let url = format!("{entry}/v1/generate");
-    let result = cluster.call(Method::POST, &url, Some(&request)).await;
+    let result = cluster
+        .send_request(Method::POST, &url, Some(&request))
+        .await;
     Answer { prompt, result }
 }
 
 /// Digests of the versions that are serving somewhere, as the entry sees it.
 async fn serving(cluster: &Cluster, entry: &str, manifest: &str) -> Option<usize> {
     let url = format!("{entry}/v1/status");
-    let body = cluster.call(Method::GET, &url, None).await.ok()?;
+    let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
     let status: Value = serde_json::from_slice(&body).ok()?;
     Some(count(&status, manifest))
 }
@@ -108,11 +110,11 @@
 #[actix_rt::test]
 async fn rollout_forwards_and_back_under_load() {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-1", "or-north", "").await;
+    let entry = cluster.start_entry("entry-1", "or-north", "").await;
     let pace = ["--first-token-ms", "5", "--token-ms", "5"];
     for number in 0..3 {
         cluster
-            .engine(&format!("engine-{number}"), "or-north", &pace)
+            .start_engine(&format!("engine-{number}"), "or-north", &pace)
             .await;
     }
     let first = cluster.publish("chat", "v1", 1 << 18).await;
@@ -120,10 +122,12 @@
     let model = |version: &str, manifest: &str| {
         format!("version = {version}\nmanifest = {manifest}\nreplicas = 3\nstep_replicas = 1\n")
     };
-    let mut offset = cluster.edit("model chat", 0, &model("v1", &first)).await;
+    let mut offset = cluster
+        .append_edit("model chat", 0, &model("v1", &first))
+        .await;
     let digest = Digest::of_bytes(TOKEN.as_bytes());
     let branch = format!("token_digest = {digest}\nshare_percent = 50\nmodels = chat\n");
-    cluster.edit("branch seaside", 0, &branch).await;
+    cluster.append_edit("branch seaside", 0, &branch).await;
     until("all replicas serve v1", 60, async || {
         (serving(&cluster, &entry, &first).await? == 3).then_some(())
     })
@@ -148,7 +152,7 @@
         .collect();
     for (version, manifest) in [("v2", &second), ("v1", &first)] {
         offset = cluster
-            .edit("model chat", offset + 1, &model(version, manifest))
+            .append_edit("model chat", offset + 1, &model(version, manifest))
             .await;
         until(&format!("all replicas serve {version}"), 90, async || {
             (serving(&cluster, &entry, manifest).await? == 3).then_some(())
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -17,45 +17,46 @@
 use bergamotfork::links::LinkError;
 use bergamotfork::weights::Digest;
 
-/// Bearer token of the branch and team of every test.
+/// Bearer token that every test uses for its branch and its team.
 pub const TOKEN: &str = "token of the tests";
 
-/// Ports one cluster may use.
-const PORTS: u16 = 200;
+/// Number of consecutive ports reserved for one cluster.
+const PORTS_PER_CLUSTER: u16 = 200;
 
-/// Offset of the port of an engine or service from that of its endpoint.
-const BACKEND_PORT: u16 = 100;
+/// Port of an engine or service minus the port of its endpoint.
+const BACKEND_PORT_OFFSET: u16 = 100;
 
+/// First port of the next cluster that this test process starts.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(10_000);
 
-/// A small system with stand-ins for the platform, each part a process.
+/// Entries, endpoints and stand-ins for the platform, each in its own process on loopback.
 #[derive(Debug)]
 pub struct Cluster {
     ip: String,
     base_port: u16,
     next_port: u16,
     folder: PathBuf,
-    /// Processes with the names of their hosts.
+    /// Running processes, each with its host name.
     pub processes: Vec<(String, Process)>,
 }
 
 impl Cluster {
-    /// Shared key of the processes.
+    /// Key that all processes of the cluster share.
     pub const SHARED_KEY: &str = "a shared key for the tests";
 
-    /// Starts log, host list and origin.
+    /// Starts the stand-ins for the log, the host list and the origin.
     pub async fn new() -> Self {
         Self::with_log_args(&[]).await
     }
 
-    /// Starts log, host list and origin; `log_args` go to the log.
+    /// Starts the stand-ins as `new` does and passes `log_args` to the log.
     pub async fn with_log_args(log_args: &[&str]) -> Self {
         // Each test process has a loopback address of its own, so ports never clash.
         let id = std::process::id();
         let ip = format!("127.{}.{}.1", 1 + (id >> 8) % 250, id % 256);
-        let base_port = NEXT_PORT.fetch_add(PORTS, Ordering::Relaxed);
+        let base_port = NEXT_PORT.fetch_add(PORTS_PER_CLUSTER, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("bergamotfork-{id}-{base_port}"));
-        fs::create_dir_all(&folder).expect("a folder for settings");
+        fs::create_dir_all(&folder).expect("the settings folder is created");
         let mut cluster = Self {
             ip,
             base_port,
@@ -63,100 +64,110 @@
             folder,
             processes: Vec::new(),
         };
-        let log = cluster.address(0);
+        let log = cluster.stand_in_address(0);
         let mut args = vec!["standin", "log", "--listen", &log];
         args.extend(log_args);
-        cluster.run("log", &args);
-        let hosts = cluster.address(1);
-        cluster.run("hosts", &["standin", "hosts", "--listen", &hosts]);
-        let origin = cluster.address(2);
-        cluster.run("origin", &["standin", "origin", "--listen", &origin]);
+        cluster.start_process("log", &args);
+        let hosts = cluster.stand_in_address(1);
+        cluster.start_process("hosts", &["standin", "hosts", "--listen", &hosts]);
+        let origin = cluster.stand_in_address(2);
+        cluster.start_process("origin", &["standin", "origin", "--listen", &origin]);
         for number in 0..3 {
-            cluster.listening(&cluster.address(number)).await;
+            cluster
+                .wait_until_listening(&cluster.stand_in_address(number))
+                .await;
         }
         cluster
     }
 
-    fn address(&self, number: u16) -> String {
+    /// Address of a stand-in: 0 is the log, 1 the host list, 2 the origin.
+    fn stand_in_address(&self, number: u16) -> String {
         format!("{}:{}", self.ip, self.base_port + number)
     }
 
     /// Base URL of the log.
     pub fn log_url(&self) -> String {
-        format!("http://{}", self.address(0))
+        format!("http://{}", self.stand_in_address(0))
     }
 
-    /// Base URL of the list of hosts.
+    /// Base URL of the host list.
     pub fn hosts_url(&self) -> String {
-        format!("http://{}", self.address(1))
+        format!("http://{}", self.stand_in_address(1))
     }
 
     /// Base URL of the origin.
     pub fn origin_url(&self) -> String {
-        format!("http://{}", self.address(2))
+        format!("http://{}", self.stand_in_address(2))
     }
 
-    fn run(&mut self, name: &str, args: &[&str]) {
+    fn start_process(&mut self, name: &str, args: &[&str]) {
         self.processes.push((name.to_owned(), Process::start(args)));
     }
 
-    /// The process of the host called `name`.
+    /// Returns the process of the host called `name`; panics if there is none.
     pub fn process(&mut self, name: &str) -> &mut Process {
-        let found = self.processes.iter_mut().find(|(known, _)| known == name);
-        &mut found.expect("the process was started").1
+        let entry = self.processes.iter_mut().find(|(known, _)| known == name);
+        &mut entry.expect("the process was started").1
     }
 
-    async fn listening(&self, address: &str) {
+    async fn wait_until_listening(&self, address: &str) {
         until(&format!("{address} listens"), 20, async || {
             std::net::TcpStream::connect(address).ok()
         })
         .await;
     }
 
-    /// Starts an entry and returns its base URL; `settings` are further lines of `[entry]`.
-    pub async fn entry(&mut self, name: &str, region: &str, settings: &str) -> String {
-        let address = self.take_address();
+    /// Starts an entry and returns its base URL; `settings` is appended to its `[entry]` section.
+    pub async fn start_entry(&mut self, name: &str, region: &str, settings: &str) -> String {
+        let address = self.reserve_address();
         let body = format!(
             "[entry]\naddress_lifetime_ms = 500\ndrain_ms = 10000\n{settings}\n\
              [team platform]\ntoken_digest = {}\nsections = model *, branch *, service *\n",
             Digest::of_bytes(TOKEN.as_bytes())
         );
-        self.role("entry", name, region, &address, &body, None)
+        self.start_host("entry", name, region, &address, &body, None)
             .await;
         format!("http://{address}")
     }
 
-    /// Starts an endpoint beside an engine stand-in; returns the address of the endpoint.
-    pub async fn engine(&mut self, name: &str, region: &str, engine_args: &[&str]) -> String {
-        let address = self.take_address();
+    /// Starts an engine stand-in and its endpoint; returns the address of the endpoint.
+    pub async fn start_engine(&mut self, name: &str, region: &str, engine_args: &[&str]) -> String {
+        let address = self.reserve_address();
         let backend = self.backend_of(&address);
         let mut args = vec!["standin", "engine", "--listen", &backend];
         args.extend(engine_args);
-        self.run(&format!("{name}-engine"), &args);
-        self.listening(&backend).await;
-        self.endpoint_at(name, region, &address, &backend, "").await;
+        self.start_process(&format!("{name}-engine"), &args);
+        self.wait_until_listening(&backend).await;
+        self.start_engine_endpoint(name, region, &address, &backend, "")
+            .await;
         address
     }
 
-    /// Starts an engine stand-in at `backend` without an endpoint.
-    pub fn run_engine(&mut self, name: &str, backend: &str) {
+    /// Starts or restarts an engine stand-in at `backend` without an endpoint.
+    pub fn start_bare_engine(&mut self, name: &str, backend: &str) {
         self.processes.retain(|(known, _)| known != name);
-        self.run(name, &["standin", "engine", "--listen", backend]);
+        self.start_process(name, &["standin", "engine", "--listen", backend]);
     }
 
-    /// An address that nothing else of this cluster takes.
-    pub fn spare_address(&mut self) -> String {
-        self.take_address()
+    /// Reserves an address that nothing else in this cluster uses.
+    pub fn unused_address(&mut self) -> String {
+        self.reserve_address()
     }
 
-    /// Starts an endpoint beside the engine at `backend`, with further lines of settings.
-    pub async fn endpoint(&mut self, name: &str, region: &str, backend: &str, settings: &str) {
-        let address = self.take_address();
-        self.endpoint_at(name, region, &address, backend, settings)
+    /// Starts an endpoint for the engine at `backend`; `settings` is appended to `[backend]`.
+    pub async fn start_endpoint(
+        &mut self,
+        name: &str,
+        region: &str,
+        backend: &str,
+        settings: &str,
+    ) {
+        let address = self.reserve_address();
+        self.start_engine_endpoint(name, region, &address, backend, settings)
             .await;
     }
 
-    async fn endpoint_at(
+    async fn start_engine_endpoint(
         &mut self,
         name: &str,
         region: &str,
@@ -167,43 +178,44 @@
         let body = format!(
             "[backend]\nkind = engine\nurl = http://{backend}\nchecks_orders = yes\n{settings}"
         );
-        self.role("endpoint", name, region, address, &body, None)
+        self.start_host("endpoint", name, region, address, &body, None)
             .await;
     }
 
-    /// Starts an endpoint beside a service stand-in; returns the address of the endpoint.
-    pub async fn service(
+    /// Starts a service stand-in and its endpoint; returns the address of the endpoint.
+    pub async fn start_service(
         &mut self,
         name: &str,
         region: &str,
         service: &str,
         service_args: &[&str],
     ) -> String {
-        let address = self.take_address();
+        let address = self.reserve_address();
         let backend = self.backend_of(&address);
         let mut args = vec!["standin", "service", "--listen", &backend];
         args.extend(service_args);
-        self.run(&format!("{name}-service"), &args);
-        self.listening(&backend).await;
+        self.start_process(&format!("{name}-service"), &args);
+        self.wait_until_listening(&backend).await;
         let body = format!("[backend]\nkind = service\nurl = http://{backend}\nname = {service}\n");
-        self.role("endpoint", name, region, &address, &body, Some(service))
+        self.start_host("endpoint", name, region, &address, &body, Some(service))
             .await;
         address
     }
 
-    /// Address of the engine or service beside the endpoint at `address`.
+    /// Address of the engine or service that the endpoint at `address` serves.
     pub fn backend_of(&self, address: &str) -> String {
         let (ip, port) = address.rsplit_once(':').expect("an address has a port");
         let port: u16 = port.parse().expect("a port is a number");
-        format!("{ip}:{}", port + BACKEND_PORT)
+        format!("{ip}:{}", port + BACKEND_PORT_OFFSET)
     }
 
-    fn take_address(&mut self) -> String {
+    fn reserve_address(&mut self) -> String {
         self.next_port += 1;
         format!("{}:{}", self.ip, self.next_port)
     }
 
-    async fn role(
+    /// Writes the settings of a host, starts its process and adds it to the host list.
+    async fn start_host(
         &mut self,
         role: &str,
         name: &str,
@@ -224,28 +236,28 @@
         );
         let path = self.folder.join(format!("{name}.ini"));
         fs::write(&path, text).expect("the settings are written");
-        self.start_again(role, name);
+        self.restart(role, name);
         let record = json!({
             "name": name, "address": address, "role": role, "region": region,
             "domain": format!("{region}-a"), "service": service, "state": "live",
         });
         let url = format!("{}/v1/hosts/{name}", self.hosts_url());
-        let put: Result<Value, _> = HttpClient::to_platform()
+        let added: Result<Value, _> = HttpClient::to_platform()
             .send_json(Method::PUT, &url, &record, 5000)
             .await;
-        put.expect("the host list takes a host");
-        self.listening(address).await;
+        added.expect("the host list accepts the host");
+        self.wait_until_listening(address).await;
     }
 
-    /// Starts the process of a host that had ended, with its old settings.
-    pub fn start_again(&mut self, role: &str, name: &str) {
+    /// Starts the process of a host again, with the settings it had before.
+    pub fn restart(&mut self, role: &str, name: &str) {
         let path = self.folder.join(format!("{name}.ini"));
         let path = path.to_str().expect("the path is text").to_owned();
         self.processes.retain(|(known, _)| known != name);
-        self.run(name, &[role, "--settings", &path]);
+        self.start_process(name, &[role, "--settings", &path]);
     }
 
-    /// Puts weights of `size_bytes` into the origin; returns their manifest's digest.
+    /// Publishes weights of `size_bytes` at the origin; returns the digest of their manifest.
     pub async fn publish(&self, model: &str, version: &str, size_bytes: u64) -> String {
         let publication = json!({
             "model": model, "version": version, "size_bytes": size_bytes,
@@ -255,15 +267,15 @@
         let answer: Value = HttpClient::to_platform()
             .send_json(Method::POST, &url, &publication, 10_000)
             .await
-            .expect("the origin takes a version");
+            .expect("the origin accepts the version");
         answer["manifest"]
             .as_str()
             .expect("the answer names the manifest")
             .to_owned()
     }
 
-    /// Appends an edit to the log as an operator's tool does.
-    pub async fn edit(&self, section: &str, base_revision: u64, body: &str) -> u64 {
+    /// Appends an edit to the log without going through an entry; returns its offset.
+    pub async fn append_edit(&self, section: &str, base_revision: u64, body: &str) -> u64 {
         let edit = Edit {
             edit_id: format!("{section} {base_revision}"),
             team: "platform".to_owned(),
@@ -274,20 +286,20 @@
         LogClient::new(&self.log_url(), "config")
             .append(LogRecord::Edit(edit).encode())
             .await
-            .expect("the log takes an edit")
+            .expect("the log accepts the edit")
     }
 
-    /// Orders faults from the stand-in at `base_url`.
-    pub async fn fault(&self, base_url: &str, faults: &Value) {
+    /// Replaces the faults that the stand-in at `base_url` injects.
+    pub async fn set_faults(&self, base_url: &str, faults: &Value) {
         let url = format!("{base_url}/fault");
-        let set: Result<Value, _> = HttpClient::to_platform()
+        let accepted: Result<Value, _> = HttpClient::to_platform()
             .send_json(Method::POST, &url, faults, 5000)
             .await;
-        set.expect("the stand-in takes faults");
+        accepted.expect("the stand-in accepts the faults");
     }
 
-    /// Sends a caller's request with the tests' token and reads the whole answer.
-    pub async fn call(
+    /// Sends a request with the bearer token `TOKEN` and reads the complete answer.
+    pub async fn send_request(
         &self,
         method: Method,
         url: &str,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the system as separate processes on loopback and ends them by id.
+//! Runs a cluster of separate processes on loopback for integration tests.
 #![allow(dead_code)]
 #![allow(unused_imports)]
 
--- a/tests/weights_rollout/holds.rs
+++ b/tests/weights_rollout/holds.rs
@@ -23,27 +23,27 @@
     let first = site.publish("chat", "v1", None).await;
     let origin = site.cluster.origin_url();
     site.cluster
-        .fault(&origin, &json!({"manifest_wrong": true}))
+        .set_faults(&origin, &json!({"manifest_wrong": true}))
         .await;
     site.edit_model("chat", 0, "v1", first, "replicas = 1")
         .await;
     site.wait_held("chat", "manifest has digest").await;
     site.cluster
-        .fault(&origin, &json!({"manifest_missing": true}))
+        .set_faults(&origin, &json!({"manifest_missing": true}))
         .await;
     site.wait_held("chat", "no such manifest").await;
-    site.cluster.fault(&origin, &json!({})).await;
+    site.cluster.set_faults(&origin, &json!({})).await;
     site.wait_loaded_by_all(&[first]).await;
 }
 
 #[actix_rt::test]
 async fn rollout_over_budget_reported() {
     let mut site = Site::new(0, &[]).await;
-    let backend = site.cluster.spare_address();
-    site.cluster.run_engine("engine", &backend);
+    let backend = site.cluster.unused_address();
+    site.cluster.start_bare_engine("engine", &backend);
     let settings = "[weights]\nbudget_bytes = 1048576\n";
     site.cluster
-        .endpoint("host", "or-north", &backend, settings)
+        .start_endpoint("host", "or-north", &backend, settings)
         .await;
     site.engines.push(backend);
     let large = site.cluster.publish("large", "v1", 2 << 20).await;
--- a/tests/weights_rollout/load_slots.rs
+++ b/tests/weights_rollout/load_slots.rs
@@ -62,19 +62,19 @@
     site.wait_loaded_by_all(&[first]).await;
     site.cluster.process("engine-0-engine").kill();
     let backend = site.engines[0].clone();
-    site.cluster.run_engine("engine-0-engine", &backend);
+    site.cluster.start_bare_engine("engine-0-engine", &backend);
     site.wait_loaded_by_all(&[first]).await;
 }
 
 #[actix_rt::test]
 async fn rollout_engine_reply_lost() {
     let mut site = Site::new(0, &[]).await;
-    let backend = site.cluster.spare_address();
-    site.cluster.run_engine("engine", &backend);
+    let backend = site.cluster.unused_address();
+    site.cluster.start_bare_engine("engine", &backend);
     let (handle, proxy) = start_proxy(&backend, 1);
     let address = handle.address().to_string();
     site.cluster
-        .endpoint("host", "or-north", &address, "")
+        .start_endpoint("host", "or-north", &address, "")
         .await;
     let first = site.publish("chat", "v1", None).await;
     site.edit_model("chat", 0, "v1", first, "replicas = 1")
--- a/tests/weights_rollout/site.rs
+++ b/tests/weights_rollout/site.rs
@@ -26,11 +26,11 @@
     /// Starts the cluster with `engines` engines.
     pub async fn new(engines: usize, engine_args: &[&str]) -> Self {
         let mut cluster = Cluster::new().await;
-        let entry = cluster.entry("entry-1", REGION, "").await;
+        let entry = cluster.start_entry("entry-1", REGION, "").await;
         let mut backends = Vec::new();
         for number in 0..engines {
             let address = cluster
-                .engine(&format!("engine-{number}"), REGION, engine_args)
+                .start_engine(&format!("engine-{number}"), REGION, engine_args)
                 .await;
             backends.push(cluster.backend_of(&address));
         }
@@ -66,7 +66,7 @@
     ) -> u64 {
         let body = format!("version = {version}\nmanifest = {manifest}\n{other_keys}\n");
         let section = format!("model {model}");
-        let offset = self.cluster.edit(&section, revision, &body).await;
+        let offset = self.cluster.append_edit(&section, revision, &body).await;
         offset + 1
     }
 
