--- a/tests/calls_faults/caller.rs
+++ b/tests/calls_faults/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that follows the contract: numbers its sends, one at a time.
+//! A caller that follows the contract: it numbers the sends of a call and has one open at a time.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use bergamotfork::clients::REQUEST_ID_HEADER;
 use bergamotfork::links::HttpClient;
 
-/// Time a caller gives one send.
-const SEND_WAIT: Duration = Duration::from_secs(8);
+/// Time after which a caller gives up one send.
+const SEND_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Deadline of a call.
+/// Default deadline of a call.
 const DEADLINE_MS: u64 = 6000;
 
-/// Asks an entry for one permit.
-pub async fn permit(entry: &str) -> Option<Permit> {
+/// Requests one permit from an entry.
+pub async fn request_permit(entry: &str) -> Option<Permit> {
     let url = format!("{entry}/v1/permits?branch=seaside&service=bookdesk");
     let request = HttpClient::to_platform()
         .request(Method::GET, &url)
@@ -31,7 +31,7 @@
     serde_json::from_value(answer["permits"].get(0)?.clone()).ok()
 }
 
-/// Sends one call through `entry` and notes what came back.
+/// Sends one call through `entry` with the default deadline and returns its outcome.
 pub async fn send(
     entry: &str,
     path: &str,
@@ -39,11 +39,11 @@
     permit: Option<&Permit>,
     send_no: u32,
 ) -> Event {
-    send_within(entry, path, body, permit, send_no, DEADLINE_MS).await
+    send_with_deadline(entry, path, body, permit, send_no, DEADLINE_MS).await
 }
 
-/// Sends one call with a deadline of its own.
-pub async fn send_within(
+/// Sends one call through `entry` with a deadline of `deadline_ms`.
+pub async fn send_with_deadline(
     entry: &str,
     path: &str,
     body: &Value,
@@ -67,17 +67,17 @@
             .send_body(call.to_string())
             .await
             .ok()?;
-        let whole = response.body().await.ok()?;
+        let complete_body = response.body().await.ok()?;
         let echoed = response.headers().get(REQUEST_ID_HEADER)?;
         let echoed = echoed.to_str().ok()?.to_owned();
-        let answer: Value = serde_json::from_slice(&whole).ok()?;
+        let answer: Value = serde_json::from_slice(&complete_body).ok()?;
         Some((response.status().is_success(), echoed, answer))
     };
-    let heard = timeout(SEND_WAIT, exchange).await.ok().flatten();
-    let (echoed_id, outcome) = match heard {
+    let received = timeout(SEND_TIMEOUT, exchange).await.ok().flatten();
+    let (echoed_id, outcome) = match received {
         None => (String::new(), Outcome::NoAnswer),
         Some((true, echoed, answer)) => (echoed, Outcome::Answer(answer)),
-        Some((false, echoed, answer)) => (echoed, sort(&answer)),
+        Some((false, echoed, answer)) => (echoed, error_outcome(&answer)),
     };
     Event {
         key,
@@ -88,7 +88,8 @@
     }
 }
 
-fn sort(answer: &Value) -> Outcome {
+/// Outcome that an error answer of the entry states.
+fn error_outcome(answer: &Value) -> Outcome {
     let reason = answer["reason"].as_str().unwrap_or_default().to_owned();
     match answer["outcome"].as_str() {
         Some("not_run") => Outcome::NotRun(reason),
@@ -97,12 +98,17 @@
     }
 }
 
-/// Sends a call through the entries in turn until its outcome is known or sends run out.
-pub async fn book(entries: &[String], first: usize, body: &Value, sends: u32) -> Vec<Event> {
+/// Sends a call through the entries in turn until its outcome is known, at most `sends` times.
+pub async fn call_until_known(
+    entries: &[String],
+    first: usize,
+    body: &Value,
+    sends: u32,
+) -> Vec<Event> {
     let mut events = Vec::new();
     let mut issued = None;
     for step in 0..entries.len() {
-        issued = permit(&entries[(first + step) % entries.len()]).await;
+        issued = request_permit(&entries[(first + step) % entries.len()]).await;
         if issued.is_some() {
             break;
         }
--- a/tests/calls_faults/forwarder.rs
+++ b/tests/calls_faults/forwarder.rs
@@ -1,4 +1,4 @@
-//! A forwarding fake that drops silently without closing.
+//! A TCP forwarder that holds back or drops data without closing the connection.
 
 use std::io::Read;
 use std::io::Write;
@@ -11,16 +11,16 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// What becomes of the first connection; later ones are forwarded.
+/// Fault of the first connection; later connections are forwarded unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum First {
-    /// Its request is held back until `release`.
+pub enum FirstConnection {
+    /// The request is held back until `release` is called.
     HoldRequest,
-    /// Its request goes on and the answer is dropped.
+    /// The request is forwarded and the answer dropped.
     DropAnswer,
 }
 
-/// Forwards connections to one address.
+/// Forwards TCP connections to one address.
 pub struct Forwarder {
     pub address: SocketAddr,
     release: mpsc::Sender<()>,
@@ -28,8 +28,8 @@
 }
 
 impl Forwarder {
-    /// Starts on a free port of the address's host.
-    pub fn start(to: SocketAddr, first: First) -> Self {
+    /// Listens on a free port of the IP address of `to` and forwards to `to`.
+    pub fn start(to: SocketAddr, first: FirstConnection) -> Self {
         let listener = TcpListener::bind((to.ip(), 0)).expect("a free port");
         let address = listener.local_addr().expect("an address");
         let (release, held) = mpsc::channel();
@@ -50,32 +50,33 @@
         }
     }
 
-    /// Lets the held request go on and waits until it has been written.
+    /// Forwards the held request and waits until it has been written.
     pub fn release(&self) {
         self.release.send(()).expect("the forwarder runs");
         self.released.recv().expect("the forwarder runs");
     }
 }
 
+/// Channels that release the held request and confirm that it has been written.
 type Gate = (mpsc::Receiver<()>, mpsc::Sender<()>);
 
-fn forward(mut inbound: TcpStream, to: SocketAddr, gate: Option<(First, Gate)>) {
+fn forward(mut inbound: TcpStream, to: SocketAddr, gate: Option<(FirstConnection, Gate)>) {
     let Ok(mut outbound) = TcpStream::connect(to) else {
         return;
     };
-    let drops_answer = matches!(gate, Some((First::DropAnswer, _)));
-    let (mut from, mut back) = (clone(&outbound), clone(&inbound));
-    // Both ends stay open while the forwarder lives, as if the path had forgotten them.
-    let kept = (clone(&inbound), clone(&outbound));
+    let drops_answer = matches!(gate, Some((FirstConnection::DropAnswer, _)));
+    let (mut from, mut back) = (clone_stream(&outbound), clone_stream(&inbound));
+    // Both sockets stay open, as when a network path drops packets without a reset.
+    let open_sockets = (clone_stream(&inbound), clone_stream(&outbound));
     thread::spawn(move || {
-        let _ = pump(&mut from, |bytes| match drops_answer {
+        let _ = copy_until_closed(&mut from, |bytes| match drops_answer {
             true => Ok(()),
             false => back.write_all(bytes),
         });
     });
     let mut gate = gate;
-    let _ = pump(&mut inbound, |bytes| {
-        let held = gate.take_if(|(first, _)| *first == First::HoldRequest);
+    let _ = copy_until_closed(&mut inbound, |bytes| {
+        let held = gate.take_if(|(first, _)| *first == FirstConnection::HoldRequest);
         if let Some((_, (release, forwarded))) = &held {
             let _ = release.recv();
             let written = outbound.write_all(bytes);
@@ -85,15 +86,16 @@
         outbound.write_all(bytes)
     });
     if drops_answer {
-        std::mem::forget(kept);
+        std::mem::forget(open_sockets);
     }
 }
 
-fn clone(stream: &TcpStream) -> TcpStream {
+fn clone_stream(stream: &TcpStream) -> TcpStream {
     stream.try_clone().expect("a descriptor is free")
 }
 
-fn pump(
+/// Passes everything read from `from` to `write` until the connection closes.
+fn copy_until_closed(
     from: &mut TcpStream,
     mut write: impl FnMut(&[u8]) -> std::io::Result<()>,
 ) -> std::io::Result<()> {
--- a/tests/calls_faults/history.rs
+++ b/tests/calls_faults/history.rs
@@ -1,4 +1,4 @@
-//! What callers saw and what services ran, and the checker that compares them.
+//! Checks the outcomes that callers observed against the executions of the services.
 
 use std::fmt;
 
@@ -6,38 +6,38 @@
 
 use bergamotfork::standin::service::Execution;
 
-/// How one send ended, as its caller saw it.
+/// Outcome of one send as its caller observed it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// An answer of the service.
+    /// Answer of the service.
     Answer(Value),
-    /// "Not run", with its reason.
+    /// The call was not executed; holds the reason.
     NotRun(String),
-    /// Unknown, with its reason.
+    /// The entry does not know whether the call was executed; holds the reason.
     Unknown(String),
-    /// The connection to the entry gave no answer.
+    /// The entry sent no valid answer in time.
     NoAnswer,
 }
 
-/// One send of one permit.
+/// One send of a call and its outcome.
 #[derive(Debug, Clone)]
 pub struct Event {
-    /// Nonce of the permit.
+    /// Nonce of the permit, which is the idempotency key of the call.
     pub key: String,
     /// Body of the call.
     pub body: Value,
-    /// The caller's request id.
+    /// Request id that the caller sent.
     pub request_id: String,
-    /// Request id in the head of the answer.
+    /// Request id in the header of the answer; empty without an answer.
     pub echoed_id: String,
     pub outcome: Outcome,
 }
 
-/// A promise that a history breaks.
+/// A guarantee of the call contract that a history violates.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Violation {
-    RanTwice { key: String },
-    RanThoughNotRun { key: String },
+    ExecutedTwice { key: String },
+    ExecutedThoughNotRun { key: String },
     WrongAnswer { key: String },
     CrossedAnswer { request_id: String },
 }
@@ -48,14 +48,14 @@
     }
 }
 
-/// Compares what callers saw with the ledgers of the services.
+/// Returns each violation that the outcomes show against the executions in `ledger`.
 pub fn check(events: &[Event], ledger: &[Execution]) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut keys: Vec<&str> = ledger.iter().map(|done| done.key.as_str()).collect();
     keys.sort_unstable();
     for pair in keys.windows(2) {
         if pair[0] == pair[1] {
-            found.push(Violation::RanTwice {
+            found.push(Violation::ExecutedTwice {
                 key: pair[0].to_owned(),
             });
         }
@@ -68,15 +68,15 @@
 
 fn check_event(event: &Event, keys: &[&str]) -> Option<Violation> {
     let key = event.key.clone();
-    let ran = keys.binary_search(&key.as_str()).is_ok();
+    let was_executed = keys.binary_search(&key.as_str()).is_ok();
     match &event.outcome {
-        Outcome::NotRun(_) if ran => Some(Violation::RanThoughNotRun { key }),
+        Outcome::NotRun(_) if was_executed => Some(Violation::ExecutedThoughNotRun { key }),
         Outcome::Answer(_) if event.echoed_id != event.request_id => {
             Some(Violation::CrossedAnswer {
                 request_id: event.request_id.clone(),
             })
         }
-        Outcome::Answer(answer) if !ran || answer["echo"] != event.body => {
+        Outcome::Answer(answer) if !was_executed || answer["echo"] != event.body => {
             Some(Violation::WrongAnswer { key })
         }
         _ => None,
@@ -93,7 +93,7 @@
     }
 }
 
-fn ran(key: &str) -> Execution {
+fn execution(key: &str) -> Execution {
     Execution {
         key: key.to_owned(),
         path: "book".to_owned(),
@@ -106,12 +106,18 @@
     let answer = |echo: u32| Outcome::Answer(serde_json::json!({ "echo": echo }));
     let key = "a".to_owned();
     let good = event("a", answer(1));
-    assert_eq!(check(std::slice::from_ref(&good), &[ran("a")]), []);
-    let twice = check(&[], &[ran("a"), ran("a")]);
-    assert_eq!(twice, [Violation::RanTwice { key: key.clone() }]);
-    let lie = check(&[event("a", Outcome::NotRun("x".to_owned()))], &[ran("a")]);
-    assert_eq!(lie, [Violation::RanThoughNotRun { key: key.clone() }]);
-    let wrong = check(&[event("a", answer(2))], &[ran("a")]);
+    assert_eq!(check(std::slice::from_ref(&good), &[execution("a")]), []);
+    let twice = check(&[], &[execution("a"), execution("a")]);
+    assert_eq!(twice, [Violation::ExecutedTwice { key: key.clone() }]);
+    let executed = check(
+        &[event("a", Outcome::NotRun("x".to_owned()))],
+        &[execution("a")],
+    );
+    assert_eq!(
+        executed,
+        [Violation::ExecutedThoughNotRun { key: key.clone() }]
+    );
+    let wrong = check(&[event("a", answer(2))], &[execution("a")]);
     assert_eq!(wrong, [Violation::WrongAnswer { key }]);
     let crossed = Event {
         echoed_id: "other".to_owned(),
@@ -119,7 +125,7 @@
     };
     let request_id = "r".to_owned();
     assert_eq!(
-        check(&[crossed], &[ran("a")]),
+        check(&[crossed], &[execution("a")]),
         [Violation::CrossedAnswer { request_id }]
     );
 }
--- a/tests/calls_faults/main.rs
+++ b/tests/calls_faults/main.rs
@@ -1,13 +1,13 @@
-//! Calls of plain services across separate processes, under faults.
+//! Calls of services through separate entry and endpoint processes while faults are injected.
 
 #[path = "../support/mod.rs"]
 mod support;
 
 mod caller;
-mod desk;
+mod crashing_request;
 mod forwarder;
 mod history;
-mod leaving;
-mod poison;
-mod silence;
-mod storm;
+mod planned_stop;
+mod random_faults;
+mod service_fixture;
+mod silent_connection;
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -289,7 +289,7 @@
             .expect("the log accepts the edit")
     }
 
-    /// Replaces the faults that the stand-in at `base_url` injects.
+    /// Sets the faults that the stand-in at `base_url` injects.
     pub async fn set_faults(&self, base_url: &str, faults: &Value) {
         let url = format!("{base_url}/fault");
         let accepted: Result<Value, _> = HttpClient::to_platform()
