--- a/tests/config_faults/main.rs
+++ b/tests/config_faults/main.rs
@@ -1,5 +1,5 @@
-//! The configuration under faults, with real processes: racing operators, lost
-//! replies, an outage of the log with hosts replaced, a trimmed log, a pause.
+//! Configuration under faults across separate processes: concurrent editors, lost replies,
+//! hosts replaced during an outage of the log, a trimmed log and paused processes.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/config_faults/outage.rs
+++ b/tests/config_faults/outage.rs
@@ -1,10 +1,10 @@
 use serde_json::json;
 
-use crate::api::Told;
+use crate::api::ReportedOutcome;
+use crate::api::fetch_document;
 use crate::api::is_ready;
 use crate::api::put;
-use crate::api::put_until_told;
-use crate::api::shown;
+use crate::api::put_until_known;
 use crate::api::until_in_force;
 use crate::api::until_ready;
 use crate::support::Cluster;
@@ -28,40 +28,46 @@
     (cluster, entries)
 }
 
-async fn accepted(cluster: &Cluster, entry: &str, edit_id: &str, base: u64) -> u64 {
+/// Sends an edit that must be accepted and returns its revision.
+async fn put_accepted(cluster: &Cluster, entry: &str, edit_id: &str, base: u64) -> u64 {
     let body = format!("timeout_ms = {}", base + 1);
-    let told = put_until_told(cluster, entry, "service desk", (edit_id, base, &body)).await;
-    let Told::Accepted { revision } = told else {
-        panic!("nobody else edits: {told:?}");
+    let reported = put_until_known(cluster, entry, "service desk", (edit_id, base, &body)).await;
+    let ReportedOutcome::Accepted { revision } = reported else {
+        panic!("there is no other editor: {reported:?}");
     };
     revision
 }
 
-/// Kills the entry and starts it again with nothing but its settings.
-fn replace(cluster: &mut Cluster, name: &str) {
+/// Kills an entry and starts it again with its settings as its only state.
+fn replace_entry(cluster: &mut Cluster, name: &str) {
     cluster.process(name).kill();
     cluster.restart("entry", name);
 }
 
 #[actix_rt::test]
-async fn outage_every_host_replaced_in_turn() {
+async fn outage_hosts_replaced_one_by_one() {
     let (mut cluster, entries) = start().await;
     let endpoint = cluster
         .start_service("desk-1", "or-north", "bookdesk", &[])
         .await;
     let endpoint = format!("http://{endpoint}");
     until_ready(&cluster, &endpoint).await;
-    let first = accepted(&cluster, &entries[0], "a", 0).await;
-    let revision = accepted(&cluster, &entries[1], "b", first).await;
+    let first = put_accepted(&cluster, &entries[0], "a", 0).await;
+    let revision = put_accepted(&cluster, &entries[1], "b", first).await;
     until_in_force(&cluster, &entries[0], revision, 4).await;
     cluster
         .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
     for (entry, (name, _)) in entries.iter().zip(ENTRIES) {
-        replace(&mut cluster, name);
+        replace_entry(&mut cluster, name);
         until_ready(&cluster, entry).await;
-        let shown = shown(&cluster, entry).await.expect("it answers");
-        assert_eq!(shown.offset, revision, "{name} came back behind");
+        let answer = fetch_document(&cluster, entry)
+            .await
+            .expect("the entry answers");
+        assert_eq!(
+            answer.offset, revision,
+            "{name} restarted with an old configuration"
+        );
     }
     cluster.process("desk-1").kill();
     cluster.restart("endpoint", "desk-1");
@@ -72,20 +78,25 @@
 #[actix_rt::test]
 async fn outage_majority_replaced_at_once() {
     let (mut cluster, entries) = start().await;
-    let revision = accepted(&cluster, &entries[0], "a", 0).await;
+    let revision = put_accepted(&cluster, &entries[0], "a", 0).await;
     until_in_force(&cluster, &entries[0], revision, 3).await;
     cluster
         .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
-    replace(&mut cluster, "entry-0");
-    replace(&mut cluster, "entry-1");
-    // They learn the document from the one that is left, but may not rely on it.
+    replace_entry(&mut cluster, "entry-0");
+    replace_entry(&mut cluster, "entry-1");
+    // The replaced entries get the document from the remaining one, but it stays unconfirmed and
+    // they do not become ready.
     for entry in &entries[..2] {
-        let learnt = until("it learns from its peer", 20, async || {
-            let shown = shown(&cluster, entry).await?;
-            (shown.offset == revision).then_some(shown)
-        });
-        assert_eq!(learnt.await.admission, "unconfirmed");
+        let unconfirmed = until(
+            "the entry gets the document from its peer",
+            20,
+            async || {
+                let answer = fetch_document(&cluster, entry).await?;
+                (answer.offset == revision).then_some(answer)
+            },
+        );
+        assert_eq!(unconfirmed.await.admission, "unconfirmed");
         assert!(!is_ready(&cluster, entry).await);
     }
     cluster
@@ -97,7 +108,7 @@
 }
 
 #[actix_rt::test]
-async fn outage_alone_serves_last_configuration() {
+async fn outage_single_entry_serves_last_configuration() {
     let mut cluster = Cluster::new().await;
     let entry = cluster.start_entry("entry-0", "wa-coast", "").await;
     until_ready(&cluster, &entry).await;
@@ -105,6 +116,6 @@
         .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
     assert!(is_ready(&cluster, &entry).await);
-    let told = put(&cluster, &entry, "service desk", ("a", 0, "timeout_ms = 1"));
-    assert_eq!(told.await, Told::Unknown, "the log is down");
+    let reported = put(&cluster, &entry, "service desk", ("a", 0, "timeout_ms = 1"));
+    assert_eq!(reported.await, ReportedOutcome::Unknown, "the log is down");
 }
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -4,8 +4,8 @@
 use actix_web::http::Method;
 use serde_json::json;
 
+use crate::api::fetch_document;
 use crate::api::is_ready;
-use crate::api::shown;
 use crate::api::until_in_force;
 use crate::api::until_ready;
 use crate::support::Cluster;
@@ -20,11 +20,11 @@
 use bergamotfork::node::CUT_OFF_MS;
 use bergamotfork::node::ConfigAdmission;
 
-/// Longer than the pause that a process notices.
+/// Longer than the shortest pause that a process detects.
 const PAUSE: Duration = Duration::from_millis(6_000);
 
 #[actix_rt::test]
-async fn pause_third_of_the_entries() {
+async fn pause_third_of_entries() {
     let mut cluster = Cluster::new().await;
     let mut entries = Vec::new();
     for name in ["entry-0", "entry-1", "entry-2"] {
@@ -34,14 +34,14 @@
         until_ready(&cluster, entry).await;
     }
     cluster.process("entry-0").signal("STOP");
-    // The read that waits at the log gets the first edit; the second comes after it.
+    // The pending long poll of the paused entry returns the first edit but not the second.
     let first = cluster
         .append_edit("service desk", 0, "timeout_ms = 600")
         .await
         + 1;
-    until("the others have the first edit", 20, async || {
-        let shown = shown(&cluster, &entries[1]).await?;
-        (shown.offset >= first).then_some(())
+    until("the other entries have the first edit", 20, async || {
+        let answer = fetch_document(&cluster, &entries[1]).await?;
+        (answer.offset >= first).then_some(())
     })
     .await;
     let revision = cluster
@@ -49,14 +49,19 @@
         .await
         + 1;
     actix_rt::time::sleep(PAUSE).await;
-    let slow = json!({ "delay_ms": 2000 });
-    cluster.set_faults(&cluster.log_url(), &slow).await;
+    let slow_log = json!({ "delay_ms": 2000 });
+    cluster.set_faults(&cluster.log_url(), &slow_log).await;
     cluster.process("entry-0").signal("CONT");
-    // From its first answer on, it is either not ready or up to date.
+    // From its first answer on, the resumed entry is either not ready or up to date.
     for _ in 0..200 {
         if is_ready(&cluster, &entries[0]).await {
-            let shown = shown(&cluster, &entries[0]).await.expect("it answers");
-            assert!(shown.offset >= revision, "ready and behind: {shown:?}");
+            let answer = fetch_document(&cluster, &entries[0])
+                .await
+                .expect("the entry answers");
+            assert!(
+                answer.offset >= revision,
+                "ready with an old configuration: {answer:?}"
+            );
         }
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
@@ -65,7 +70,7 @@
 }
 
 #[actix_rt::test]
-async fn pause_of_every_tailer() {
+async fn pause_entries_that_read_log() {
     let mut cluster = Cluster::new().await;
     let names = ["entry-0", "entry-1", "entry-2", "entry-3", "entry-4"];
     let mut entries = Vec::new();
@@ -75,7 +80,8 @@
     for entry in &entries {
         until_ready(&cluster, entry).await;
     }
-    // Every entry knows the others, and no read of a later rank waits at the log.
+    // Wait until every entry knows the others, so that no entry of a later rank still has a long
+    // poll pending at the log.
     until_in_force(&cluster, &entries[3], 0, 5).await;
     until_in_force(&cluster, &entries[4], 0, 5).await;
     let first = cluster
@@ -86,15 +92,15 @@
     for name in &names[..3] {
         cluster.process(name).signal("STOP");
     }
-    // The entries that are left read the log in their place.
+    // The running entries read the log in place of the paused ones.
     let revision = cluster
         .append_edit("service desk", first, "timeout_ms = 700")
         .await
         + 1;
     for entry in &entries[3..] {
         until("the entry has the edit", 20, async || {
-            let shown = shown(&cluster, entry).await?;
-            (shown.offset >= revision).then_some(())
+            let answer = fetch_document(&cluster, entry).await?;
+            (answer.offset >= revision).then_some(())
         })
         .await;
     }
@@ -118,22 +124,22 @@
 }
 
 #[actix_rt::test]
-async fn bootstrap_answer_to_an_earlier_incarnation() {
+async fn bootstrap_answer_to_earlier_incarnation() {
     let mut cluster = Cluster::new().await;
     cluster
         .set_faults(&cluster.log_url(), &json!({"down": true}))
         .await;
     let entry = cluster.start_entry("entry-0", "wa-coast", "").await;
-    // A listed entry that answers what the process before this one asked.
+    // A listed entry whose answers are addressed to an earlier incarnation of the entry.
     let other = StdUdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let address = other.local_addr().expect("it is bound");
+    let address = other.local_addr().expect("the socket is bound");
     let record = json!({
         "name": "entry-1", "address": address, "role": "entry", "region": "or-north",
         "domain": "or-north-a", "service": null, "state": "live",
     });
     let url = format!("{}/v1/hosts/entry-1", cluster.hosts_url());
-    let put = cluster.send_request(Method::PUT, &url, Some(&record)).await;
-    put.expect("the host list takes a host");
+    let added = cluster.send_request(Method::PUT, &url, Some(&record)).await;
+    added.expect("the host list accepts the host");
     let answer = HeartbeatAnswer {
         name: NameTag::of("entry-1"),
         to: 1,
@@ -151,7 +157,7 @@
     let to = entry.strip_prefix("http://").expect("a URL");
     until_in_force(&cluster, &entry, 0, 2).await;
     for _ in 0..40 {
-        other.send_to(&datagram, to).expect("it is sent");
+        other.send_to(&datagram, to).expect("the datagram is sent");
         assert!(!is_ready(&cluster, &entry).await);
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
--- a/tests/config_faults/race.rs
+++ b/tests/config_faults/race.rs
@@ -1,14 +1,14 @@
 use futures_util::future::join_all;
 use serde_json::json;
 
-use crate::api::Told;
-use crate::api::fold_of_log;
-use crate::api::put_until_told;
-use crate::api::shown;
+use crate::api::ReportedOutcome;
+use crate::api::fetch_document;
+use crate::api::fold_log;
+use crate::api::put_until_known;
 use crate::api::until_in_force;
 use crate::api::until_ready;
 use crate::history;
-use crate::history::Observed;
+use crate::history::ObservedEdit;
 use crate::support::Cluster;
 use bergamotfork::clients::LogClient;
 use bergamotfork::document::Edit;
@@ -18,32 +18,35 @@
 const EDITORS: usize = 4;
 const EDITS: usize = 12;
 
-/// One operator: edits both sections in turn from the revision it last saw.
-async fn operate(cluster: &Cluster, entry: &str, editor: usize) -> Vec<Observed> {
-    let mut seen = [0; SECTIONS.len()];
+/// Edits both sections in turn, each time based on the last revision that was reported.
+async fn run_editor(cluster: &Cluster, entry: &str, editor: usize) -> Vec<ObservedEdit> {
+    let mut revisions = [0; SECTIONS.len()];
     let mut observed = Vec::new();
     for number in 0..EDITS {
-        let at = number % SECTIONS.len();
+        let section = number % SECTIONS.len();
         let edit_id = format!("editor-{editor}-{number}");
         let body = format!("timeout_ms = {}", 1000 * (editor + 1) + number);
-        let edit = (edit_id.as_str(), seen[at], body.as_str());
-        let told = put_until_told(cluster, entry, SECTIONS[at], edit).await;
-        observed.push(Observed {
+        let edit = (edit_id.as_str(), revisions[section], body.as_str());
+        let reported = put_until_known(cluster, entry, SECTIONS[section], edit).await;
+        observed.push(ObservedEdit {
             edit_id: edit_id.clone(),
-            section: SECTIONS[at].to_owned(),
-            base_revision: seen[at],
+            section: SECTIONS[section].to_owned(),
+            base_revision: revisions[section],
             body: body.clone(),
-            told: told.clone(),
+            reported: reported.clone(),
         });
-        match told {
-            Told::Accepted { revision } | Told::Conflict { revision } => seen[at] = revision,
-            Told::Unknown => unreachable!("the outcome was told"),
+        match reported {
+            ReportedOutcome::Accepted { revision } | ReportedOutcome::Conflict { revision } => {
+                revisions[section] = revision
+            }
+            ReportedOutcome::Unknown => unreachable!("the outcome is known"),
         }
     }
     observed
 }
 
-async fn race(cluster: &mut Cluster, faults: Option<serde_json::Value>) {
+/// Runs concurrent editors on three entries under `faults` of the log and checks the history.
+async fn race_editors(cluster: &mut Cluster, faults: Option<serde_json::Value>) {
     let mut entries = Vec::new();
     for (number, region) in ["wa-coast", "or-north", "or-south"].iter().enumerate() {
         let name = format!("entry-{number}");
@@ -55,18 +58,21 @@
     if let Some(faults) = faults {
         cluster.set_faults(&cluster.log_url(), &faults).await;
     }
-    let operators =
-        (0..EDITORS).map(|editor| operate(cluster, &entries[editor % entries.len()], editor));
-    let observed: Vec<Observed> = join_all(operators).await.into_iter().flatten().collect();
+    let editors =
+        (0..EDITORS).map(|editor| run_editor(cluster, &entries[editor % entries.len()], editor));
+    let observed: Vec<ObservedEdit> = join_all(editors).await.into_iter().flatten().collect();
     assert_eq!(observed.len(), EDITORS * EDITS);
-    let (fold, records) = fold_of_log(cluster).await;
+    let (fold, records) = fold_log(cluster).await;
     history::check(&observed, &records, |name| {
         let section = fold.document().section(name);
-        section.expect("it was accepted").body.clone()
+        section
+            .expect("an edit of the section was accepted")
+            .body
+            .clone()
     });
     for edit in &observed {
-        let accepted = matches!(edit.told, Told::Accepted { .. });
-        // A sure loser is refused without a record.
+        let accepted = matches!(edit.reported, ReportedOutcome::Accepted { .. });
+        // An edit that is certain to conflict is refused without a record in the log.
         let decided = fold.edit_outcome(&edit.edit_id).map(|o| o.is_accepted());
         assert_eq!(decided.unwrap_or(false), accepted, "{edit:?}");
     }
@@ -74,15 +80,15 @@
 }
 
 #[actix_rt::test]
-async fn race_four_operators() {
+async fn race_concurrent_editors() {
     let mut cluster = Cluster::new().await;
-    race(&mut cluster, None).await;
+    race_editors(&mut cluster, None).await;
 }
 
 #[actix_rt::test]
 async fn race_lost_replies() {
     let mut cluster = Cluster::new().await;
-    race(&mut cluster, Some(json!({ "lose_replies": 8 }))).await;
+    race_editors(&mut cluster, Some(json!({ "lose_replies": 8 }))).await;
     let url = format!("{}/stats", cluster.log_url());
     let stats = cluster
         .send_request(actix_web::http::Method::GET, &url, None)
@@ -95,7 +101,7 @@
 #[actix_rt::test]
 async fn race_slow_log() {
     let mut cluster = Cluster::new().await;
-    race(&mut cluster, Some(json!({ "delay_ms": 200 }))).await;
+    race_editors(&mut cluster, Some(json!({ "delay_ms": 200 }))).await;
 }
 
 #[actix_rt::test]
@@ -115,12 +121,16 @@
     let log = LogClient::new(&cluster.log_url(), "config");
     for edit in [&first, &first, &second, &first] {
         let record = LogRecord::Edit(edit.clone()).encode();
-        log.append(record).await.expect("the log takes a record");
+        log.append(record)
+            .await
+            .expect("the log accepts the record");
     }
     until_in_force(&cluster, &entry, 4, 1).await;
-    let again = ("a", 0, "timeout_ms = 1");
-    let told = put_until_told(&cluster, &entry, SECTIONS[0], again).await;
-    assert_eq!(told, Told::Accepted { revision: 1 });
-    let shown = shown(&cluster, &entry).await.expect("it answers");
-    assert!(shown.document.contains("timeout_ms = 2"), "{shown:?}");
+    let resent = ("a", 0, "timeout_ms = 1");
+    let reported = put_until_known(&cluster, &entry, SECTIONS[0], resent).await;
+    assert_eq!(reported, ReportedOutcome::Accepted { revision: 1 });
+    let answer = fetch_document(&cluster, &entry)
+        .await
+        .expect("the entry answers");
+    assert!(answer.document.contains("timeout_ms = 2"), "{answer:?}");
 }
--- a/tests/config_faults/trim.rs
+++ b/tests/config_faults/trim.rs
@@ -1,6 +1,6 @@
-use crate::api::Told;
-use crate::api::put_until_told;
-use crate::api::shown;
+use crate::api::ReportedOutcome;
+use crate::api::fetch_document;
+use crate::api::put_until_known;
 use crate::api::until_ready;
 use crate::support::Cluster;
 use crate::support::until;
@@ -20,9 +20,9 @@
         until_ready(&cluster, entry).await;
     }
     let edit = ("a", 0, "timeout_ms = 700");
-    let told = put_until_told(&cluster, &entries[0], "service desk", edit).await;
-    let Told::Accepted { revision } = told else {
-        panic!("nobody else edits: {told:?}");
+    let reported = put_until_known(&cluster, &entries[0], "service desk", edit).await;
+    let ReportedOutcome::Accepted { revision } = reported else {
+        panic!("there is no other editor: {reported:?}");
     };
     let log = LogClient::new(&cluster.log_url(), "config");
     until("the edit is trimmed from the log", 30, async || {
@@ -38,11 +38,13 @@
     }
     for entry in &entries {
         until_ready(&cluster, entry).await;
-        let shown = shown(&cluster, entry).await.expect("it answers");
-        assert!(shown.document.contains("timeout_ms = 700"), "{shown:?}");
-        assert!(shown.offset >= revision);
+        let answer = fetch_document(&cluster, entry)
+            .await
+            .expect("the entry answers");
+        assert!(answer.document.contains("timeout_ms = 700"), "{answer:?}");
+        assert!(answer.offset >= revision);
     }
-    // The checkpoint carries the edit ids: a retry still gets the first outcome.
-    let again = put_until_told(&cluster, &entries[1], "service desk", edit).await;
-    assert_eq!(again, Told::Accepted { revision });
+    // The checkpoint contains the ids of decided edits, so a resent edit gets its first outcome.
+    let resent = put_until_known(&cluster, &entries[1], "service desk", edit).await;
+    assert_eq!(resent, ReportedOutcome::Accepted { revision });
 }
