--- a/tests/domain_loss/main.rs
+++ b/tests/domain_loss/main.rs
@@ -1,4 +1,4 @@
-//! Loss of a failure domain under load, as separate processes.
+//! Loss of a failure domain under load, with separate processes.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -16,21 +16,22 @@
 use support::TOKEN;
 use support::until;
 
-/// Regions, the first of which is lost.
+/// Regions of the cluster; the processes of the first one are killed.
 const REGIONS: [&str; 2] = ["wa-coast", "or-north"];
 
-/// A host that died gets no new work after this time.
-const NO_NEW_WORK: Duration = Duration::from_secs(3);
+/// Time within which failed hosts must stop receiving new requests.
+const NO_NEW_WORK_LIMIT: Duration = Duration::from_secs(3);
 
-/// How long requests are sent after the loss.
-const AFTER: Duration = Duration::from_secs(6);
+/// Time for which requests are sent after the loss.
+const LOAD_AFTER_LOSS: Duration = Duration::from_secs(6);
 
-/// Time between two requests.
-const PACE: Duration = Duration::from_millis(50);
+/// Pause between two requests.
+const REQUEST_PAUSE: Duration = Duration::from_millis(50);
 
-struct Sent {
-    at: Instant,
-    whole: bool,
+/// A generate request and whether its answer was complete.
+struct SentRequest {
+    sent_at: Instant,
+    is_complete: bool,
 }
 
 async fn start() -> (Cluster, Vec<String>) {
@@ -59,16 +60,17 @@
     (cluster, entries)
 }
 
-/// Replicas that the entry at `url` sees serving.
-async fn serving(cluster: &Cluster, url: &str) -> Option<usize> {
+/// Number of replicas that the entry at `url` reports as serving.
+async fn count_serving(cluster: &Cluster, url: &str) -> Option<usize> {
     let url = format!("{url}/v1/status");
     let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
     let status = String::from_utf8(body.to_vec()).ok()?;
     Some(status.matches("\"progress\":\"serving\"").count())
 }
 
-async fn ask(cluster: &Cluster, url: &str, number: usize) -> Sent {
-    let at = Instant::now();
+/// Sends one generate request through the entry at `url` and reads its stream to the end.
+async fn send_generate(cluster: &Cluster, url: &str, number: usize) -> SentRequest {
+    let sent_at = Instant::now();
     let request = json!({
         "branch": "seaside", "model": "chat", "prompt": format!("hut {number}?"), "max_tokens": 3,
     });
@@ -82,25 +84,30 @@
             .rfind(|line| !line.is_empty())?;
         serde_json::from_slice::<Value>(line).ok()
     });
-    let whole = last.is_some_and(|last| {
+    let is_complete = last.is_some_and(|last| {
         matches!(
             serde_json::from_value(last),
             Ok(StreamEvent::End { tokens: 3, .. })
         )
     });
-    Sent { at, whole }
+    SentRequest {
+        sent_at,
+        is_complete,
+    }
 }
 
 #[actix_rt::test]
 async fn domain_lost_under_load() {
     let (mut cluster, entries) = start().await;
     until("all replicas serve", 60, async || {
-        (serving(&cluster, &entries[1]).await? == 4).then_some(())
+        (count_serving(&cluster, &entries[1]).await? == 4).then_some(())
     })
     .await;
     for number in 0..20 {
         assert!(
-            ask(&cluster, &entries[1], number).await.whole,
+            send_generate(&cluster, &entries[1], number)
+                .await
+                .is_complete,
             "before the loss"
         );
     }
@@ -114,18 +121,18 @@
     }
     let killed = Instant::now();
     let mut sent = Vec::new();
-    while killed.elapsed() < AFTER {
-        sent.push(ask(&cluster, &entries[1], sent.len()).await);
-        actix_rt::time::sleep(PACE).await;
+    while killed.elapsed() < LOAD_AFTER_LOSS {
+        sent.push(send_generate(&cluster, &entries[1], sent.len()).await);
+        actix_rt::time::sleep(REQUEST_PAUSE).await;
     }
     let failed: Vec<Duration> = sent
         .iter()
-        .filter(|sent| !sent.whole)
-        .map(|sent| sent.at - killed)
+        .filter(|sent| !sent.is_complete)
+        .map(|sent| sent.sent_at - killed)
         .collect();
     println!("{} of {} failed, at {failed:?}", failed.len(), sent.len());
     assert!(
-        failed.iter().all(|after| *after <= NO_NEW_WORK),
+        failed.iter().all(|after| *after <= NO_NEW_WORK_LIMIT),
         "requests failed late: {failed:?}"
     );
 }
