--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -1,5 +1,5 @@
-//! Membership across separate processes: dead, frozen and replaced hosts, and
-//! outages of the platform's list.
+//! Membership across separate processes: failed, frozen and replaced hosts, and
+//! outages of the platform's host list.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -16,12 +16,13 @@
 use support::TOKEN;
 use support::until;
 
-/// A host that died or left gets no new work after this time.
-const NO_NEW_WORK: Duration = Duration::from_secs(3);
+/// Time within which a failed or leaving host must stop receiving new requests.
+const NO_NEW_WORK_LIMIT: Duration = Duration::from_secs(3);
 
+/// Section of the branch without its token digest.
 const BRANCH: &str = "weight = 1\nshare_percent = 50\nburst_percent = 100\nmodels =\nservices =\n";
 
-async fn three_entries() -> (Cluster, Vec<String>) {
+async fn start_three_entries() -> (Cluster, Vec<String>) {
     let mut cluster = Cluster::new().await;
     let mut urls = Vec::new();
     for (name, region) in [("a", "wa-coast"), ("b", "or-north"), ("c", "or-south")] {
@@ -38,8 +39,8 @@
     (cluster, urls)
 }
 
-/// Entries that the entry at `url` names, in ascending order.
-async fn named(cluster: &Cluster, url: &str) -> Option<Vec<String>> {
+/// URLs of the entries that the entry at `url` lists, in ascending order.
+async fn listed_entries(cluster: &Cluster, url: &str) -> Option<Vec<String>> {
     let url = format!("{url}/v1/addresses?branch=seaside");
     let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
     let answer: Value = serde_json::from_slice(&body).ok()?;
@@ -51,54 +52,61 @@
     Some(urls)
 }
 
-async fn until_named(cluster: &Cluster, asked: &str, wanted: &[String]) {
+/// Waits until the entry at `lister` lists exactly the entries `wanted`.
+async fn until_listed(cluster: &Cluster, lister: &str, wanted: &[String]) {
     let mut wanted = wanted.to_vec();
     wanted.sort_unstable();
-    until(&format!("{asked} names {wanted:?}"), 30, async || {
-        (named(cluster, asked).await? == wanted).then_some(())
+    until(&format!("{lister} lists {wanted:?}"), 30, async || {
+        (listed_entries(cluster, lister).await? == wanted).then_some(())
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn addresses_killed_entry_still_listed() {
-    let (mut cluster, urls) = three_entries().await;
-    until_named(&cluster, &urls[0], &urls).await;
+async fn addresses_killed_entry() {
+    let (mut cluster, urls) = start_three_entries().await;
+    until_listed(&cluster, &urls[0], &urls).await;
     cluster.process("b").kill();
     let killed = Instant::now();
-    until_named(&cluster, &urls[0], &[urls[0].clone(), urls[2].clone()]).await;
-    assert!(killed.elapsed() <= NO_NEW_WORK, "{:?}", killed.elapsed());
+    until_listed(&cluster, &urls[0], &[urls[0].clone(), urls[2].clone()]).await;
+    assert!(
+        killed.elapsed() <= NO_NEW_WORK_LIMIT,
+        "{:?}",
+        killed.elapsed()
+    );
 
-    // The replacement at the same address is a new incarnation and joins.
+    // The replacement at the same address is a new incarnation and is listed again.
     cluster.restart("entry", "b");
-    until_named(&cluster, &urls[0], &urls).await;
+    until_listed(&cluster, &urls[0], &urls).await;
 }
 
 #[actix_rt::test]
 async fn addresses_frozen_entry() {
-    let (mut cluster, urls) = three_entries().await;
-    until_named(&cluster, &urls[0], &urls).await;
+    let (mut cluster, urls) = start_three_entries().await;
+    until_listed(&cluster, &urls[0], &urls).await;
     cluster.process("b").signal("STOP");
-    until_named(&cluster, &urls[0], &[urls[0].clone(), urls[2].clone()]).await;
+    until_listed(&cluster, &urls[0], &[urls[0].clone(), urls[2].clone()]).await;
     cluster.process("b").signal("CONT");
-    until_named(&cluster, &urls[0], &urls).await;
+    until_listed(&cluster, &urls[0], &urls).await;
 }
 
 #[actix_rt::test]
-async fn addresses_list_down_then_empty() {
-    let (cluster, urls) = three_entries().await;
-    until_named(&cluster, &urls[1], &urls).await;
+async fn addresses_host_list_faults() {
+    let (cluster, urls) = start_three_entries().await;
+    until_listed(&cluster, &urls[1], &urls).await;
     for faults in [
         json!({"down": true}),
         json!({"empty": true}),
         json!({"halved": true}),
     ] {
         cluster.set_faults(&cluster.hosts_url(), &faults).await;
-        // Long enough for several reads of the list.
+        // Long enough for several polls of the host list.
         let deadline = Instant::now() + Duration::from_secs(1);
         while Instant::now() < deadline {
-            let found = named(&cluster, &urls[1]).await.map(|found| found.len());
-            assert_eq!(found, Some(3), "no host is forgotten during {faults}");
+            let found = listed_entries(&cluster, &urls[1])
+                .await
+                .map(|found| found.len());
+            assert_eq!(found, Some(3), "no entry is removed during {faults}");
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
     }
@@ -106,12 +114,16 @@
 
 #[actix_rt::test]
 async fn addresses_leaving_entry() {
-    let (mut cluster, urls) = three_entries().await;
-    until_named(&cluster, &urls[0], &urls).await;
+    let (mut cluster, urls) = start_three_entries().await;
+    until_listed(&cluster, &urls[0], &urls).await;
     cluster.process("b").signal("TERM");
-    let told = Instant::now();
-    until_named(&cluster, &urls[0], &[urls[0].clone(), urls[2].clone()]).await;
-    assert!(told.elapsed() <= NO_NEW_WORK, "{:?}", told.elapsed());
+    let signalled = Instant::now();
+    until_listed(&cluster, &urls[0], &[urls[0].clone(), urls[2].clone()]).await;
+    assert!(
+        signalled.elapsed() <= NO_NEW_WORK_LIMIT,
+        "{:?}",
+        signalled.elapsed()
+    );
     let code = until("the entry stops", 30, async || {
         cluster.process("b").exit_code()
     })
