--- a/tests/path/main.rs
+++ b/tests/path/main.rs
@@ -1,4 +1,5 @@
-//! The whole path as separate processes: publish, transfer, load, ask, answer.
+//! The complete path across separate processes: weights are published, transferred and loaded,
+//! then a generate request and a service call are answered.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -15,13 +16,15 @@
 
 const MODEL_BYTES: u64 = 1 << 20;
 
-/// Text of token `index` as any engine must give it.
-fn token(whole: Digest, prompt: &str, seed: u64, index: u32) -> String {
-    let text = format!("{whole}{prompt}{seed}{index}");
+/// Text of token `index` that every engine stand-in computes for a prompt and seed, where
+/// `weights` is the digest of the complete weights.
+fn expected_token(weights: Digest, prompt: &str, seed: u64, index: u32) -> String {
+    let text = format!("{weights}{prompt}{seed}{index}");
     Digest::of_bytes(text.as_bytes()).to_string()[..8].to_owned()
 }
 
-fn events(body: &[u8]) -> Vec<StreamEvent> {
+/// Parses a stream of one event a line.
+fn parse_events(body: &[u8]) -> Vec<StreamEvent> {
     body.split(|byte| *byte == b'\n')
         .filter(|line| !line.is_empty())
         .map(|line| serde_json::from_slice(line).expect("a line is an event"))
@@ -32,7 +35,7 @@
 async fn path_generate_and_call() {
     let mut cluster = Cluster::new().await;
     let entry = cluster.start_entry("entry-1", "or-north", "").await;
-    let one = cluster.start_engine("engine-1", "or-north", &[]).await;
+    let endpoint = cluster.start_engine("engine-1", "or-north", &[]).await;
     cluster.start_engine("engine-2", "wa-coast", &[]).await;
     cluster
         .start_service("desk-1", "or-north", "bookdesk", &[])
@@ -75,7 +78,7 @@
             .ok()
     })
     .await;
-    let events = events(&body);
+    let events = parse_events(&body);
     let Some(StreamEvent::End {
         tokens,
         manifest: answered,
@@ -95,7 +98,7 @@
         })
         .collect();
     let expected: Vec<String> = (0..5)
-        .map(|index| token(*whole, "tide rules?", 3, index))
+        .map(|index| expected_token(*whole, "tide rules?", 3, index))
         .collect();
     assert_eq!(texts, expected.iter().collect::<Vec<_>>());
 
@@ -109,5 +112,5 @@
         .expect("the service answers");
     let answer: Value = serde_json::from_slice(&body).expect("the answer is JSON");
     assert!(answer.to_string().contains("\"hut\":12"), "{answer}");
-    drop(one);
+    drop(endpoint);
 }
