--- a/tests/docs/catalogue.rs
+++ b/tests/docs/catalogue.rs
@@ -1,4 +1,4 @@
-use crate::pages::page;
+use crate::pages::read_page;
 use bergamotfork::calls::RefusalReason;
 use bergamotfork::conf;
 use bergamotfork::entry::ErrorCode;
@@ -6,8 +6,8 @@
 use bergamotfork::observe::CounterKind;
 use bergamotfork::observe::Event;
 
-/// Rows of the table under `heading`, without its head.
-fn table_under<'a>(text: &'a str, heading: &str) -> Vec<&'a str> {
+/// Rows of the Markdown table under `heading`, without its header.
+fn table_rows<'a>(text: &'a str, heading: &str) -> Vec<&'a str> {
     let (_, after) = text
         .split_once(&format!("{heading}\n"))
         .unwrap_or_else(|| panic!("no heading {heading:?}"));
@@ -19,20 +19,21 @@
         .collect()
 }
 
-fn assert_rows(place: &str, expected: &[String], found: &[&str]) {
+/// Checks that `found` has exactly the rows `expected`, in any order.
+fn assert_rows(table: &str, expected: &[String], found: &[&str]) {
     for row in expected {
         assert!(
             found.contains(&row.as_str()),
-            "{place} lacks the row\n{row}"
+            "{table} lacks the row\n{row}"
         );
     }
     for row in found {
         assert!(
             expected.iter().any(|e| e == row),
-            "{place} has a stale row\n{row}"
+            "{table} has a stale row\n{row}"
         );
     }
-    assert_eq!(expected.len(), found.len(), "{place} repeats a row");
+    assert_eq!(expected.len(), found.len(), "{table} repeats a row");
 }
 
 #[test]
@@ -49,11 +50,11 @@
             )
         })
         .collect();
-    let text = page("docs/EVENTS.md");
+    let text = read_page("docs/EVENTS.md");
     assert_rows(
         "docs/EVENTS.md",
         &expected,
-        &table_under(&text, "## Catalogue"),
+        &table_rows(&text, "## Catalogue"),
     );
 }
 
@@ -76,11 +77,11 @@
             )
         })
         .collect();
-    let text = page("docs/API.md");
+    let text = read_page("docs/API.md");
     assert_rows(
         "docs/API.md",
         &expected,
-        &table_under(&text, "## Error codes"),
+        &table_rows(&text, "## Error codes"),
     );
 }
 
@@ -89,17 +90,17 @@
     let expected: Vec<String> = RefusalReason::ALL
         .iter()
         .map(|r| {
-            let again = if r.retry_after_ms().is_some() {
+            let retryable = if r.retry_after_ms().is_some() {
                 "yes"
             } else {
                 "no"
             };
-            format!("| `{}` | {again} | {} |", r.code(), r.meaning())
+            format!("| `{}` | {retryable} | {} |", r.code(), r.meaning())
         })
         .collect();
-    let text = page("docs/API.md");
+    let text = read_page("docs/API.md");
     let heading = "## Reasons of \"not run\"";
-    assert_rows("docs/API.md", &expected, &table_under(&text, heading));
+    assert_rows("docs/API.md", &expected, &table_rows(&text, heading));
 }
 
 #[test]
@@ -111,7 +112,7 @@
 
 #[test]
 fn settings_page_agrees() {
-    let text = page("docs/OPERATORS.md");
+    let text = read_page("docs/OPERATORS.md");
     let cases = [
         (HostRole::Entry, "### Keys of an entry process"),
         (HostRole::Endpoint, "### Keys of an endpoint process"),
@@ -127,16 +128,16 @@
                 )
             })
             .collect();
-        assert_rows(heading, &expected, &table_under(&text, heading));
+        assert_rows(heading, &expected, &table_rows(&text, heading));
     }
 }
 
 #[test]
 fn metrics_page_agrees() {
-    let text = page("docs/OPERATORS.md");
-    let rows = table_under(&text, "## Metrics");
-    for tally in CounterKind::ALL {
-        let start = format!("| `{}_total` |", tally.name());
+    let text = read_page("docs/OPERATORS.md");
+    let rows = table_rows(&text, "## Metrics");
+    for counter in CounterKind::ALL {
+        let start = format!("| `{}_total` |", counter.name());
         assert!(
             rows.iter().any(|row| row.starts_with(&start)),
             "no row for {start}"
--- a/tests/docs/invariants.rs
+++ b/tests/docs/invariants.rs
@@ -4,13 +4,13 @@
 const PAGE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/INVARIANTS.md");
 const TESTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests");
 
-/// All sources below `folder`, in one text.
-fn sources(folder: &Path) -> String {
+/// Concatenated Rust sources of `folder` and its subfolders.
+fn read_sources(folder: &Path) -> String {
     let mut text = String::new();
     for entry in fs::read_dir(folder).expect("the folder can be read") {
         let path = entry.expect("the entry can be read").path();
         if path.is_dir() {
-            text.push_str(&sources(&path));
+            text.push_str(&read_sources(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             text.push_str(&fs::read_to_string(&path).expect("the source can be read"));
         }
@@ -21,8 +21,8 @@
 #[test]
 fn invariants_name_tests_that_exist() {
     let page = fs::read_to_string(PAGE).expect("the page can be read");
-    let sources = sources(Path::new(TESTS));
-    // The rows of the tables name tests; the text below them names what is not proved.
+    let sources = read_sources(Path::new(TESTS));
+    // Only table rows name tests; the text below the tables names what no test checks.
     let names: Vec<&str> = page
         .lines()
         .filter(|line| line.starts_with('|'))
@@ -31,9 +31,9 @@
         .collect();
     assert!(names.len() > 50, "the page names its tests");
     for name in names {
-        let is_there = sources.contains(&format!("fn {name}("));
+        let exists = sources.contains(&format!("fn {name}("));
         assert!(
-            is_there,
+            exists,
             "docs/INVARIANTS.md names the test {name}, which does not exist"
         );
     }
--- a/tests/docs/main.rs
+++ b/tests/docs/main.rs
@@ -1,4 +1,4 @@
-//! The pages agree with the program: catalogues, links and commands.
+//! Checks that the pages agree with the program: catalogues, links, commands and test names.
 
 mod catalogue;
 mod commands;
