--- a/tests/calls_faults/caller.rs
+++ b/tests/calls_faults/caller.rs
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::history::Event;
 use crate::history::Outcome;
+use crate::history::SendRecord;
 use crate::support::TOKEN;
 use bergamotfork::calls::Permit;
 use bergamotfork::clients::REQUEST_ID_HEADER;
@@ -38,7 +38,7 @@
     body: &Value,
     permit: Option<&Permit>,
     send_no: u32,
-) -> Event {
+) -> SendRecord {
     send_with_deadline(entry, path, body, permit, send_no, DEADLINE_MS).await
 }
 
@@ -50,7 +50,7 @@
     permit: Option<&Permit>,
     send_no: u32,
     deadline_ms: u64,
-) -> Event {
+) -> SendRecord {
     let key = permit.map_or_else(String::new, |permit| permit.nonce.to_string());
     let request_id = format!("{key}-{send_no}");
     let call = json!({
@@ -79,7 +79,7 @@
         Some((true, echoed, answer)) => (echoed, Outcome::Answer(answer)),
         Some((false, echoed, answer)) => (echoed, error_outcome(&answer)),
     };
-    Event {
+    SendRecord {
         key,
         body: body.clone(),
         request_id,
@@ -104,7 +104,7 @@
     first: usize,
     body: &Value,
     sends: u32,
-) -> Vec<Event> {
+) -> Vec<SendRecord> {
     let mut events = Vec::new();
     let mut issued = None;
     for step in 0..entries.len() {
--- a/tests/calls_faults/crashing_request.rs
+++ b/tests/calls_faults/crashing_request.rs
@@ -10,6 +10,7 @@
 /// Number of services that one request may crash in the whole fleet.
 const MAX_CRASHES: usize = 3;
 
+/// A request that crashed three services is refused, and other requests are still served.
 #[actix_rt::test]
 async fn call_crashing_request_refused() {
     let mut fixture = ServiceFixture::start(3, 5, &["--may-crash"]).await;
--- a/tests/calls_faults/history.rs
+++ b/tests/calls_faults/history.rs
@@ -21,7 +21,7 @@
 
 /// One send of a call and its outcome.
 #[derive(Debug, Clone)]
-pub struct Event {
+pub struct SendRecord {
     /// Nonce of the permit, which is the idempotency key of the call.
     pub key: String,
     /// Body of the call.
@@ -49,7 +49,7 @@
 }
 
 /// Returns each violation that the outcomes show against the executions in `ledger`.
-pub fn check(events: &[Event], ledger: &[Execution]) -> Vec<Violation> {
+pub fn check(events: &[SendRecord], ledger: &[Execution]) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut keys: Vec<&str> = ledger.iter().map(|done| done.key.as_str()).collect();
     keys.sort_unstable();
@@ -66,7 +66,7 @@
     found
 }
 
-fn check_event(event: &Event, keys: &[&str]) -> Option<Violation> {
+fn check_event(event: &SendRecord, keys: &[&str]) -> Option<Violation> {
     let key = event.key.clone();
     let was_executed = keys.binary_search(&key.as_str()).is_ok();
     match &event.outcome {
@@ -83,8 +83,8 @@
     }
 }
 
-fn event(key: &str, outcome: Outcome) -> Event {
-    Event {
+fn event(key: &str, outcome: Outcome) -> SendRecord {
+    SendRecord {
         key: key.to_owned(),
         body: Value::from(1),
         request_id: "r".to_owned(),
@@ -119,7 +119,7 @@
     );
     let wrong = check(&[event("a", answer(2))], &[execution("a")]);
     assert_eq!(wrong, [Violation::WrongAnswer { key }]);
-    let crossed = Event {
+    let crossed = SendRecord {
         echoed_id: "other".to_owned(),
         ..good
     };
--- a/tests/calls_faults/planned_stop.rs
+++ b/tests/calls_faults/planned_stop.rs
@@ -14,6 +14,7 @@
 /// Time within which a leaving endpoint must stop receiving new calls.
 const NO_NEW_CALLS_LIMIT: Duration = Duration::from_secs(3);
 
+/// A stopped endpoint finishes its calls and takes no new ones, even with a permit issued before.
 #[actix_rt::test]
 async fn stop_endpoint_under_load() {
     // The calls take longer than the limit, so the endpoint is still draining when it is checked.
@@ -67,6 +68,7 @@
     assert_eq!(exit_code, 0);
 }
 
+/// A stopped entry finishes its calls before it exits.
 #[actix_rt::test]
 async fn stop_entry_under_load() {
     let mut fixture = ServiceFixture::start(1, 1, &["--delay-ms", "1500"]).await;
--- a/tests/calls_faults/random_faults.rs
+++ b/tests/calls_faults/random_faults.rs
@@ -13,16 +13,19 @@
 use serde_json::json;
 
 use crate::caller;
-use crate::history::Event;
 use crate::history::Outcome;
+use crate::history::SendRecord;
 use crate::history::Violation;
 use crate::history::check;
 use crate::service_fixture::ServiceFixture;
 use bergamotfork::clients::IDEMPOTENCY_KEY_HEADER;
 use bergamotfork::links::HttpClient;
 
+/// Number of concurrent callers.
 const CALLERS: usize = 8;
+/// Number of faults injected in turn.
 const FAULTS: usize = 10;
+/// Seed of the choice of faults.
 const SEED: u64 = 11;
 
 /// Pause after each fault; a frozen process stays frozen for twice as long.
@@ -75,7 +78,7 @@
 #[actix_rt::test]
 async fn check_random_faults_under_load() {
     let mut fixture = ServiceFixture::start(3, 3, &["--delay-ms", "20"]).await;
-    let events: Rc<RefCell<Vec<Event>>> = Rc::default();
+    let events: Rc<RefCell<Vec<SendRecord>>> = Rc::default();
     let stop = Rc::new(Cell::new(false));
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
--- a/tests/calls_faults/silent_connection.rs
+++ b/tests/calls_faults/silent_connection.rs
@@ -37,6 +37,8 @@
     Permit::with_nonce(&key, target, &permit.branch, &permit.service, permit.nonce)
 }
 
+/// A request that the network delivers after the entry gave it up must not be executed, and a
+/// resend of the call must get the same "not run".
 #[actix_rt::test]
 async fn call_request_held_back() {
     let fixture = ServiceFixture::start(1, 1, &[]).await;
@@ -66,6 +68,8 @@
     assert_eq!(ledger.len(), 1);
 }
 
+/// An answer lost on a silent connection is fetched by the nonce of the permit, without a second
+/// execution.
 #[actix_rt::test]
 async fn call_answer_dropped() {
     let fixture = ServiceFixture::start(1, 1, &[]).await;
@@ -83,6 +87,7 @@
     assert_eq!(ledger.len(), 1);
 }
 
+/// Idempotent calls are answered in time although one of two endpoints is frozen.
 #[actix_rt::test]
 async fn call_idempotent_with_frozen_endpoint() {
     let mut fixture = ServiceFixture::start(1, 2, &[]).await;
@@ -96,6 +101,8 @@
     fixture.cluster.process("desk-0").signal("CONT");
 }
 
+/// A call whose reply the service lost or mixed up has an unknown outcome on every send and is
+/// never executed again.
 #[actix_rt::test]
 async fn call_reply_lost_at_service() {
     let fixture = ServiceFixture::start(2, 1, &[]).await;
@@ -120,6 +127,8 @@
     }
 }
 
+/// After its endpoint was replaced, a call is "not run" only on the first send through the entry
+/// that issued the permit; an earlier send may have been executed.
 #[actix_rt::test]
 async fn call_endpoint_replaced() {
     let mut fixture = ServiceFixture::start(2, 1, &[]).await;
@@ -150,6 +159,7 @@
     assert_eq!(fixture.ledger().await, []);
 }
 
+/// A frozen endpoint that resumes must not execute a call whose deadline has passed.
 #[actix_rt::test]
 async fn call_deadline_passed_at_frozen_endpoint() {
     let mut fixture = ServiceFixture::start(1, 1, &[]).await;
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -23,6 +23,7 @@
 /// Longer than the shortest pause that a process detects.
 const PAUSE: Duration = Duration::from_millis(6_000);
 
+/// An entry that was paused must not report readiness with the configuration of before its pause.
 #[actix_rt::test]
 async fn pause_third_of_entries() {
     let mut cluster = Cluster::new().await;
@@ -69,6 +70,7 @@
     until_in_force(&cluster, &entries[1], revision, 3).await;
 }
 
+/// While all entries that read the log are paused, the others must still receive edits.
 #[actix_rt::test]
 async fn pause_entries_that_read_log() {
     let mut cluster = Cluster::new().await;
@@ -123,6 +125,8 @@
     assert_eq!(unconfirmed, ConfigAdmission::Unconfirmed);
 }
 
+/// A starting entry must not take its configuration as confirmed from an answer that was meant for
+/// an earlier incarnation of it.
 #[actix_rt::test]
 async fn bootstrap_answer_to_earlier_incarnation() {
     let mut cluster = Cluster::new().await;
