--- a/tests/membership/main.rs
+++ b/tests/membership/main.rs
@@ -103,10 +103,10 @@
         // Long enough for several polls of the host list.
         let deadline = Instant::now() + Duration::from_secs(1);
         while Instant::now() < deadline {
-            let found = listed_entries(&cluster, &urls[1])
+            let entry_count = listed_entries(&cluster, &urls[1])
                 .await
-                .map(|found| found.len());
-            assert_eq!(found, Some(3), "no entry is removed during {faults}");
+                .map(|urls| urls.len());
+            assert_eq!(entry_count, Some(3), "no entry is removed during {faults}");
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
     }
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -1,7 +1,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Polls `probe` every 50 ms until it returns a value; panics with `condition` after `limit_s` seconds.
+/// Polls `probe` every 50 ms until it returns a value; panics and names `condition` after
+/// `limit_s` seconds.
 pub async fn until<T>(
     condition: &str,
     limit_s: u64,
