--- a/tests/path/main.rs
+++ b/tests/path/main.rs
@@ -1,4 +1,5 @@
-//! The whole path as separate processes: publish, transfer, load, ask, answer.
+//! The complete path across separate processes: weights are published, transferred and loaded,
+//! then a generate request and a service call are answered.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -15,13 +16,15 @@
 
 const MODEL_BYTES: u64 = 1 << 20;
 
-/// Text of token `index` as any engine must give it.
-fn token(whole: Digest, prompt: &str, seed: u64, index: u32) -> String {
-    let text = format!("{whole}{prompt}{seed}{index}");
+/// Text of token `index` that every engine stand-in computes for a prompt and seed, where
+/// `weights` is the digest of the complete weights.
+fn expected_token(weights: Digest, prompt: &str, seed: u64, index: u32) -> String {
+    let text = format!("{weights}{prompt}{seed}{index}");
     Digest::of_bytes(text.as_bytes()).to_string()[..8].to_owned()
 }
 
-fn events(body: &[u8]) -> Vec<StreamEvent> {
+/// Parses a stream of one event a line.
+fn parse_events(body: &[u8]) -> Vec<StreamEvent> {
     body.split(|byte| *byte == b'\n')
         .filter(|line| !line.is_empty())
         .map(|line| serde_json::from_slice(line).expect("a line is an event"))
@@ -31,21 +34,23 @@
 #[actix_rt::test]
 async fn path_generate_and_call() {
     let mut cluster = Cluster::new().await;
-    let entry = cluster.entry("entry-1", "or-north", "").await;
-    let one = cluster.engine("engine-1", "or-north", &[]).await;
-    cluster.engine("engine-2", "wa-coast", &[]).await;
-    cluster.service("desk-1", "or-north", "bookdesk", &[]).await;
+    let entry = cluster.start_entry("entry-1", "or-north", "").await;
+    let endpoint = cluster.start_engine("engine-1", "or-north", &[]).await;
+    cluster.start_engine("engine-2", "wa-coast", &[]).await;
+    cluster
+        .start_service("desk-1", "or-north", "bookdesk", &[])
+        .await;
     let manifest = cluster.publish("chat", "v1", MODEL_BYTES).await;
     let model = format!("version = v1\nmanifest = {manifest}\nreplicas = 2\n");
-    cluster.edit("model chat", 0, &model).await;
+    cluster.append_edit("model chat", 0, &model).await;
     let digest = Digest::of_bytes(TOKEN.as_bytes());
     let branch = format!(
         "token_digest = {digest}\nweight = 1\nshare_percent = 50\nburst_percent = 100\n\
          models = chat\nservices = bookdesk\n"
     );
-    cluster.edit("branch seaside", 0, &branch).await;
+    cluster.append_edit("branch seaside", 0, &branch).await;
     cluster
-        .edit(
+        .append_edit(
             "service bookdesk",
             0,
             "idempotent = lookup\ntimeout_ms = 5000\n",
@@ -54,7 +59,7 @@
 
     let url = format!("{entry}/v1/addresses?branch=seaside&service=bookdesk");
     let addresses = until("the entry gives addresses and permits", 30, async || {
-        let body = cluster.call(Method::GET, &url, None).await.ok()?;
+        let body = cluster.send_request(Method::GET, &url, None).await.ok()?;
         let answer: Value = serde_json::from_slice(&body).ok()?;
         (!answer["permits"].as_array()?.is_empty()).then_some(answer)
     })
@@ -67,10 +72,13 @@
         "branch": "seaside", "model": "chat", "prompt": "tide rules?", "max_tokens": 5, "seed": 3,
     });
     let body = until("a replica answers", 30, async || {
-        cluster.call(Method::POST, &url, Some(&request)).await.ok()
+        cluster
+            .send_request(Method::POST, &url, Some(&request))
+            .await
+            .ok()
     })
     .await;
-    let events = events(&body);
+    let events = parse_events(&body);
     let Some(StreamEvent::End {
         tokens,
         manifest: answered,
@@ -90,7 +98,7 @@
         })
         .collect();
     let expected: Vec<String> = (0..5)
-        .map(|index| token(*whole, "tide rules?", 3, index))
+        .map(|index| expected_token(*whole, "tide rules?", 3, index))
         .collect();
     assert_eq!(texts, expected.iter().collect::<Vec<_>>());
 
@@ -99,10 +107,10 @@
         "branch": "seaside", "service": "bookdesk", "path": "lookup", "body": {"hut": 12},
     });
     let body = cluster
-        .call(Method::POST, &url, Some(&request))
+        .send_request(Method::POST, &url, Some(&request))
         .await
         .expect("the service answers");
     let answer: Value = serde_json::from_slice(&body).expect("the answer is JSON");
     assert!(answer.to_string().contains("\"hut\":12"), "{answer}");
-    drop(one);
+    drop(endpoint);
 }
