--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -193,7 +193,7 @@
                 let Some(address) = self.address(peer) else {
                     let now_ms = self.now_ms();
                     self.swarm
-                        .peer_fetch_failed(fetch, PeerFailure::Unreachable, now_ms);
+                        .record_peer_fetch_failure(fetch, PeerFailure::Unreachable, now_ms);
                     return;
                 };
                 let url = format!("http://{address}/x/weights/{digest}/{}", fetch.chunk);
@@ -222,7 +222,7 @@
         let Some(address) = self.address(probe.peer) else {
             let now_ms = self.now_ms();
             self.swarm
-                .probe_failed(probe.peer, PeerFailure::Unreachable, now_ms);
+                .record_probe_failure(probe.peer, PeerFailure::Unreachable, now_ms);
             return;
         };
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
@@ -239,10 +239,11 @@
         ctx.spawn(asking.into_actor(self).map(move |result, act, ctx| {
             let now_ms = act.now_ms();
             match result {
-                Ok(note) => act.swarm.probe_answered(probe.peer, &note),
+                Ok(note) => act.swarm.record_probe_response(probe.peer, &note),
                 Err(error) => {
                     act.share.metrics.record_retry(question_label(&error));
-                    act.swarm.probe_failed(probe.peer, failure(&error), now_ms);
+                    act.swarm
+                        .record_probe_failure(probe.peer, failure(&error), now_ms);
                 }
             }
             act.drive(ctx);
@@ -260,7 +261,7 @@
                 };
                 self.share.metrics.record_retry(error.label());
                 self.swarm
-                    .origin_fetch_failed(fetch, retry_after_ms, now_ms);
+                    .record_origin_fetch_failure(fetch, retry_after_ms, now_ms);
             }
             (ReadResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
                 self.swarm
@@ -270,13 +271,15 @@
                     ReadOutcome::Busy => self.defer(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
                         self.share.metrics.record_retry("peer_lacks_chunk");
-                        self.swarm.peer_lacks_chunk(fetch, &frame.status, now_ms);
+                        self.swarm
+                            .record_missing_chunk(fetch, &frame.status, now_ms);
                     }
                 }
             }
             (ReadResult::Peer(Err(error)), _) => {
                 self.share.metrics.record_retry("peer_unavailable");
-                self.swarm.peer_fetch_failed(fetch, failure(&error), now_ms);
+                self.swarm
+                    .record_peer_fetch_failure(fetch, failure(&error), now_ms);
             }
             (ReadResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
@@ -286,7 +289,7 @@
     fn defer(&mut self, fetch: ChunkFetch, reason: &'static str) {
         self.share.metrics.record_retry(reason);
         let now_ms = self.now_ms();
-        self.swarm.fetch_deferred(fetch, now_ms);
+        self.swarm.record_busy_peer(fetch, now_ms);
     }
 
     fn take_chunk(&mut self, fetch: ChunkFetch, bytes: Bytes, from: &'static str) {
@@ -299,7 +302,7 @@
         );
         match self.version.insert(fetch.chunk, bytes) {
             InsertOutcome::Stored | InsertOutcome::Duplicate => {
-                self.swarm.chunk_stored(fetch, now_ms)
+                self.swarm.record_stored_chunk(fetch, now_ms)
             }
             InsertOutcome::Rejected(reason) => {
                 self.share
@@ -314,10 +317,12 @@
                     ],
                 );
                 match fetch.source {
-                    ChunkSource::Origin => self.swarm.origin_fetch_failed(fetch, None, now_ms),
+                    ChunkSource::Origin => {
+                        self.swarm.record_origin_fetch_failure(fetch, None, now_ms)
+                    }
                     ChunkSource::Peer(_) => {
                         self.swarm
-                            .peer_fetch_failed(fetch, PeerFailure::WrongChunk, now_ms)
+                            .record_peer_fetch_failure(fetch, PeerFailure::WrongChunk, now_ms)
                     }
                 }
             }
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -269,19 +269,19 @@
     }
 
     /// Records the response to a probe.
-    pub fn probe_answered(&mut self, peer: PeerKey, status: &PeerStatus) {
+    pub fn record_probe_response(&mut self, peer: PeerKey, status: &PeerStatus) {
         self.peer_health[peer.0 as usize].probe_in_flight = false;
         self.record_peer_status(peer, &status.have, status.queue);
     }
 
     /// Records the failure of a probe.
-    pub fn probe_failed(&mut self, peer: PeerKey, failure: PeerFailure, now_ms: u64) {
+    pub fn record_probe_failure(&mut self, peer: PeerKey, failure: PeerFailure, now_ms: u64) {
         self.peer_health[peer.0 as usize].probe_in_flight = false;
         self.apply_backoff(peer, failure, now_ms);
     }
 
     /// Records that the chunk of `fetch` was received and is correct.
-    pub fn chunk_stored(&mut self, fetch: ChunkFetch, now_ms: u64) {
+    pub fn record_stored_chunk(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.remove_in_flight(fetch);
         self.held_chunks.insert(fetch.chunk);
         self.progress_ms = now_ms;
@@ -294,8 +294,8 @@
     ///
     /// Another process has replaced the peer then, so its known chunks are replaced
     /// by those in `status` instead of merged.
-    pub fn peer_lacks_chunk(&mut self, fetch: ChunkFetch, status: &PeerStatus, now_ms: u64) {
-        self.fetch_deferred(fetch, now_ms);
+    pub fn record_missing_chunk(&mut self, fetch: ChunkFetch, status: &PeerStatus, now_ms: u64) {
+        self.record_busy_peer(fetch, now_ms);
         if let ChunkSource::Peer(peer) = fetch.source
             && status.have.chunk_count() == self.held_chunks.chunk_count()
         {
@@ -304,7 +304,7 @@
     }
 
     /// Records that the peer was too busy for the fetch.
-    pub fn fetch_deferred(&mut self, fetch: ChunkFetch, now_ms: u64) {
+    pub fn record_busy_peer(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.remove_in_flight(fetch);
         if let ChunkSource::Peer(peer) = fetch.source {
             let same_region = self.ranking.region_of(peer) == self.ranking.region_of(self.local);
@@ -318,7 +318,12 @@
     }
 
     /// Records the failure of a fetch from a peer.
-    pub fn peer_fetch_failed(&mut self, fetch: ChunkFetch, failure: PeerFailure, now_ms: u64) {
+    pub fn record_peer_fetch_failure(
+        &mut self,
+        fetch: ChunkFetch,
+        failure: PeerFailure,
+        now_ms: u64,
+    ) {
         self.remove_in_flight(fetch);
         if let ChunkSource::Peer(peer) = fetch.source {
             self.apply_backoff(peer, failure, now_ms);
@@ -328,7 +333,7 @@
     /// Records the failure of a fetch from the origin.
     ///
     /// `retry_after_ms` is the delay that the origin requested, if any.
-    pub fn origin_fetch_failed(
+    pub fn record_origin_fetch_failure(
         &mut self,
         fetch: ChunkFetch,
         retry_after_ms: Option<u64>,
