--- a/src/staging/swarm_fetches.rs
+++ b/src/staging/swarm_fetches.rs
@@ -165,7 +165,7 @@
             .collect();
         let fetches = next_fetches(&PlanInput {
             now_ms,
-            progress_ms,
+            last_progress_ms: progress_ms,
             local: swarm.own_key,
             ranking: &swarm.primary_holders,
             held_chunks: &held_or_expected,
--- a/src/weights/plan.rs
+++ b/src/weights/plan.rs
@@ -67,7 +67,7 @@
     /// Current time, in ms.
     pub now_ms: u64,
     /// Time at which this host last stored a chunk or started the transfer, in ms.
-    pub progress_ms: u64,
+    pub last_progress_ms: u64,
     /// Key of this host.
     pub local: PeerKey,
     /// Ranking of the hosts for each chunk.
@@ -223,7 +223,10 @@
         if rank == 0 {
             return true;
         }
-        let idle_ms = self.input.now_ms.saturating_sub(self.input.progress_ms);
+        let idle_ms = self
+            .input
+            .now_ms
+            .saturating_sub(self.input.last_progress_ms);
         idle_ms >= takeover_delay_ms(self.input, chunk, rank) && !self.held_in_region(chunk)
     }
 
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -123,7 +123,7 @@
     pub(super) origin_failures: u32,
     pub(super) origin_blocked_until_ms: u64,
     /// Time at which a chunk was last stored, in ms; at first the start.
-    pub(super) progress_ms: u64,
+    pub(super) last_progress_ms: u64,
     pub(super) higher_ranks_probed_ms: u64,
     pub(super) settings: SwarmSettings,
     pub(super) seed: u64,
@@ -159,7 +159,7 @@
             in_flight: Vec::new(),
             origin_failures: 0,
             origin_blocked_until_ms: 0,
-            progress_ms: now_ms,
+            last_progress_ms: now_ms,
             higher_ranks_probed_ms: now_ms,
             seed: hash64(local.as_bytes()),
             ranking,
@@ -230,7 +230,7 @@
         self.seed = mix64(self.seed);
         let fetches = next_fetches(&PlanInput {
             now_ms,
-            progress_ms: self.progress_ms,
+            last_progress_ms: self.last_progress_ms,
             local: self.local,
             ranking: &self.ranking,
             held_chunks: &self.held_chunks,
@@ -284,7 +284,7 @@
     pub fn record_stored_chunk(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.remove_in_flight(fetch);
         self.held_chunks.insert(fetch.chunk);
-        self.progress_ms = now_ms;
+        self.last_progress_ms = now_ms;
         if fetch.source == ChunkSource::Origin {
             self.origin_failures = 0;
         }
--- a/tests/weights/plan.rs
+++ b/tests/weights/plan.rs
@@ -76,7 +76,7 @@
     fn plan(&self) -> Vec<ChunkFetch> {
         next_fetches(&PlanInput {
             now_ms: self.now_ms,
-            progress_ms: 0,
+            last_progress_ms: 0,
             local: self.local,
             ranking: &self.ranking,
             held_chunks: &self.held_chunks,
