--- a/src/calls/permit_table.rs
+++ b/src/calls/permit_table.rs
@@ -41,7 +41,7 @@
     /// The call is running already; the caller waits for its outcome.
     Join,
     /// The call has ended.
-    Done(CallOutcome),
+    Ended(CallOutcome),
     /// The call has not run and never will.
     Refused {
         /// Why it was refused.
@@ -61,7 +61,7 @@
     /// The call is running.
     Running,
     /// The call has ended.
-    Done(CallOutcome),
+    Ended(CallOutcome),
     /// This process cannot know what became of the permit.
     Unknown(UnknownReason),
 }
@@ -317,7 +317,7 @@
         match &self.state {
             CallState::Running(first) if *first == request => CallDecision::Join,
             CallState::Ended(first, outcome) if *first == request => {
-                CallDecision::Done(outcome.clone())
+                CallDecision::Ended(outcome.clone())
             }
             CallState::Running(_) | CallState::Ended(..) => {
                 CallDecision::refused(RefusalReason::PermitReused)
@@ -329,7 +329,7 @@
     fn status(&self) -> PermitStatus {
         match &self.state {
             CallState::Running(_) => PermitStatus::Running,
-            CallState::Ended(_, outcome) => PermitStatus::Done(outcome.clone()),
+            CallState::Ended(_, outcome) => PermitStatus::Ended(outcome.clone()),
             CallState::Tombstone(reason) => PermitStatus::NotRun(*reason),
         }
     }
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -61,7 +61,7 @@
         let asked = ask(&state, &question.permit, question.reason);
         let told = match asked {
             PermitStatus::NotRun(reason) => CallReport::Ended(CallOutcome::not_run(reason)),
-            PermitStatus::Done(outcome) => CallReport::Ended(outcome),
+            PermitStatus::Ended(outcome) => CallReport::Ended(outcome),
             PermitStatus::Unknown(reason) => CallReport::NotHere(reason),
             PermitStatus::Running => CallReport::Ended(end_of(&state, &question.permit).await),
         };
@@ -94,7 +94,7 @@
     }
     match begun {
         CallDecision::Run | CallDecision::Join => CallReport::Ended(end_of(state, &permit).await),
-        CallDecision::Done(outcome) => CallReport::Ended(outcome),
+        CallDecision::Ended(outcome) => CallReport::Ended(outcome),
         CallDecision::Refused {
             reason,
             retry_after_ms,
@@ -199,7 +199,7 @@
         end.await;
     }
     match ask(state, permit, RefusalReason::Withdrawn) {
-        PermitStatus::Done(outcome) => outcome,
+        PermitStatus::Ended(outcome) => outcome,
         PermitStatus::NotRun(reason) => CallOutcome::not_run(reason),
         PermitStatus::Unknown(reason) => CallOutcome::unknown(reason),
         PermitStatus::Running => CallOutcome::unknown(UnknownReason::ServiceLost),
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -88,11 +88,11 @@
     table.finish_call(&permit, answer(2));
     assert_eq!(
         table.begin_call(&permit, request(), 1),
-        CallDecision::Done(answer(2))
+        CallDecision::Ended(answer(2))
     );
     assert_eq!(
         table.status_or_refuse(&permit, RefusalReason::Withdrawn, 1),
-        PermitStatus::Done(answer(2))
+        PermitStatus::Ended(answer(2))
     );
 }
 
@@ -121,7 +121,7 @@
     let dropped = CallOutcome::unknown(UnknownReason::AnswerDropped);
     assert_eq!(
         table.begin_call(&permit, request(), 0),
-        CallDecision::Done(dropped)
+        CallDecision::Ended(dropped)
     );
 }
 
--- a/tests/spec_permits/model_state.rs
+++ b/tests/spec_permits/model_state.rs
@@ -258,7 +258,7 @@
                 self.waiting_handlers.push(handler);
                 return;
             }
-            CallDecision::Done(_) => ReplyKind::Answer,
+            CallDecision::Ended(_) => ReplyKind::Answer,
             CallDecision::Refused { reason, .. } => ReplyKind::NotRun(reason),
             CallDecision::Unknown(reason) => ReplyKind::DispatchUnknown(reason),
         };
@@ -273,7 +273,7 @@
                 .status_or_refuse(&permit(), RefusalReason::Withdrawn, self.now_ms)
             {
                 PermitStatus::NotRun(reason) => ReplyKind::NotRun(reason),
-                PermitStatus::Done(_) => ReplyKind::Answer,
+                PermitStatus::Ended(_) => ReplyKind::Answer,
                 PermitStatus::Unknown(reason) if self.omits(Rule::SeparateQueryResult) => {
                     ReplyKind::DispatchUnknown(reason)
                 }
