--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -6,17 +6,17 @@
 //! it is reported. An entry reports "not run" only where `determine_outcome`
 //! allows it.
 
+mod call_outcome;
 mod candidate;
 mod dispatch_ledger;
 mod endpoint_stats;
+mod epoch_counter;
 mod first_token_times;
 mod generate_call;
 mod generate_frame;
 mod nonce;
-mod outcome;
 mod pause_detector;
 mod permit;
-mod permit_epochs;
 mod permit_table;
 mod refusal_reason;
 mod retry_budget;
@@ -28,10 +28,12 @@
 mod suspect_table;
 mod unknown_reason;
 
+pub use call_outcome::CallOutcome;
 pub use candidate::Candidate;
 pub use candidate::stable_hash;
 pub use dispatch_ledger::DispatchDecision;
 pub use dispatch_ledger::DispatchLedger;
+pub use epoch_counter::EpochCounter;
 pub use first_token_times::FirstTokenTimes;
 pub use generate_call::GenerateCall;
 pub use generate_frame::FrameBuffer;
@@ -40,12 +42,10 @@
 pub use generate_frame::StreamFault;
 pub use nonce::Nonce;
 pub use nonce::NonceError;
-pub use outcome::CallOutcome;
 pub use pause_detector::PauseDetector;
 pub use permit::Permit;
 pub use permit::PermitKey;
 pub use permit::PermitTarget;
-pub use permit_epochs::EpochCounter;
 pub use permit_table::CallDecision;
 pub use permit_table::PermitLimits;
 pub use permit_table::PermitStatus;
