--- a/src/document/follow/peer_answer.rs
+++ b/src/document/follow/config_answer.rs
@@ -7,7 +7,7 @@
 
 /// Position of a peer in the log, and how current it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerStatus {
+pub struct ConfigStatus {
     /// Offset of the next record that the peer will apply.
     pub head: u64,
     /// Digest of the peer's state at its head.
@@ -20,9 +20,9 @@
 
 /// Answer of a peer to a request for its configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerAnswer {
+pub struct ConfigAnswer {
     /// Status of the peer.
-    pub mark: PeerStatus,
+    pub mark: ConfigStatus,
     /// Records or state that the requesting process lacks.
     pub update: ConfigUpdate,
 }
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -3,11 +3,11 @@
 use crate::document::DocumentError;
 use crate::document::Fold;
 use crate::document::RecordOutcome;
+use crate::document::follow::ConfigAnswer;
+use crate::document::follow::ConfigStatus;
 use crate::document::follow::ConfigUpdate;
 use crate::document::follow::LogPage;
 use crate::document::follow::Notice;
-use crate::document::follow::PeerAnswer;
-use crate::document::follow::PeerStatus;
 use crate::document::follow::RawLogRecord;
 use crate::document::follow::Readiness;
 use crate::document::follow::checkpoint_search::CheckpointSearch;
@@ -118,8 +118,8 @@
     }
 
     /// Returns the status to send to peers.
-    pub fn status(&self, now_ms: u64) -> PeerStatus {
-        PeerStatus {
+    pub fn status(&self, now_ms: u64) -> ConfigStatus {
+        ConfigStatus {
             head: self.fold.head(),
             digest: self.fold.digest(),
             is_voter: self.readiness.is_voter(),
@@ -128,7 +128,7 @@
     }
 
     /// Returns the answer for a process whose head is `from`.
-    pub fn answer_peer(&self, now_ms: u64, from: u64) -> PeerAnswer {
+    pub fn answer_peer(&self, now_ms: u64, from: u64) -> ConfigAnswer {
         let update = if from >= self.fold.head() {
             ConfigUpdate::None
         } else if let Some(records) = self.recent.since(from) {
@@ -136,7 +136,7 @@
         } else {
             ConfigUpdate::Checkpoint(Box::new(self.fold.checkpoint()))
         };
-        PeerAnswer {
+        ConfigAnswer {
             mark: self.status(now_ms),
             update,
         }
@@ -150,7 +150,7 @@
         requested_ms: u64,
         peer: &str,
         listed: usize,
-        answer: &PeerAnswer,
+        answer: &ConfigAnswer,
     ) -> Vec<Notice> {
         self.tick(now_ms);
         let mut notices = match &answer.update {
@@ -172,7 +172,7 @@
     }
 
     /// Whether the peer's digest differs from the one of this process at the same head.
-    fn diverges_from(&self, status: &PeerStatus) -> bool {
+    fn diverges_from(&self, status: &ConfigStatus) -> bool {
         let own = self.fold.digest_at(status.head);
         own.is_some_and(|digest| digest != status.digest)
     }
@@ -183,7 +183,7 @@
         requested_ms: u64,
         peer: &str,
         listed: usize,
-        status: &PeerStatus,
+        status: &ConfigStatus,
     ) {
         if let Some(age_ms) = status.confirmed_age_ms {
             let at_ms = requested_ms.saturating_sub(age_ms);
--- a/src/document/follow/mod.rs
+++ b/src/document/follow/mod.rs
@@ -15,14 +15,17 @@
 //! if hosts are replaced during an outage of the log.
 
 mod checkpoint_search;
+mod config_answer;
 mod follower;
 mod log_page;
 mod log_schedule;
 mod notice;
-mod peer_answer;
 mod readiness;
 mod recent_records;
 
+pub use config_answer::ConfigAnswer;
+pub use config_answer::ConfigStatus;
+pub use config_answer::ConfigUpdate;
 pub use follower::Follower;
 pub use log_page::LogPage;
 pub use log_page::RawLogRecord;
@@ -31,7 +34,4 @@
 pub use log_schedule::PERMANENT_LOG_READERS;
 pub use log_schedule::log_rank;
 pub use notice::Notice;
-pub use peer_answer::ConfigUpdate;
-pub use peer_answer::PeerAnswer;
-pub use peer_answer::PeerStatus;
 pub use readiness::Readiness;
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::calls::SuspectRecord;
-use crate::document::follow::PeerStatus;
+use crate::document::follow::ConfigStatus;
 use crate::hosts::HostRole;
 use crate::hosts::StateTag;
 use crate::weights::Digest;
@@ -125,8 +125,8 @@
 
 impl ReportAnswer {
     /// Returns the part of the answer about the entry's configuration.
-    pub fn peer_status(&self) -> PeerStatus {
-        PeerStatus {
+    pub fn config_status(&self) -> ConfigStatus {
+        ConfigStatus {
             head: self.config.offset,
             digest: self.config.digest,
             is_voter: self.is_voter,
--- a/src/node/config_request.rs
+++ b/src/node/config_request.rs
@@ -3,10 +3,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::document::follow::ConfigAnswer;
+use crate::document::follow::ConfigStatus;
 use crate::document::follow::ConfigUpdate;
 use crate::document::follow::Notice;
-use crate::document::follow::PeerAnswer;
-use crate::document::follow::PeerStatus;
 use crate::hosts::HostRole;
 use crate::node::Node;
 use crate::observe::Event;
@@ -29,15 +29,15 @@
     let requested_ms = node.now_ms();
     let from = node.follower().fold().head();
     let request = ConfigRequest { from };
-    let answer: Result<PeerAnswer, _> = node.request(&url, &request, FETCH_TIMEOUT_MS).await;
+    let answer: Result<ConfigAnswer, _> = node.request(&url, &request, FETCH_TIMEOUT_MS).await;
     if let Ok(answer) = answer {
         apply_peer_answer(node, requested_ms, name, &answer);
     }
 }
 
 /// Applies the status of the peer `name`, received without an update.
-pub(super) fn apply_peer_status(node: &Node, requested_ms: u64, name: &str, mark: PeerStatus) {
-    let answer = PeerAnswer {
+pub(super) fn apply_peer_status(node: &Node, requested_ms: u64, name: &str, mark: ConfigStatus) {
+    let answer = ConfigAnswer {
         mark,
         update: ConfigUpdate::None,
     };
@@ -45,7 +45,7 @@
 }
 
 /// Applies the answer of the peer `name` to a request sent at `requested_ms`.
-fn apply_peer_answer(node: &Node, requested_ms: u64, name: &str, answer: &PeerAnswer) {
+fn apply_peer_answer(node: &Node, requested_ms: u64, name: &str, answer: &ConfigAnswer) {
     let listed = node.roster().listed_count(HostRole::Entry);
     let now_ms = node.now_ms();
     let notices = node
--- a/src/node/datagram_receiver.rs
+++ b/src/node/datagram_receiver.rs
@@ -5,7 +5,7 @@
 
 use actix_rt::time::sleep;
 
-use crate::document::follow::PeerStatus;
+use crate::document::follow::ConfigStatus;
 use crate::hosts::Datagram;
 use crate::hosts::Heartbeat;
 use crate::hosts::HeartbeatAnswer;
@@ -81,7 +81,7 @@
     if answer.config.offset > node.follower().fold().head() {
         fetch_config(node, &target.name, target.address).await;
     } else {
-        let status = PeerStatus {
+        let status = ConfigStatus {
             head: answer.config.offset,
             digest: answer.config.digest,
             is_voter: answer.is_voter,
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -17,8 +17,8 @@
 use crate::conf::PlatformSettings;
 use crate::conf::ProcessSettings;
 use crate::document::Document;
+use crate::document::follow::ConfigAnswer;
 use crate::document::follow::Follower;
-use crate::document::follow::PeerAnswer;
 use crate::hosts::ConfigPosition;
 use crate::hosts::Heartbeat;
 use crate::hosts::HeartbeatAnswer;
@@ -302,7 +302,7 @@
     }
 
     /// Creates the answer to a configuration request of a peer whose head is `from`.
-    pub fn config_answer(&self, from: u64) -> PeerAnswer {
+    pub fn config_answer(&self, from: u64) -> ConfigAnswer {
         let mut answer = self.follower().answer_peer(self.now_ms(), from);
         answer.mark.is_voter &= self.process.role == HostRole::Entry;
         answer
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -163,7 +163,7 @@
         Ok(answer) if answer.config.offset > node.follower().fold().head() => {
             fetch_config(node, &target.name, target.address).await;
         }
-        Ok(answer) => apply_peer_status(node, requested_ms, &target.name, answer.peer_status()),
+        Ok(answer) => apply_peer_status(node, requested_ms, &target.name, answer.config_status()),
         Err(error) if error.is_not_sent() => {
             let now_ms = node.now_ms();
             node.roster().record_failure(target.key, now_ms);
