--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -48,7 +48,7 @@
     }
 
     /// Applies the record at `offset`; changes nothing unless `offset` is the head.
-    pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> RecordOutcome {
+    pub fn apply_record(&mut self, offset: u64, bytes: &[u8]) -> RecordOutcome {
         if offset < self.head {
             return RecordOutcome::AlreadyApplied;
         }
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -208,7 +208,7 @@
         let before = self.fold.head();
         let mut notices = Vec::new();
         for record in records {
-            let outcome = self.fold.apply(record.offset, &record.bytes);
+            let outcome = self.fold.apply_record(record.offset, &record.bytes);
             if matches!(
                 outcome,
                 RecordOutcome::AlreadyApplied | RecordOutcome::Gap { .. }
--- a/tests/config_faults/api.rs
+++ b/tests/config_faults/api.rs
@@ -99,7 +99,7 @@
     let mut fold = Fold::new();
     let mut records = Vec::new();
     for entry in &slice.records {
-        fold.apply(entry.offset, &entry.body());
+        fold.apply_record(entry.offset, &entry.body());
         records.push(entry.body());
     }
     (fold, records)
--- a/tests/document/fold.rs
+++ b/tests/document/fold.rs
@@ -72,9 +72,12 @@
 fn apply_out_of_order() {
     let mut fold = Fold::new();
     let record = LogRecord::Edit(edit("a", "s x", 0, "k = 1")).encode();
-    assert_eq!(fold.apply(1, &record), RecordOutcome::Gap { wanted: 0 });
-    fold.apply(0, &record);
-    assert_eq!(fold.apply(0, &record), RecordOutcome::AlreadyApplied);
+    assert_eq!(
+        fold.apply_record(1, &record),
+        RecordOutcome::Gap { wanted: 0 }
+    );
+    fold.apply_record(0, &record);
+    assert_eq!(fold.apply_record(0, &record), RecordOutcome::AlreadyApplied);
     assert_eq!(fold.head(), 1);
 }
 
@@ -82,7 +85,7 @@
 fn apply_undecodable_record() {
     let mut fold = Fold::new();
     assert!(matches!(
-        fold.apply(0, b"\xffnoise"),
+        fold.apply_record(0, b"\xffnoise"),
         RecordOutcome::Skipped(_)
     ));
     assert_eq!(fold.head(), 1);
@@ -95,7 +98,7 @@
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     let checkpoint = LogRecord::Checkpoint(fold.checkpoint()).encode();
     apply(&mut fold, edit("b", "s y", 0, "k = 1"));
-    let applied = fold.apply(2, &checkpoint);
+    let applied = fold.apply_record(2, &checkpoint);
     assert_eq!(applied, RecordOutcome::CheckpointMatches { as_of: 1 });
 }
 
@@ -105,7 +108,7 @@
     apply(&mut other, edit("z", "s z", 0, "k = 9"));
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
-    let applied = fold.apply(1, &LogRecord::Checkpoint(other.checkpoint()).encode());
+    let applied = fold.apply_record(1, &LogRecord::Checkpoint(other.checkpoint()).encode());
     assert_eq!(applied, RecordOutcome::CheckpointDiffers { as_of: 1 });
     assert!(fold.document().section("s z").is_none());
     assert_eq!(
--- a/tests/document/properties.rs
+++ b/tests/document/properties.rs
@@ -42,7 +42,7 @@
     for _ in 0..u.int_in_range(0..=24)? {
         let bytes = record(u, &prefixes)?;
         let mut next = prefixes[records.len()].clone();
-        next.apply(records.len() as u64, &bytes);
+        next.apply_record(records.len() as u64, &bytes);
         records.push(bytes);
         prefixes.push(next);
     }
@@ -58,7 +58,7 @@
         let mut fold = Fold::new();
         fold.apply_checkpoint(&prefixes[start].checkpoint());
         for (offset, bytes) in records.iter().enumerate().skip(start) {
-            fold.apply(offset as u64, bytes);
+            fold.apply_record(offset as u64, bytes);
         }
         assert_eq!(fold.digest(), last.digest());
         assert_eq!(fold.document(), last.document());
@@ -78,7 +78,7 @@
             if u.arbitrary()? {
                 fold.apply_checkpoint(&prefixes[offset].checkpoint());
             } else if let Some(bytes) = records.get(offset) {
-                fold.apply(offset as u64, bytes);
+                fold.apply_record(offset as u64, bytes);
             }
             assert!(fold.head() >= before);
             let reference = &prefixes[usize::try_from(fold.head()).expect("a short log")];
@@ -95,7 +95,7 @@
         let mut fold = Fold::new();
         let mut chain: Vec<(String, u64)> = Vec::new();
         for (offset, bytes) in records.iter().enumerate() {
-            let applied = fold.apply(offset as u64, bytes);
+            let applied = fold.apply_record(offset as u64, bytes);
             let RecordOutcome::Decided(EditOutcome::Accepted { revision, .. }) = applied else {
                 continue;
             };
--- a/tests/document/support.rs
+++ b/tests/document/support.rs
@@ -23,7 +23,7 @@
 
 /// Applies `edit` as the next record.
 pub fn apply(fold: &mut Fold, edit: Edit) -> RecordOutcome {
-    fold.apply(fold.head(), &LogRecord::Edit(edit).encode())
+    fold.apply_record(fold.head(), &LogRecord::Edit(edit).encode())
 }
 
 pub fn model_body(replicas: u32) -> String {
--- a/tests/spec_config/model.rs
+++ b/tests/spec_config/model.rs
@@ -185,7 +185,7 @@
         let offset = self.log.next();
         let last = self.reference.last().expect("starts with the empty prefix");
         let mut fold = Fold::clone(last);
-        fold.apply(offset, &encode_without_rules(&record, offset, last, rules));
+        fold.apply_record(offset, &encode_without_rules(&record, offset, last, rules));
         self.reference.push(Rc::new(fold));
         self.log.records.push(Rc::new(record));
         self.record_ids.push(record_id);
