--- a/src/document/follow/readiness.rs
+++ b/src/document/follow/readiness.rs
@@ -2,21 +2,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Readiness {
     /// The process just started and may lack records that others have applied.
-    Started(VotersAnswered),
+    Started(AnsweredVoters),
     /// The process was paused, so its configuration may be out of date.
-    Resumed(VotersAnswered),
+    Resumed(AnsweredVoters),
     /// The configuration is confirmed; the process admits work.
     Confirmed,
 }
 
 /// Names of the voting entries that answered since the start or the last pause, ascending.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct VotersAnswered(Vec<String>);
+pub struct AnsweredVoters(Vec<String>);
 
 impl Readiness {
     /// Creates the state of a process that just started.
     pub fn started() -> Self {
-        Self::Started(VotersAnswered::default())
+        Self::Started(AnsweredVoters::default())
     }
 
     /// Whether the process admits new work.
@@ -34,8 +34,8 @@
     /// Records that the process was paused, which requires a new confirmation.
     pub fn reset_after_pause(&mut self) {
         match self {
-            Self::Confirmed | Self::Resumed(_) => *self = Self::Resumed(VotersAnswered::default()),
-            Self::Started(voters) => *voters = VotersAnswered::default(),
+            Self::Confirmed | Self::Resumed(_) => *self = Self::Resumed(AnsweredVoters::default()),
+            Self::Started(voters) => *voters = AnsweredVoters::default(),
         }
     }
 
