--- a/src/hosts/heartbeat.rs
+++ b/src/hosts/heartbeat.rs
@@ -35,7 +35,7 @@
 
 impl NameTag {
     /// Computes the tag of `name`.
-    pub fn of(name: &str) -> Self {
+    pub fn of_name(name: &str) -> Self {
         Self(first_64_bits(&Digest::of_bytes(name.as_bytes())))
     }
 }
@@ -46,7 +46,7 @@
 
 impl StateTag {
     /// Computes the tag of an encoded state.
-    pub fn of(encoded: &[u8]) -> Self {
+    pub fn of_bytes(encoded: &[u8]) -> Self {
         Self(first_64_bits(&Digest::of_bytes(encoded)))
     }
 }
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -106,7 +106,7 @@
             .collect();
         let state = (&self.name, self.address, self.incarnation, served);
         let encoded = rmp_serde::to_vec(&state).expect("texts and numbers always encode");
-        StateTag::of(&encoded)
+        StateTag::of_bytes(&encoded)
     }
 }
 
--- a/src/hosts/roster.rs
+++ b/src/hosts/roster.rs
@@ -303,7 +303,7 @@
             self.slots.push(Slot::default());
             self.slots.len() - 1
         });
-        let tag = NameTag::of(&host.name);
+        let tag = NameTag::of_name(&host.name);
         let slot = &mut self.slots[index];
         slot.host = Some(host);
         let key = HostKey {
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -237,7 +237,7 @@
     /// Returns the tag of all suspect records.
     pub fn suspects_tag(&self) -> StateTag {
         let now_ms = self.now_ms();
-        StateTag::of(self.suspects().digest(now_ms).as_bytes())
+        StateTag::of_bytes(self.suspects().digest(now_ms).as_bytes())
     }
 
     /// Returns the current configuration document.
@@ -312,7 +312,7 @@
     pub fn heartbeat(&self, wants_answer: bool) -> Heartbeat {
         let report = self.report();
         Heartbeat {
-            name: NameTag::of(&self.process.name),
+            name: NameTag::of_name(&self.process.name),
             incarnation: self.incarnation,
             sent_ms: self.now_ms(),
             state: report.state_tag(),
@@ -330,7 +330,7 @@
     pub fn heartbeat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> HeartbeatAnswer {
         let answer = self.report_answer();
         HeartbeatAnswer {
-            name: NameTag::of(&self.process.name),
+            name: NameTag::of_name(&self.process.name),
             to,
             asked_ms,
             wants_report,
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -129,7 +129,7 @@
     let put = cluster.call(Method::PUT, &url, Some(&record)).await;
     put.expect("the host list takes a host");
     let answer = HeartbeatAnswer {
-        name: NameTag::of("entry-1"),
+        name: NameTag::of_name("entry-1"),
         to: 1,
         asked_ms: 1_000,
         wants_report: false,
--- a/tests/hosts/heartbeat.rs
+++ b/tests/hosts/heartbeat.rs
@@ -20,7 +20,7 @@
 
 fn heartbeat(report: &Report) -> Heartbeat {
     Heartbeat {
-        name: NameTag::of(&report.name),
+        name: NameTag::of_name(&report.name),
         incarnation: report.incarnation,
         sent_ms: 86_400_000,
         state: report.state_tag(),
