--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -23,7 +23,7 @@
 use crate::entry;
 use crate::hosts::HostRecord;
 use crate::hosts::HostRole;
-use crate::hosts::HostState;
+use crate::hosts::ListedState;
 use crate::links::HttpClient;
 use crate::links::LinkError;
 use crate::node::Node;
@@ -109,7 +109,7 @@
             region: region.to_owned(),
             domain,
             service,
-            state: HostState::Live,
+            state: ListedState::Live,
         };
         let url = format!("{}/v1/hosts/{name}", self.list.url());
         let put: Result<Value, LinkError> = HttpClient::to_platform()
--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -20,7 +20,7 @@
 use crate::entry::EntryHandle;
 use crate::hosts::HostRecord;
 use crate::hosts::HostRole;
-use crate::hosts::HostState;
+use crate::hosts::ListedState;
 use crate::links::HttpClient;
 use crate::observe::CounterKind;
 use crate::standin::Handle;
@@ -137,7 +137,7 @@
             region: process.region.clone(),
             domain: process.domain.clone(),
             service: service.map(str::to_owned),
-            state: HostState::Live,
+            state: ListedState::Live,
         });
     }
 
--- a/src/hosts/host.rs
+++ b/src/hosts/host.rs
@@ -2,8 +2,8 @@
 
 use crate::hosts::HostRecord;
 use crate::hosts::HostRole;
-use crate::hosts::HostState;
 use crate::hosts::HostedVersion;
+use crate::hosts::ListedState;
 use crate::hosts::Load;
 use crate::hosts::Report;
 use crate::hosts::StateTag;
@@ -78,7 +78,7 @@
             state_tag: None,
             heartbeat_sent_ms: 0,
             is_listed: true,
-            is_listed_leaving: record.state == HostState::Leaving,
+            is_listed_leaving: record.state == ListedState::Leaving,
             has_reported_leaving: false,
             last_received_ms: None,
             last_failed_ms: None,
--- a/src/hosts/host_record.rs
+++ b/src/hosts/host_record.rs
@@ -16,7 +16,7 @@
 /// State of a host in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HostState {
+pub enum ListedState {
     /// The host takes work.
     Live,
     /// The host is draining and will stop.
@@ -40,5 +40,5 @@
     #[serde(default)]
     pub service: Option<String>,
     /// Whether the host takes work or is draining.
-    pub state: HostState,
+    pub state: ListedState,
 }
--- a/src/hosts/mod.rs
+++ b/src/hosts/mod.rs
@@ -24,7 +24,7 @@
 pub use host_key::HostKey;
 pub use host_record::HostRecord;
 pub use host_record::HostRole;
-pub use host_record::HostState;
+pub use host_record::ListedState;
 pub use report::ConfigPosition;
 pub use report::HostedVersion;
 pub use report::Load;
--- a/src/hosts/roster.rs
+++ b/src/hosts/roster.rs
@@ -3,8 +3,8 @@
 use crate::hosts::Host;
 use crate::hosts::HostKey;
 use crate::hosts::HostRole;
-use crate::hosts::HostState;
 use crate::hosts::HostStatus;
+use crate::hosts::ListedState;
 use crate::hosts::NameTag;
 use crate::hosts::Report;
 
@@ -162,7 +162,7 @@
             match self.key(&record.name).and_then(|key| self.host_mut(key)) {
                 Some(host) => {
                     host.is_listed = true;
-                    host.is_listed_leaving = record.state == HostState::Leaving;
+                    host.is_listed_leaving = record.state == ListedState::Leaving;
                     if host.last_received_ms.is_none() {
                         host.address = record.address;
                     }
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -9,9 +9,9 @@
 use bergamotfork::hosts::HOST_EXPIRY_MS;
 use bergamotfork::hosts::HostRecord;
 use bergamotfork::hosts::HostRole;
-use bergamotfork::hosts::HostState;
 use bergamotfork::hosts::HostStatus;
 use bergamotfork::hosts::ListOutcome;
+use bergamotfork::hosts::ListedState;
 use bergamotfork::hosts::Load;
 use bergamotfork::hosts::REMOVAL_DELAY_MS;
 use bergamotfork::hosts::Report;
@@ -34,7 +34,7 @@
         region: "or-north".to_owned(),
         domain: "a".to_owned(),
         service: None,
-        state: HostState::Live,
+        state: ListedState::Live,
     }
 }
 
--- a/tests/routing/router.rs
+++ b/tests/routing/router.rs
@@ -12,7 +12,7 @@
 use bergamotfork::hosts::HostKey;
 use bergamotfork::hosts::HostRecord;
 use bergamotfork::hosts::HostRole;
-use bergamotfork::hosts::HostState;
+use bergamotfork::hosts::ListedState;
 use bergamotfork::hosts::Load;
 use bergamotfork::hosts::Roster;
 
@@ -26,7 +26,7 @@
         region: "or-north".to_owned(),
         domain: "a".to_owned(),
         service: None,
-        state: HostState::Live,
+        state: ListedState::Live,
     };
     let hosts = (0..count).map(record).collect();
     let mut roster = Roster::new();
