--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -157,7 +157,7 @@
                 cut.push(self.log.address());
                 cut.push(self.list.address());
             }
-            host.node.cuts().start(cut, time);
+            host.node.simulated_partition().start(cut, time);
         }
     }
 
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -34,7 +34,7 @@
             None,
         ));
         let log = LogClient::new(&settings.platform.log_url, &settings.platform.config_stream)
-            .with_simulated_partition(Arc::clone(node.cuts()));
+            .with_simulated_partition(Arc::clone(node.simulated_partition()));
         let permit_key = PermitKey::derive(&settings.cluster.shared_key);
         let routing = GenerateRouting::new(&settings.process.name, settings.retry_budget_percent);
         Self {
--- a/src/node/datagram_receiver.rs
+++ b/src/node/datagram_receiver.rs
@@ -32,7 +32,7 @@
             sleep(RECEIVE_ERROR_PAUSE).await;
             continue;
         };
-        if node.cuts().blocks_address(from) {
+        if node.simulated_partition().blocks_address(from) {
             continue;
         }
         node.count_datagram("received", length);
--- a/src/node/host_list_watcher.rs
+++ b/src/node/host_list_watcher.rs
@@ -21,7 +21,7 @@
     /// Creates the watcher for the platform of `node`.
     pub fn new(node: Arc<Node>) -> Self {
         let client = HostsClient::new(&node.platform().hosts_url)
-            .with_simulated_partition(Arc::clone(node.cuts()));
+            .with_simulated_partition(Arc::clone(node.simulated_partition()));
         Self { node, client }
     }
 }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -71,7 +71,7 @@
     started: Instant,
     metrics: Arc<Metrics>,
     http: HttpClient,
-    cuts: Arc<SimulatedPartition>,
+    simulated_partition: Arc<SimulatedPartition>,
     roster: Mutex<Roster>,
     follower: Mutex<Follower>,
     own_state: Mutex<OwnState>,
@@ -88,9 +88,9 @@
         cluster: ClusterSettings,
         service: Option<String>,
     ) -> Self {
-        let cuts = Arc::new(SimulatedPartition::default());
+        let simulated_partition = Arc::new(SimulatedPartition::default());
         let http = HttpClient::to_processes(cluster.shared_key.clone())
-            .with_simulated_partition(Arc::clone(&cuts));
+            .with_simulated_partition(Arc::clone(&simulated_partition));
         Self {
             process,
             platform,
@@ -100,7 +100,7 @@
             started: Instant::now(),
             metrics: Arc::new(Metrics::new()),
             http,
-            cuts,
+            simulated_partition,
             roster: Mutex::new(Roster::new()),
             follower: Mutex::new(Follower::new(0)),
             own_state: Mutex::default(),
@@ -156,8 +156,8 @@
     }
 
     /// Returns the simulated network cuts: addresses that the process must not reach in a test.
-    pub fn cuts(&self) -> &Arc<SimulatedPartition> {
-        &self.cuts
+    pub fn simulated_partition(&self) -> &Arc<SimulatedPartition> {
+        &self.simulated_partition
     }
 
     /// Sends a request to another process and counts the bytes as control traffic.
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -118,7 +118,7 @@
 impl HeartbeatSocket {
     /// Sends a sealed datagram; one that cannot be sent at once is dropped, as UDP may lose it.
     pub(super) fn send(&self, node: &Node, datagram: &[u8], to: std::net::SocketAddr) {
-        if node.cuts().blocks_address(to) {
+        if node.simulated_partition().blocks_address(to) {
             return;
         }
         if self.udp_socket.try_send_to(datagram, to).is_ok() {
