--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -90,7 +90,7 @@
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit_event(Event::ProcessStopping, &[("host", &node.name())]);
-        node.leave();
+        node.start_drain();
         Reporter::send_reports(node).await;
         let drain = Duration::from_millis(self.state.settings.drain_ms);
         // Calls outlive their connections, which the server alone waits for.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -121,7 +121,7 @@
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit_event(Event::ProcessStopping, &[("host", &node.name())]);
-        node.leave();
+        node.start_drain();
         Reporter::send_reports(node).await;
         let lifetime = Duration::from_millis(self.state.settings.address_lifetime_ms);
         actix_rt::time::sleep(lifetime).await;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -261,7 +261,7 @@
     }
 
     /// Starts the drain: the process takes no new work from now on.
-    pub fn leave(&self) {
+    pub fn start_drain(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
