--- a/src/node/config_request.rs
+++ b/src/node/config_request.rs
@@ -29,7 +29,7 @@
     let requested_ms = node.now_ms();
     let from = node.follower().fold().head();
     let request = ConfigRequest { from };
-    let answer: Result<ConfigAnswer, _> = node.request(&url, &request, FETCH_TIMEOUT_MS).await;
+    let answer: Result<ConfigAnswer, _> = node.send_request(&url, &request, FETCH_TIMEOUT_MS).await;
     if let Ok(answer) = answer {
         apply_peer_answer(node, requested_ms, name, &answer);
     }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -165,7 +165,7 @@
     /// # Errors
     ///
     /// Returns [`LinkError`] when no valid answer arrived within `wait_ms`.
-    pub async fn request<A: DeserializeOwned>(
+    pub async fn send_request<A: DeserializeOwned>(
         &self,
         url: &str,
         message: &impl Serialize,
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -153,7 +153,7 @@
     let url = format!("http://{}/x/report", target.address);
     let requested_ms = node.now_ms();
     let report = node.report();
-    let answer: Result<ReportAnswer, _> = node.request(&url, &report, REPORT_TIMEOUT_MS).await;
+    let answer: Result<ReportAnswer, _> = node.send_request(&url, &report, REPORT_TIMEOUT_MS).await;
     if let Ok(answer) = &answer {
         let now_ms = node.now_ms();
         node.suspects()
