--- a/src/weights/chunk_bitmap.rs
+++ b/src/weights/chunk_bitmap.rs
@@ -9,7 +9,7 @@
 /// Bits in one word of the bitmap.
 const WORD_BITS: u32 = 64;
 
-/// Length of the encoded number of chunks.
+/// Length of the encoded number of chunks, in bytes.
 const LEN_BYTES: usize = 4;
 
 /// Set of the chunks of a version that a host holds.
--- a/src/weights/chunk_ranking.rs
+++ b/src/weights/chunk_ranking.rs
@@ -31,7 +31,7 @@
 pub struct ChunkRanking {
     /// Regions with hosts; the origin's region is the first if it has any.
     regions: Vec<String>,
-    /// Index of the region of each host; `usize::MAX` if nobody takes part there.
+    /// Index of the region of each host; `usize::MAX` if no host takes part there.
     region_of: Vec<usize>,
     /// `RANKED_HOSTS` hosts for each pair of chunk and region, chunk by chunk.
     ranks: Vec<PeerKey>,
@@ -113,13 +113,15 @@
         if region == 0 {
             return None;
         }
-        let others = self.regions.len() - 1;
-        let first =
-            (mix64(self.manifest_seed.rotate_left(17) ^ u64::from(chunk)) % others as u64) as usize;
+        // The other regions form a ring. The first region of the chunk's route imports it
+        // from region 0, and each further one from the region before it in the ring.
+        let other_count = self.regions.len() - 1;
+        let first = (mix64(self.manifest_seed.rotate_left(17) ^ u64::from(chunk))
+            % other_count as u64) as usize;
         if region - 1 == first {
             return Some(0);
         }
-        Some((region + others - 2) % others + 1)
+        Some((region + other_count - 2) % other_count + 1)
     }
 }
 
@@ -136,7 +138,7 @@
     PeerKey(u32::try_from(index).unwrap_or(u32::MAX))
 }
 
-/// Inserts `entry` into the best entries, highest hash first.
+/// Inserts `entry`, a hash and the index of a host, if it is among the best; highest hash first.
 fn insert_ranked(best: &mut Vec<(u64, usize)>, entry: (u64, usize)) {
     let at = best.partition_point(|other| *other > entry);
     if at < RANKED_HOSTS {
--- a/src/weights/manifest.rs
+++ b/src/weights/manifest.rs
@@ -8,7 +8,7 @@
 /// Largest number of chunks that a version may have.
 const MAX_CHUNKS: u64 = 65_536;
 
-/// Prefix of the hashed manifest, so that its digest never equals one of content.
+/// Prefix hashed before a manifest, so that its digest never equals that of any content.
 const DIGEST_CONTEXT: &[u8] = b"bergamotfork manifest 1\0";
 
 /// Description of one version of a model: sizes and digests of its chunks.
--- a/src/weights/piece_origin.rs
+++ b/src/weights/piece_origin.rs
@@ -21,7 +21,7 @@
 impl fmt::Display for ExternalCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreachable(why) => write!(f, "no answer: {why}"),
+            Self::Unreachable(cause) => write!(f, "no answer: {cause}"),
             Self::Refused(status) => write!(f, "refused with status {status}"),
             Self::Corrupt => f.write_str("the bytes do not match their digest"),
         }
@@ -72,7 +72,7 @@
     ) -> impl Future<Output = Result<Vec<u8>, ExternalCallError>>;
 }
 
-/// Reads of a manifest before giving up on two consecutive equal ones.
+/// Largest number of reads of a manifest, of which two consecutive ones have to be equal.
 const MAX_MANIFEST_READS: u32 = 4;
 
 /// Fetches a manifest repeatedly until two consecutive responses are equal.
--- a/src/weights/placement.rs
+++ b/src/weights/placement.rs
@@ -34,19 +34,20 @@
 /// Whether the host at `rank` in the rollout may switch to the new version.
 ///
 /// A host waits for the host `step_replicas` ranks before it. The hosts thus form
-/// `step_replicas` chains, and each chain switches one host at a time.
+/// `step_replicas` chains, and each chain switches one host at a time. The function
+/// `predecessor_state` returns the state of the host at a rank.
 pub fn may_switch_version(
     rank: usize,
     step_replicas: u32,
-    ahead: impl Fn(usize) -> PredecessorState,
+    predecessor_state: impl Fn(usize) -> PredecessorState,
 ) -> bool {
     let step = step_replicas.max(1) as usize;
-    let mut at = rank;
-    while let Some(before) = at.checked_sub(step) {
-        match ahead(before) {
+    let mut current = rank;
+    while let Some(predecessor) = current.checked_sub(step) {
+        match predecessor_state(predecessor) {
             PredecessorState::Serving => return true,
             PredecessorState::Pending => return false,
-            PredecessorState::Skipped => at = before,
+            PredecessorState::Skipped => current = predecessor,
         }
     }
     true
--- a/src/weights/plan.rs
+++ b/src/weights/plan.rs
@@ -109,11 +109,17 @@
 /// Collects the fetches of a plan and counts those in flight against the limits.
 struct PlanBuilder<'a> {
     input: &'a PlanInput<'a>,
+    /// Index of the region of this host.
     region: usize,
+    /// Chunks in flight, those of the plan included.
     in_flight: ChunkBitmap,
+    /// Number of fetches in flight from the origin and other regions.
     imports: usize,
+    /// Number of fetches in flight from peers of the own region.
     regional_fetches: usize,
+    /// Number of fetches in flight from each peer, sorted by key.
     fetches_per_peer: Vec<(PeerKey, usize)>,
+    /// Fetches of the plan.
     fetches: Vec<ChunkFetch>,
 }
 
@@ -190,13 +196,13 @@
 
     /// Adds imports, starting at a chunk that differs from host to host.
     fn add_imports(&mut self) {
-        let chunks = self.input.ranking.chunk_count();
-        let start = if chunks == 0 {
+        let chunk_count = self.input.ranking.chunk_count();
+        let start = if chunk_count == 0 {
             0
         } else {
-            self.input.local.0 % chunks
+            self.input.local.0 % chunk_count
         };
-        for chunk in (start..chunks).chain(0..start) {
+        for chunk in (start..chunk_count).chain(0..start) {
             if self.imports >= self.input.settings.max_imports {
                 return;
             }
@@ -239,8 +245,8 @@
     /// Source of an import: the origin, or a holder in the upstream region.
     fn import_source(&self, chunk: u32) -> Option<ChunkSource> {
         let Some(upstream) = self.input.ranking.upstream_region(chunk, self.region) else {
-            let open = self.input.origin_blocked_until_ms <= self.input.now_ms;
-            return open.then_some(ChunkSource::Origin);
+            let is_unblocked = self.input.origin_blocked_until_ms <= self.input.now_ms;
+            return is_unblocked.then_some(ChunkSource::Origin);
         };
         self.least_loaded_holder(chunk, upstream)
             .map(ChunkSource::Peer)
@@ -275,17 +281,17 @@
     fn needed_by_rarity(&self) -> Vec<(u32, u64, u32)> {
         let mut excluded = self.in_flight.clone();
         excluded.merge(self.input.held_chunks);
-        let mut holders = vec![0u32; self.input.ranking.chunk_count() as usize];
+        let mut holder_counts = vec![0u32; self.input.ranking.chunk_count() as usize];
         for state in self.input.peers {
             if state.unavailable || self.input.ranking.region_of(state.key) != self.region {
                 continue;
             }
             for chunk in excluded.missing_held_by(&state.held_chunks) {
-                holders[chunk as usize] += 1;
+                holder_counts[chunk as usize] += 1;
             }
         }
         let mut needed: Vec<(u32, u64, u32)> = (0..)
-            .zip(holders)
+            .zip(holder_counts)
             .filter(|(_, count)| *count > 0)
             .map(|(chunk, count)| (count, mix64(self.input.seed ^ u64::from(chunk)), chunk))
             .collect();
@@ -301,14 +307,15 @@
         })
     }
 
-    /// Holder of `chunk` in `region` with the fewest reads from here and in its queue.
+    /// Holder of `chunk` in `region` with the fewest fetches from this host, then with the
+    /// shortest queue.
     fn least_loaded_holder(&self, chunk: u32, region: usize) -> Option<PeerKey> {
         self.holders(chunk, region)
             .filter(|state| self.can_fetch_from(state))
             .min_by_key(|state| {
-                let order =
+                let tie_break =
                     mix64(self.input.seed ^ u64::from(state.key.0) << 20 ^ u64::from(chunk));
-                (self.fetches_from(state.key), state.queued_reads, order)
+                (self.fetches_from(state.key), state.queued_reads, tie_break)
             })
             .map(|state| state.key)
     }
--- a/src/weights/swarm_probes.rs
+++ b/src/weights/swarm_probes.rs
@@ -91,7 +91,8 @@
         fetches.count()
     }
 
-    /// Adds a probe of `peer`, unless one is in flight, too recent or paused.
+    /// Adds a probe of `peer`, unless one is in flight or was sent within `interval_ms`, or
+    /// probes of it are paused.
     fn add_probe(
         &mut self,
         peer: PeerKey,
@@ -104,7 +105,7 @@
         let is_recent = health
             .last_probe_ms
             .is_some_and(|last_probe_ms| now_ms < last_probe_ms + interval_ms);
-        let is_paused = health.paused_until_ms > now_ms;
+        let is_paused = health.probes_paused_until_ms > now_ms;
         if health.probe_in_flight || is_recent || is_paused {
             return;
         }
@@ -146,8 +147,9 @@
             return false;
         };
         let held_chunks = &self.peers[at].held_chunks;
-        let open = |chunk: &u32| !self.in_flight.iter().any(|fetch| fetch.chunk == *chunk);
-        self.missing_chunks().filter(open).any(|chunk| {
+        let is_not_in_flight =
+            |chunk: &u32| !self.in_flight.iter().any(|fetch| fetch.chunk == *chunk);
+        self.missing_chunks().filter(is_not_in_flight).any(|chunk| {
             held_chunks.contains(chunk) && self.primary_holder(chunk, region) == Some(self.local)
         })
     }
--- a/src/weights/swarm_state.rs
+++ b/src/weights/swarm_state.rs
@@ -32,7 +32,7 @@
 /// Failures in a row from which a broken connection makes a peer unavailable.
 const BROKEN_CONNECTION_LIMIT: u32 = 3;
 
-/// Time after its first refusal in which a host may still learn of the version.
+/// Time after a host first declined in which it may still learn of the version and join.
 const DECLINE_GRACE_MS: u64 = 5000;
 
 /// Backoff for a host that declined and may still join the transfer.
@@ -88,7 +88,7 @@
     /// because it sent a wrong chunk.
     pub(super) distrusted_until_ms: u64,
     /// Time until which the peer is not probed.
-    pub(super) paused_until_ms: u64,
+    pub(super) probes_paused_until_ms: u64,
     pub(super) last_probe_ms: Option<u64>,
     pub(super) probe_in_flight: bool,
 }
@@ -108,6 +108,7 @@
 /// returns and reports the results back.
 #[derive(Debug)]
 pub struct SwarmState {
+    /// Digest of the version's manifest.
     pub(super) manifest: Digest,
     pub(super) origin_region: String,
     pub(super) local: PeerKey,
@@ -120,12 +121,15 @@
     /// Peers of the own region that are probed for new chunks.
     pub(super) probed_peers: Vec<PeerKey>,
     pub(super) in_flight: Vec<ChunkFetch>,
+    /// Failed fetches from the origin since the last successful one.
     pub(super) origin_failures: u32,
     pub(super) origin_blocked_until_ms: u64,
     /// Time at which a chunk was last stored, in ms; at first the start.
     pub(super) last_progress_ms: u64,
+    /// Time at which the hosts that rank before this one were last probed, in ms.
     pub(super) higher_ranks_probed_ms: u64,
     pub(super) settings: SwarmSettings,
+    /// Seed of random choices; changes with each plan.
     pub(super) seed: u64,
 }
 
@@ -247,7 +251,7 @@
 
     /// Records the status received from a peer and ends its backoff for failures.
     ///
-    /// Ignored when it is of another number of chunks.
+    /// A status with another number of chunks is ignored.
     pub fn record_peer_status(
         &mut self,
         peer: PeerKey,
@@ -261,7 +265,7 @@
         health.failures = 0;
         health.declined_since_ms = None;
         health.unavailable_until_ms = 0;
-        health.paused_until_ms = 0;
+        health.probes_paused_until_ms = 0;
         let state = self.peer_state_mut(peer);
         state.held_chunks.merge(held_chunks);
         state.queued_reads = queued_reads;
@@ -292,8 +296,8 @@
 
     /// Records that the peer lacks a chunk that it was known to hold.
     ///
-    /// Another process has replaced the peer then, so its known chunks are replaced
-    /// by those in `status` instead of merged.
+    /// This shows that the peer's process was replaced, so the chunks in `status` replace
+    /// the known ones instead of being merged.
     pub fn record_missing_chunk(&mut self, fetch: ChunkFetch, status: &PeerStatus, now_ms: u64) {
         self.record_busy_peer(fetch, now_ms);
         if let ChunkSource::Peer(peer) = fetch.source
@@ -303,7 +307,7 @@
         }
     }
 
-    /// Records that the peer was too busy for the fetch.
+    /// Records that the peer was too busy for the fetch, and blocks it for a short time.
     pub fn record_busy_peer(&mut self, fetch: ChunkFetch, now_ms: u64) {
         self.remove_in_flight(fetch);
         if let ChunkSource::Peer(peer) = fetch.source {
@@ -341,11 +345,11 @@
     ) {
         self.remove_in_flight(fetch);
         self.origin_failures += 1;
-        let own_ms = exponential_backoff_ms(self.origin_failures);
+        let backoff_ms = exponential_backoff_ms(self.origin_failures);
         // Jitter keeps hosts that were refused at the same time from retrying at the
         // same time.
-        let jitter_ms = mix64(self.seed ^ now_ms) % (own_ms / 2 + 1);
-        let pause_ms = retry_after_ms.unwrap_or(0).max(own_ms) + jitter_ms;
+        let jitter_ms = mix64(self.seed ^ now_ms) % (backoff_ms / 2 + 1);
+        let pause_ms = retry_after_ms.unwrap_or(0).max(backoff_ms) + jitter_ms;
         self.origin_blocked_until_ms = self.origin_blocked_until_ms.max(now_ms + pause_ms);
     }
 
@@ -379,14 +383,14 @@
         if failure == PeerFailure::Declined {
             health.declined_since_ms.get_or_insert(now_ms);
         }
-        let own_ms = exponential_backoff_ms(health.failures);
+        let exponential_ms = exponential_backoff_ms(health.failures);
         let backoff_ms = match failure {
             PeerFailure::WrongChunk => WRONG_CHUNK_BACKOFF_MS,
             PeerFailure::Broken if health.failures < BROKEN_CONNECTION_LIMIT => BUSY_BACKOFF_MS,
             PeerFailure::Declined if health.may_still_join(now_ms) => DECLINE_BACKOFF_MS,
-            _ => own_ms.max(MIN_UNAVAILABLE_MS),
+            _ => exponential_ms.max(MIN_UNAVAILABLE_MS),
         };
-        health.paused_until_ms = now_ms + backoff_ms;
+        health.probes_paused_until_ms = now_ms + backoff_ms;
         if failure == PeerFailure::WrongChunk {
             health.distrusted_until_ms = now_ms + backoff_ms;
         }
--- a/src/weights/weights_replica.rs
+++ b/src/weights/weights_replica.rs
@@ -107,7 +107,8 @@
     Incomplete(WeightsReplica<Fetching>),
     /// The content matches the manifest.
     Verified(WeightsReplica<Verified>),
-    /// The manifest contradicts itself; the fetched chunks are dropped.
+    /// Each chunk matches its digest but the content does not match its own, so the manifest
+    /// contradicts itself; the fetched chunks are dropped.
     Held(HoldReason),
 }
 
@@ -162,6 +163,7 @@
     }
 }
 
+/// Implements the methods of the states in which chunks are stored.
 macro_rules! with_chunks {
     ($($state:ident)*) => {
         $(impl WeightsReplica<$state> {
--- a/tests/spec_weights/model.rs
+++ b/tests/spec_weights/model.rs
@@ -134,7 +134,7 @@
         for version in 0..VERSIONS {
             let complete = [Content::Of(version); CHUNKS];
             match self.stages[version] {
-                Stage::Serving if self.engine[version].is_some_and(|held| held != complete) => {
+                Stage::Serving if self.engine[version].is_some_and(|loaded| loaded != complete) => {
                     return Some("responses come from partial or mixed weights");
                 }
                 Stage::Ordered if self.chunks[version] != complete => {
@@ -268,14 +268,15 @@
         }
     }
 
-    fn loaded(&self, version: usize, held: Contents) -> Self {
+    /// State after the engine has loaded `contents` as `version` and the host compared them.
+    fn loaded(&self, version: usize, contents: Contents) -> Self {
         let mut state = self.clone();
-        state.engine[version] = Some(held);
+        state.engine[version] = Some(contents);
         let Verification::Verified(verified) = replica(version, &self.chunks[version]).verify()
         else {
             return state.with_stage(version, Stage::Serving);
         };
-        let serves = match verified.confirm_loaded(digest_of(&held)) {
+        let serves = match verified.confirm_loaded(digest_of(&contents)) {
             LoadCheck::Loaded(_) => true,
             LoadCheck::Held(..) => self.is_disabled(Rule::CompareLoaded),
         };
--- a/tests/weights/samples.rs
+++ b/tests/weights/samples.rs
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// Ranking of `hosts` for `chunks` chunks; the origin stands in `region-0`.
+/// Ranking of `hosts` for `chunks` chunks; the origin is in `region-0`.
 pub fn sample_ranking(chunks: u32, hosts: &[SwarmHost]) -> ChunkRanking {
     ChunkRanking::new(Digest::of_bytes(b"a version"), chunks, hosts, "region-0")
 }
