--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -22,7 +22,7 @@
     nonce: Nonce,
     dispatches: u32,
     latest_send_no: u32,
-    // Reason that was reported with "not run".
+    // Reason that was reported with "not run", which closed the permit.
     closed: Option<RefusalReason>,
 }
 
@@ -81,7 +81,7 @@
         DispatchDecision::Allowed
     }
 
-    /// Takes back the count of a dispatch of which no byte was sent.
+    /// Subtracts a dispatch of which no byte was sent from the count.
     pub fn undo_dispatch(&mut self, nonce: Nonce) {
         if let Some(record) = self.record_mut(nonce) {
             record.dispatches = record.dispatches.saturating_sub(1);
--- a/src/calls/endpoint_stats.rs
+++ b/src/calls/endpoint_stats.rs
@@ -5,7 +5,8 @@
 /// Time in which the count of recent requests halves, in milliseconds.
 const RECENT_HALF_LIFE_MS: f64 = 2000.0;
 
-/// The latest token interval has one part in this many of the moving average.
+/// Divisor of the moving average: the latest token interval has a weight of one part in
+/// this many.
 const INTERVAL_SMOOTHING: u64 = 4;
 
 /// Time for which an endpoint is avoided after its first failure, in milliseconds.
@@ -14,7 +15,7 @@
 /// Largest number of doublings of `FIRST_AVOID_MS`.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// Consecutive successes that take back one doubling.
+/// Consecutive successes after which the next failure has one doubling fewer.
 const SUCCESSES_PER_HALVING: u32 = 16;
 
 /// Age up to which a load report is used, in milliseconds.
@@ -33,9 +34,9 @@
     pub(super) token_interval_us: u64,
     /// Time until which the endpoint is avoided after a failure.
     pub(super) avoid_until_ms: u64,
-    /// Time of the last probe request while it was avoided.
+    /// Time of the last probe request, sent because the endpoint was slow.
     pub(super) last_probe_ms: u64,
-    // Doublings of the time for which the next failure has the endpoint avoided.
+    // Doublings of `FIRST_AVOID_MS` that the next failure causes.
     backoff_doublings: u32,
     consecutive_successes: u32,
     /// Load reported with the latest answer, and the time at which it was received.
--- a/src/calls/first_token_times.rs
+++ b/src/calls/first_token_times.rs
@@ -1,7 +1,7 @@
 /// Number of samples kept.
 const MAX_SAMPLES: usize = 128;
 
-/// Number of samples from which a threshold is derived.
+/// Smallest number of samples from which a threshold is derived.
 const MIN_SAMPLES: usize = 16;
 
 /// Threshold for a late first token, as a multiple of the 95th percentile.
@@ -14,18 +14,18 @@
 #[derive(Debug, Default)]
 pub struct FirstTokenTimes {
     samples_ms: Vec<u64>,
-    // Oldest sample once the buffer is full.
+    // Index of the oldest sample once the buffer is full.
     next_index: usize,
 }
 
 impl FirstTokenTimes {
     /// Adds the time that an engine took for a first token, in milliseconds.
-    pub fn record(&mut self, taken_ms: u64) {
+    pub fn record(&mut self, first_token_ms: u64) {
         if self.samples_ms.len() < MAX_SAMPLES {
-            self.samples_ms.push(taken_ms);
+            self.samples_ms.push(first_token_ms);
             return;
         }
-        self.samples_ms[self.next_index] = taken_ms;
+        self.samples_ms[self.next_index] = first_token_ms;
         self.next_index = (self.next_index + 1) % MAX_SAMPLES;
     }
 
--- a/src/calls/generate_call.rs
+++ b/src/calls/generate_call.rs
@@ -17,7 +17,7 @@
     pub branch: String,
     /// Name of the model.
     pub model: String,
-    /// Manifest of the only weights with which it may be answered.
+    /// Digest of the manifest of the only weights with which it may be answered.
     pub manifest: Digest,
     /// Text that the model continues.
     pub prompt: String,
--- a/src/calls/generate_frame.rs
+++ b/src/calls/generate_frame.rs
@@ -45,7 +45,7 @@
         request_id: String,
         /// Number of tokens of the complete answer, those before `resume_from` included.
         tokens: u32,
-        /// Manifest of the weights that were used.
+        /// Digest of the manifest of the weights that were used.
         manifest: Digest,
         /// Digest of the complete weights that were used.
         whole: Digest,
@@ -65,7 +65,7 @@
     /// The frame in MessagePack, with its length prefix.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = vec![0; LENGTH_BYTES];
-        rmp_serde::encode::write_named(&mut bytes, self).expect("frames have no failing fields");
+        rmp_serde::encode::write_named(&mut bytes, self).expect("every frame can be encoded");
         let length = (bytes.len() - LENGTH_BYTES) as u32;
         bytes[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
         bytes
@@ -80,6 +80,7 @@
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
     bytes: Vec<u8>,
+    // Index of the first byte that is not part of a returned frame.
     start: usize,
 }
 
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,5 +1,9 @@
 //! Permits, outcomes, routing, retry budgets and crash suspects of calls.
 //!
+//! The caller may send a call with the same permit several times, to any entry;
+//! each of these requests is a send. A dispatch is the request with which an entry
+//! passes a send on to the endpoint.
+//!
 //! A call that must not run twice needs a permit, which names one incarnation of
 //! one endpoint. The permit table of that endpoint runs each nonce at most once,
 //! answers further sends with the stored outcome, and records each refusal before
--- a/src/calls/pause_detector.rs
+++ b/src/calls/pause_detector.rs
@@ -1,8 +1,8 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Missed ticks in a row that count as a pause; fewer may be due to load.
-const MISSED_TICKS: u64 = 5;
+/// Smallest number of missed ticks in a row that count as a pause; fewer may be due to load.
+const MIN_MISSED_TICKS: u64 = 5;
 
 /// Time after a pause in which messages that arrived during it may still be read, in milliseconds.
 const SETTLE_MS: u64 = 1_000;
@@ -10,20 +10,24 @@
 /// Detects pauses in which the process did not run, from missing ticks.
 #[derive(Debug)]
 pub struct PauseDetector {
-    tick_ms: u64,
+    /// Interval between two ticks.
+    tick_interval_ms: u64,
+    /// Time of the last tick.
     last_tick_ms: AtomicU64,
+    /// Time of the first tick after the last pause; at first the start.
     resumed_ms: AtomicU64,
-    last_pause_ms: AtomicU64,
+    /// Length of the last pause.
+    last_pause_length_ms: AtomicU64,
 }
 
 impl PauseDetector {
-    /// Detector for a process that calls [`tick`](Self::tick) every `tick_ms`.
-    pub fn new(tick_ms: u64, now_ms: u64) -> Self {
+    /// Detector for a process that calls [`tick`](Self::tick) every `tick_interval_ms`.
+    pub fn new(tick_interval_ms: u64, now_ms: u64) -> Self {
         Self {
-            tick_ms,
+            tick_interval_ms,
             last_tick_ms: AtomicU64::new(now_ms),
             resumed_ms: AtomicU64::new(now_ms),
-            last_pause_ms: AtomicU64::new(0),
+            last_pause_length_ms: AtomicU64::new(0),
         }
     }
 
@@ -31,7 +35,8 @@
     pub fn tick(&self, now_ms: u64) {
         let tick_gap_ms = self.tick_gap_ms(now_ms);
         if tick_gap_ms > 0 {
-            self.last_pause_ms.store(tick_gap_ms, Ordering::Relaxed);
+            self.last_pause_length_ms
+                .store(tick_gap_ms, Ordering::Relaxed);
             self.resumed_ms.store(now_ms, Ordering::Relaxed);
         }
         self.last_tick_ms.store(now_ms, Ordering::Relaxed);
@@ -45,13 +50,13 @@
         if tick_gap_ms > 0 || resumed_for_ms >= SETTLE_MS {
             return tick_gap_ms;
         }
-        self.last_pause_ms.load(Ordering::Relaxed)
+        self.last_pause_length_ms.load(Ordering::Relaxed)
     }
 
     /// Time since the last tick if it is long enough for a pause, else 0, in milliseconds.
     fn tick_gap_ms(&self, now_ms: u64) -> u64 {
         let tick_gap_ms = now_ms.saturating_sub(self.last_tick_ms.load(Ordering::Relaxed));
-        match tick_gap_ms >= MISSED_TICKS * self.tick_ms {
+        match tick_gap_ms >= MIN_MISSED_TICKS * self.tick_interval_ms {
             true => tick_gap_ms,
             false => 0,
         }
--- a/src/calls/permit_table.rs
+++ b/src/calls/permit_table.rs
@@ -66,7 +66,8 @@
     Unknown(UnknownReason),
 }
 
-/// State of a permit; the digest is that of the request it was first used for.
+/// State of the call under a permit; the digest is that of the request with which the permit
+/// was first used.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum CallState {
     Running(Digest),
@@ -209,7 +210,7 @@
         now_ms: u64,
     ) -> CallDecision {
         let limits = self.limits.clone();
-        let next_epoch_ms = self.counter.next_epoch_in_ms(now_ms);
+        let next_epoch_in_ms = self.counter.next_epoch_in_ms(now_ms);
         let epoch = match self.open_epoch(permit, now_ms) {
             Ok(epoch) => epoch,
             Err(reason) => return CallDecision::Unknown(reason),
@@ -218,7 +219,7 @@
             Ok(at) => epoch.permits[at].decision_for(request),
             Err(_) if epoch.is_full(&limits) => CallDecision::Refused {
                 reason: RefusalReason::PermitsFull,
-                retry_after_ms: Some(next_epoch_ms),
+                retry_after_ms: Some(next_epoch_in_ms),
             },
             Err(at) => match refusal {
                 None => {
@@ -233,7 +234,8 @@
         }
     }
 
-    /// The recorded epoch that a permit of this incarnation names.
+    /// The epoch that a permit names, if the permit is of this incarnation and the epoch has a
+    /// record.
     fn find_epoch(&mut self, permit: &Permit) -> Option<&mut Epoch> {
         if permit.incarnation != self.incarnation {
             return None;
@@ -242,7 +244,7 @@
         self.epochs.get_mut(at)
     }
 
-    /// The epoch that a permit names.
+    /// The epoch that a permit names, created if it has no record yet.
     ///
     /// # Errors
     ///
--- a/src/calls/retry_budget.rs
+++ b/src/calls/retry_budget.rs
@@ -4,7 +4,7 @@
 /// Bounds retries to a share of the requests of each branch.
 ///
 /// Each new request adds a fraction of a retry to the balance of its branch, and
-/// each retry takes a complete one, so retries cannot outgrow the requests.
+/// each retry takes a full one from it, so retries cannot outgrow the requests.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     ratio_permille: u64,
--- a/src/calls/router.rs
+++ b/src/calls/router.rs
@@ -19,14 +19,14 @@
 /// Replicas in rendezvous order that are considered for a prefix before load alone decides.
 const AFFINITY_TRIES: usize = 3;
 
-/// An endpoint is slow from this multiple of the median token interval.
+/// Multiple of the median token interval from which on an endpoint is slow.
 const SLOW_FACTOR: u64 = 3;
 
-/// Time between two probe requests to an avoided endpoint, in milliseconds.
+/// Time between two probe requests to a slow endpoint, in milliseconds.
 const PROBE_INTERVAL_MS: u64 = 1000;
 
 /// Share of healthy candidates below which all candidates are used, in percent.
-const MIN_USED_PERCENT: usize = 50;
+const MIN_HEALTHY_PERCENT: usize = 50;
 
 /// Candidates and constraints for the choice of an endpoint.
 #[derive(Debug, Clone, Copy)]
@@ -168,11 +168,13 @@
         let slow_us = self.slow_interval_us(candidates);
         let is_healthy = |candidate: &&Candidate| {
             let stats = self.find_stats(candidate.key);
-            stats.is_none_or(|it| it.avoid_until_ms <= now_ms && it.token_interval_us < slow_us)
+            stats.is_none_or(|stats| {
+                stats.avoid_until_ms <= now_ms && stats.token_interval_us < slow_us
+            })
         };
         let healthy: Vec<Candidate> = candidates.iter().filter(is_healthy).copied().collect();
-        // If most look unhealthy, the criterion is more likely wrong than the endpoints.
-        if healthy.len() * 100 < candidates.len() * MIN_USED_PERCENT {
+        // If most look unhealthy, it is more likely that the criterion is wrong.
+        if healthy.len() * 100 < candidates.len() * MIN_HEALTHY_PERCENT {
             return candidates.to_vec();
         }
         healthy
@@ -193,10 +195,20 @@
         intervals_us[(intervals_us.len() - 1) / 2] * SLOW_FACTOR
     }
 
-    /// An avoided endpoint that is due for a probe request.
-    fn due_probe(&mut self, all: &[Candidate], used: &[Candidate], now_ms: u64) -> Option<HostKey> {
-        let is_used = |key| used.iter().any(|candidate| candidate.key == key);
-        for candidate in all.iter().filter(|candidate| !is_used(candidate.key)) {
+    /// A slow endpoint that is due for a probe request, which measures its token interval again.
+    ///
+    /// An endpoint that failed needs none: it becomes usable when `avoid_until_ms` has passed.
+    fn due_probe(
+        &mut self,
+        candidates: &[Candidate],
+        usable: &[Candidate],
+        now_ms: u64,
+    ) -> Option<HostKey> {
+        let is_usable = |key| usable.iter().any(|candidate| candidate.key == key);
+        for candidate in candidates
+            .iter()
+            .filter(|candidate| !is_usable(candidate.key))
+        {
             let stats = self.ensure_stats(candidate.key);
             let is_due = now_ms >= stats.last_probe_ms + PROBE_INTERVAL_MS;
             if is_due && stats.avoid_until_ms <= now_ms && stats.in_flight() == 0 {
--- a/src/calls/service_call.rs
+++ b/src/calls/service_call.rs
@@ -8,7 +8,7 @@
 
 /// Byte sent as a heartbeat until the answer is ready.
 ///
-/// It is nil in MessagePack, with which no answer starts.
+/// It is nil in MessagePack; no answer starts with this byte.
 pub const HEARTBEAT_BYTE: u8 = 0xc0;
 
 /// A call of a service other than a model, from an entry to an endpoint.
@@ -31,7 +31,7 @@
 }
 
 impl ServiceCall {
-    /// Service and path, as the part of the fingerprint beside the body.
+    /// Service and path, which the fingerprint covers together with the body.
     pub fn target(&self) -> String {
         format!("{}/{}", self.service, self.path)
     }
--- a/src/calls/suspect_slot.rs
+++ b/src/calls/suspect_slot.rs
@@ -3,7 +3,7 @@
 /// Lets one crash suspect at a time run on an endpoint.
 #[derive(Debug, Default)]
 pub struct SuspectSlot {
-    // Fingerprint of the request that holds the slot, and its running copies.
+    // Fingerprint of the request that holds the slot, and the number of its running copies.
     holder: Option<(Digest, u32)>,
 }
 
--- a/src/calls/suspect_table.rs
+++ b/src/calls/suspect_table.rs
@@ -3,7 +3,7 @@
 
 use crate::weights::Digest;
 
-/// Number of crashes from which a request is refused.
+/// Number of crashes from which on a request is refused.
 pub const REFUSED_AT_CRASHES: usize = 3;
 
 /// Digest of the target and body of a request, which identifies it in the suspect table.
@@ -59,7 +59,7 @@
 /// A request that was running during a crash.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Suspicion {
-    // Request and crash are the key.
+    // The key of a suspicion is the pair of request and crash.
     fingerprint: Digest,
     crash: CrashId,
     observed_ms: u64,
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -200,14 +200,17 @@
     let mut ledger = DispatchLedger::new(2);
     let (own, other) = (Nonce::from(1), Nonce::from(2));
     ledger.record_permit(own);
-    let arrived = SendResult::DispatchUnknown(UnknownReason::PastIncarnation);
+    let dispatch_unknown = SendResult::DispatchUnknown(UnknownReason::PastIncarnation);
     for nonce in [own, other] {
         assert_eq!(ledger.record_dispatch(nonce, 1), DispatchDecision::Allowed);
     }
     let replaced = CallOutcome::not_run(RefusalReason::Replaced);
     let unknown = CallOutcome::unknown(UnknownReason::PastIncarnation);
-    assert_eq!(ledger.finish_send(other, 1, arrived.clone()), unknown);
-    assert_eq!(ledger.finish_send(own, 1, arrived), replaced);
+    assert_eq!(
+        ledger.finish_send(other, 1, dispatch_unknown.clone()),
+        unknown
+    );
+    assert_eq!(ledger.finish_send(own, 1, dispatch_unknown), replaced);
     assert_eq!(
         ledger.record_dispatch(own, 1),
         DispatchDecision::Closed(RefusalReason::Replaced)
