--- a/src/hosts/heartbeat.rs
+++ b/src/hosts/heartbeat.rs
@@ -5,7 +5,7 @@
 use crate::hosts::Load;
 use crate::weights::Digest;
 
-/// Context of the key derivation; separates this key from other uses of the shared key.
+/// Context string that separates heartbeat keys from other uses of the shared key.
 const KEY_CONTEXT: &str = "bergamotfork beat 1";
 
 /// Length of the seal at the end of a datagram, in bytes.
@@ -72,7 +72,7 @@
     pub suspects: StateTag,
     /// Whether the sender is draining and will stop.
     pub leaving: bool,
-    /// Whether the sender wants an answer even if the receiver has no update for it.
+    /// Whether the sender wants an answer even if it is not behind and need not report.
     pub wants_answer: bool,
     /// Offset up to which the sender has applied the configuration log.
     pub config_offset: u64,
--- a/src/hosts/host.rs
+++ b/src/hosts/host.rs
@@ -45,19 +45,27 @@
     pub incarnation: u64,
     /// Load in the last message.
     pub load: Load,
-    /// Model versions in the last report.
+    /// Model versions in the last report, served already or not.
     pub served: Vec<HostedVersion>,
     /// Epoch to put into new permits for the host.
     pub permit_epoch: u64,
     /// Configuration offset in the last message; `None` before the first report.
     pub config_offset: Option<u64>,
+    /// Tag of the last report.
     pub(super) state_tag: Option<StateTag>,
+    /// Time at which the host sent its last heartbeat, on its own monotonic clock, in ms.
     pub(super) heartbeat_sent_ms: u64,
+    /// Whether the platform lists the host.
     pub(super) is_listed: bool,
+    /// Whether the platform lists the host as leaving.
     pub(super) is_listed_leaving: bool,
+    /// Whether the host itself reported that it is leaving.
     pub(super) has_reported_leaving: bool,
+    /// Time of the last message from the host, in ms.
     pub(super) last_received_ms: Option<u64>,
+    /// Time of the last failed call to the host, in ms.
     pub(super) last_failed_ms: Option<u64>,
+    /// Time since which the platform does not list the host, in ms; meaningless while it does.
     pub(super) unlisted_since_ms: u64,
 }
 
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -28,7 +28,8 @@
     Verified,
     /// The engine serves the version.
     Serving,
-    /// The version cannot proceed; the cause is in the log and in the output of `status`.
+    /// The version cannot proceed; the cause is in the log lines of the host and in the output
+    /// of `status`.
     Held,
 }
 
@@ -83,7 +84,7 @@
     pub config: ConfigPosition,
     /// Load of the process.
     pub load: Load,
-    /// Model versions on the host.
+    /// Model versions on the host, served already or not.
     pub served: Vec<HostedVersion>,
     /// Epoch to put into new permits for the process.
     pub permit_epoch: u64,
@@ -99,9 +100,14 @@
         let served: Vec<_> = self
             .served
             .iter()
-            .map(|served| {
-                let tenths = served.present_percent / 10;
-                (served.manifest, served.progress, tenths, &served.held)
+            .map(|version| {
+                let present_tenths = version.present_percent / 10;
+                (
+                    version.manifest,
+                    version.progress,
+                    present_tenths,
+                    &version.held,
+                )
             })
             .collect();
         let state = (&self.name, self.address, self.incarnation, served);
--- a/src/hosts/roster.rs
+++ b/src/hosts/roster.rs
@@ -48,7 +48,8 @@
     Outdated,
 }
 
-/// Place of a host in the roster; the generation grows when the host is removed.
+/// Place of a host in the roster; the generation grows when the host is removed, so that
+/// keys of that host find no other one.
 #[derive(Debug, Default)]
 struct Slot {
     generation: u32,
@@ -62,9 +63,12 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     slots: Vec<Slot>,
+    /// Keys of all hosts, ascending by name.
     by_name: Vec<HostKey>,
+    /// Keys of all hosts, ascending by the tag of the name.
     by_tag: Vec<(NameTag, HostKey)>,
     list_version: u64,
+    /// Time of the first list in a row whose removals were deferred, in ms.
     removals_deferred_since_ms: Option<u64>,
 }
 
@@ -99,7 +103,9 @@
     /// Index of `name` in `by_name`, or the index at which to insert it.
     fn position(&self, name: &str) -> Result<usize, usize> {
         self.by_name.binary_search_by(|key| {
-            let host = self.host(*key).expect("the index holds no stale key");
+            let host = self
+                .host(*key)
+                .expect("`by_name` holds no key of a removed host");
             host.name.as_str().cmp(name)
         })
     }
@@ -187,7 +193,7 @@
         ListOutcome::Applied
     }
 
-    /// Whether the removals of a list are deferred.
+    /// Decides whether the removals of a list are deferred, and keeps the time since when they are.
     fn defers_removals(&mut self, listed_before: usize, still_listed: usize, now_ms: u64) -> bool {
         let has_lost_half = still_listed * 2 <= listed_before && listed_before > 1;
         if !has_lost_half {
--- a/tests/hosts/main.rs
+++ b/tests/hosts/main.rs
@@ -90,7 +90,7 @@
 fn status_failed_until_next_report() {
     let mut roster = Roster::new();
     roster.merge_report(&report(0, 1), 1000);
-    let key = roster.key("host-000").expect("the host was heard");
+    let key = roster.key("host-000").expect("the host has reported");
     roster.record_failure(key, 1100);
     assert_eq!(status(&roster, 0, 1100), Some(HostStatus::Failed));
     roster.merge_report(&report(0, 1), 1200);
@@ -101,7 +101,7 @@
 fn merge_report_replaced_incarnation() {
     let mut roster = Roster::new();
     roster.merge_report(&report(0, 5), 1000);
-    let key = roster.key("host-000").expect("the host was heard");
+    let key = roster.key("host-000").expect("the host has reported");
     roster.record_leaving(key);
     assert_eq!(
         roster.merge_report(&report(0, 4), 1100),
@@ -176,7 +176,7 @@
 fn host_removed_key() {
     let mut roster = Roster::new();
     roster.merge_report(&report(0, 1), 0);
-    let key = roster.key("host-000").expect("the host was heard");
+    let key = roster.key("host-000").expect("the host has reported");
     roster.remove_expired(HOST_EXPIRY_MS + 1);
     assert!(roster.host(key).is_none());
     roster.merge_report(&report(1, 1), HOST_EXPIRY_MS + 2);
@@ -210,7 +210,10 @@
                 let Some(last_ms) = last_ms else { continue };
                 let usable = status(&roster, number, now_ms) == Some(HostStatus::Usable);
                 let silent_ms = now_ms - last_ms;
-                assert!(usable || silent_ms > SILENCE_MS, "heard and not usable");
+                assert!(
+                    usable || silent_ms > SILENCE_MS,
+                    "received from and not usable"
+                );
                 assert!(!usable || silent_ms < NO_NEW_WORK_MS, "silent and usable");
             }
         }
