--- a/src/node/config_request.rs
+++ b/src/node/config_request.rs
@@ -18,7 +18,7 @@
 /// Request for the records or the checkpoint that the sender lacks.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ConfigRequest {
-    /// Head of the requesting process.
+    /// Head of the requesting process, from which on it lacks records.
     pub from: u64,
 }
 
@@ -36,9 +36,9 @@
 }
 
 /// Applies the status of the peer `name`, received without an update.
-pub(super) fn apply_peer_status(node: &Node, requested_ms: u64, name: &str, mark: ConfigStatus) {
+pub(super) fn apply_peer_status(node: &Node, requested_ms: u64, name: &str, status: ConfigStatus) {
     let answer = ConfigAnswer {
-        mark,
+        mark: status,
         update: ConfigUpdate::None,
     };
     apply_peer_answer(node, requested_ms, name, &answer);
@@ -46,15 +46,15 @@
 
 /// Applies the answer of the peer `name` to a request sent at `requested_ms`.
 fn apply_peer_answer(node: &Node, requested_ms: u64, name: &str, answer: &ConfigAnswer) {
-    let listed = node.roster().listed_count(HostRole::Entry);
+    let listed_entries = node.roster().listed_count(HostRole::Entry);
     let now_ms = node.now_ms();
-    let notices = node
-        .follower()
-        .apply_peer_answer(now_ms, requested_ms, name, listed, answer);
+    let notices =
+        node.follower()
+            .apply_peer_answer(now_ms, requested_ms, name, listed_entries, answer);
     emit_notices(node, &notices);
 }
 
-/// Writes each notice to the log as its event.
+/// Emits the event of each notice to the log lines of the process.
 pub fn emit_notices(node: &Node, notices: &[Notice]) {
     let name = node.name();
     for notice in notices {
--- a/src/node/datagram_receiver.rs
+++ b/src/node/datagram_receiver.rs
@@ -20,7 +20,7 @@
 /// Largest datagram that is received, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1024;
 
-/// Pause after an error of the socket, such as the closed port of a peer.
+/// Pause after an error of the socket, such as the one that a closed port of a peer causes.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 /// Receives and handles datagrams for as long as the process runs.
@@ -47,7 +47,7 @@
     }
 }
 
-/// Merges a heartbeat; answers if the sender is behind, must report or wants an answer.
+/// Merges a heartbeat; answers it if the sender is behind, must report or wants an answer.
 fn handle_heartbeat(
     node: &Node,
     socket: &HeartbeatSocket,
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -49,7 +49,7 @@
 /// Largest number of suspect records; a crash adds one for each request that was running.
 const MAX_SUSPECT_RECORDS: usize = 1024;
 
-/// Changing part of the state that this process reports.
+/// Part of the reported state that changes while the process runs.
 #[derive(Debug, Default)]
 pub struct OwnState {
     /// Load of the process.
@@ -155,7 +155,7 @@
         &self.http
     }
 
-    /// Returns the simulated network cuts: addresses that the process must not reach in a test.
+    /// Returns the simulated partition: the addresses that a benchmark cuts this process off from.
     pub fn simulated_partition(&self) -> &Arc<SimulatedPartition> {
         &self.simulated_partition
     }
@@ -164,18 +164,18 @@
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError`] when no valid answer arrived within `wait_ms`.
+    /// Returns [`LinkError`] when no valid answer arrived within `timeout_ms`.
     pub async fn send_request<A: DeserializeOwned>(
         &self,
         url: &str,
         message: &impl Serialize,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<A, LinkError> {
         let malformed = |error: String| LinkError::Malformed(error);
         let body =
             rmp_serde::to_vec_named(message).map_err(|error| malformed(error.to_string()))?;
         self.count_control_message("sent", body.len());
-        let answer = self.http.post_rmp(url, body, wait_ms).await?;
+        let answer = self.http.post_rmp(url, body, timeout_ms).await?;
         self.count_control_message("received", answer.len());
         rmp_serde::from_slice(&answer).map_err(|error| malformed(error.to_string()))
     }
@@ -260,7 +260,7 @@
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Starts the drain: the process takes no new work from now on.
+    /// Starts the drain: the process is leaving and takes no new work from now on.
     pub fn start_drain(&self) {
         self.leaving.store(true, Ordering::Release);
     }
@@ -277,7 +277,8 @@
         )
     }
 
-    /// Whether the process admits new work; counts admissions while cut off from the log.
+    /// Whether the process admits new work; counts the checks passed while it is cut off from
+    /// the log.
     pub fn is_ready(&self) -> bool {
         let admission = self.admission();
         if admission == ConfigAdmission::CutOffServing {
@@ -289,14 +290,14 @@
 
     /// Creates the answer to a report of a peer.
     pub fn report_answer(&self) -> ReportAnswer {
-        let mark = self.follower().status(self.now_ms());
+        let status = self.follower().status(self.now_ms());
         ReportAnswer {
             config: ConfigPosition {
-                offset: mark.head,
-                digest: mark.digest,
+                offset: status.head,
+                digest: status.digest,
             },
-            is_voter: self.process.role == HostRole::Entry && mark.is_voter,
-            confirmed_age_ms: mark.confirmed_age_ms,
+            is_voter: self.process.role == HostRole::Entry && status.is_voter,
+            confirmed_age_ms: status.confirmed_age_ms,
             suspects: self.known_suspects(),
         }
     }
@@ -362,7 +363,7 @@
     }
 }
 
-/// Returns the time of the wall clock in µs, which is only compared on the same host.
+/// Returns the time of the wall clock in µs; incarnations are only compared on the same host.
 fn unix_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -22,13 +22,13 @@
 use crate::observe::Event;
 use crate::observe::emit_event;
 
-/// Interval of the check whether the process was paused.
+/// Interval at which the process records that it runs, to detect pauses.
 const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval at which an entry checks whether to notify hosts of a new offset.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Number of rounds of which one wants an answer even if the entry has no update.
+/// Number of rounds of heartbeats of which one wants an answer from every entry.
 const ROUNDS_PER_ANSWER: u64 = 5;
 
 /// Timeout of a report to an entry, in ms.
@@ -91,7 +91,8 @@
         }
     }
 
-    /// On an entry, notifies the hosts that are behind of a new offset, once per offset.
+    /// On an entry, sends each host that is behind an answer with the new offset, which it did
+    /// not request; once per offset.
     fn notify_outdated_hosts(&mut self) {
         let head = self.node.config_position().offset;
         if self.node.process().role != HostRole::Entry || head <= self.notified_offset {
@@ -116,7 +117,8 @@
 }
 
 impl HeartbeatSocket {
-    /// Sends a sealed datagram; one that cannot be sent at once is dropped, as UDP may lose it.
+    /// Sends a sealed datagram; drops it if it cannot be sent at once, since UDP may lose
+    /// datagrams anyway.
     pub(super) fn send(&self, node: &Node, datagram: &[u8], to: std::net::SocketAddr) {
         if node.simulated_partition().blocks_address(to) {
             return;
