--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -53,7 +53,7 @@
     check_section(document, &section)
 }
 
-/// Lists the parts of `document` without effect: invalid sections and references to
+/// Lists the parts of `document` that have no effect: invalid sections, and references to
 /// sections that do not exist.
 pub fn inert_parts(document: &Document) -> Vec<SectionFault> {
     let mut faults = Vec::new();
--- a/src/document/fold.rs
+++ b/src/document/fold.rs
@@ -115,7 +115,7 @@
         Checkpoint::new(self.head, &self.document, &edits)
     }
 
-    /// Replaces the state by a checkpoint that is ahead; never goes back.
+    /// Replaces the state by a checkpoint that is ahead of the head; never goes back.
     pub fn apply_checkpoint(&mut self, checkpoint: &Checkpoint) -> CheckpointOutcome {
         if checkpoint.check_digest().is_err() {
             return CheckpointOutcome::Corrupt;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Compares a checkpoint with the digest that this fold had at the same offset.
+    /// Compares a checkpoint in the log with the digest that this fold had at the same offset.
     fn verify_checkpoint(&self, checkpoint: &Checkpoint) -> RecordOutcome {
         let as_of = checkpoint.as_of;
         match self.past_digests.digest_at(as_of) {
--- a/src/document/follow/config_answer.rs
+++ b/src/document/follow/config_answer.rs
@@ -5,7 +5,7 @@
 use crate::document::follow::RawLogRecord;
 use crate::weights::Digest;
 
-/// Position of a peer in the log, and how current it is.
+/// Position of a peer in the configuration log, and when it was known to be the log's end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigStatus {
     /// Offset of the next record that the peer will apply.
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -13,10 +13,10 @@
 use crate::document::follow::checkpoint_search::CheckpointSearch;
 use crate::document::follow::recent_records::RecentRecords;
 
-/// Time between two ticks from which on the process counts as paused, in ms.
+/// Smallest time between two ticks that counts as a pause of the process, in ms.
 const PAUSE_MS: u64 = 5_000;
 
-/// Keeps the configuration of one process up to date.
+/// Keeps the configuration of one process up to date from log pages and answers of peers.
 #[derive(Debug, Clone)]
 pub struct Follower {
     fold: Fold,
@@ -24,8 +24,8 @@
     readiness: Readiness,
     search: Option<CheckpointSearch>,
     last_tick_ms: u64,
-    // Time of the start or of the end of the last pause; answers to earlier requests may be
-    // out of date.
+    // Time of the start, or of the end of the last pause if there was one; answers to earlier
+    // requests may be out of date.
     resumed_ms: u64,
     last_confirmed_ms: Option<u64>,
     checkpoint_observed_ms: u64,
@@ -143,13 +143,13 @@
     }
 
     /// Applies the answer of `peer` to a request sent at `requested_ms`, where the platform
-    /// lists `listed` entries.
+    /// lists `listed_entries` entries.
     pub fn apply_peer_answer(
         &mut self,
         now_ms: u64,
         requested_ms: u64,
         peer: &str,
-        listed: usize,
+        listed_entries: usize,
         answer: &ConfigAnswer,
     ) -> Vec<Notice> {
         self.tick(now_ms);
@@ -164,9 +164,10 @@
             });
             return notices;
         }
-        // A request time in the future shows that another process sent the request.
+        // A request time in the future is from the clock of another process, so that the
+        // answer is not for this one.
         if self.fold.head() >= answer.mark.head && requested_ms <= now_ms {
-            self.apply_peer_status(requested_ms, peer, listed, &answer.mark);
+            self.apply_peer_status(requested_ms, peer, listed_entries, &answer.mark);
         }
         notices
     }
@@ -177,12 +178,13 @@
         own.is_some_and(|digest| digest != status.digest)
     }
 
-    /// Takes over the confirmation of a peer that this process is not behind.
+    /// Takes over the confirmation of a peer, and counts the answer of a voter towards the
+    /// majority; the head of this process must be at least that of the peer.
     fn apply_peer_status(
         &mut self,
         requested_ms: u64,
         peer: &str,
-        listed: usize,
+        listed_entries: usize,
         status: &ConfigStatus,
     ) {
         if let Some(age_ms) = status.confirmed_age_ms {
@@ -194,7 +196,7 @@
             }
         }
         if status.is_voter && requested_ms >= self.resumed_ms {
-            self.readiness.record_voter(peer, listed);
+            self.readiness.record_voter(peer, listed_entries);
         }
     }
 
--- a/src/document/follow/notice.rs
+++ b/src/document/follow/notice.rs
@@ -1,6 +1,6 @@
 use crate::document::DocumentError;
 
-/// Event of following the log that is logged for operators.
+/// Event of following the configuration log, to be written to the log lines of the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
     /// The head of this process advanced.
--- a/src/document/follow/readiness.rs
+++ b/src/document/follow/readiness.rs
@@ -44,16 +44,16 @@
         *self = Self::Confirmed;
     }
 
-    /// Records an answer of the voting entry `name`, where the platform lists `listed`
-    /// entries; a majority of them confirms the configuration.
-    pub fn record_voter(&mut self, name: &str, listed: usize) {
+    /// Records an answer of the voting entry `name`, where the platform lists
+    /// `listed_entries` entries; a majority of them confirms the configuration.
+    pub fn record_voter(&mut self, name: &str, listed_entries: usize) {
         let (Self::Started(voters) | Self::Resumed(voters)) = self else {
             return;
         };
         if let Err(index) = voters.0.binary_search_by(|other| other.as_str().cmp(name)) {
             voters.0.insert(index, name.to_owned());
         }
-        if listed > 0 && voters.0.len() > listed / 2 {
+        if listed_entries > 0 && voters.0.len() > listed_entries / 2 {
             *self = Self::Confirmed;
         }
     }
--- a/src/document/past_digests.rs
+++ b/src/document/past_digests.rs
@@ -12,7 +12,7 @@
 }
 
 impl PastDigests {
-    /// Adds the digest at `offset`, which must be greater than all offsets before.
+    /// Adds the digest at `offset`, which must be greater than all that were added before.
     pub fn push(&mut self, offset: u64, digest: Digest) {
         if self.digests.len() == MAX_PAST_DIGESTS {
             self.digests.pop_front();
--- a/src/document/section_reader.rs
+++ b/src/document/section_reader.rs
@@ -41,7 +41,7 @@
             Some(value) if !value.is_empty() => value.to_owned(),
             Some(value) => {
                 let value = value.to_owned();
-                self.add_invalid_value(key, value, "a text");
+                self.add_invalid_value(key, value, "a non-empty text");
                 String::new()
             }
             None => {
@@ -59,14 +59,14 @@
 
     /// Returns the digest of `key`; adds a fault if it is missing or invalid.
     pub fn required_digest(&mut self, key: &str) -> Digest {
-        let missing = Digest::of_bytes(&[]);
+        let placeholder = Digest::of_bytes(&[]);
         let Some(value) = self.properties.get(key).map(str::to_owned) else {
             self.add_fault(key, FaultReason::MissingKey);
-            return missing;
+            return placeholder;
         };
         value.parse().unwrap_or_else(|_| {
             self.add_invalid_value(key, value, "a digest of 64 hexadecimal digits");
-            missing
+            placeholder
         })
     }
 
--- a/tests/document/fold.rs
+++ b/tests/document/fold.rs
@@ -39,7 +39,7 @@
     let mut fold = Fold::new();
     apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     apply(&mut fold, edit("b", "s x", 0, "k = 2"));
-    let first = *fold.edit_outcome("a").expect("remembered");
+    let first = *fold.edit_outcome("a").expect("the outcome is kept");
     let repeated = apply(&mut fold, edit("a", "s x", 0, "k = 1"));
     assert_eq!(repeated, RecordOutcome::Repeated(first));
     let repeated = apply(&mut fold, edit("b", "s x", 0, "k = 2"));
--- a/tests/document/follow.rs
+++ b/tests/document/follow.rs
@@ -106,7 +106,10 @@
         panic!("the records are recent");
     };
     assert_eq!(records.len(), 3);
-    assert!(records[1].bytes.is_empty(), "a checkpoint travels empty");
+    assert!(
+        records[1].bytes.is_empty(),
+        "a checkpoint is sent as an empty record"
+    );
     let mut other = follower_of(0, 1);
     let notices = other.apply_peer_answer(0, 0, "e1", 1, &answer);
     assert_eq!(notices, [Notice::Advanced { head: 4 }]);
