--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -28,7 +28,7 @@
 /// Interval at which an entry checks whether to notify hosts of a new offset.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Number of rounds of heartbeats of which one wants an answer from every entry.
+/// Number of rounds of heartbeats of which one wants an answer from each report target.
 const ROUNDS_PER_ANSWER: u64 = 5;
 
 /// Timeout of a report to an entry, in ms.
@@ -91,8 +91,8 @@
         }
     }
 
-    /// On an entry, sends each host that is behind an answer with the new offset, which it did
-    /// not request; once per offset.
+    /// On an entry, notifies each host that is behind a new offset, by an answer that it did not
+    /// request; once per offset.
     fn notify_outdated_hosts(&mut self) {
         let head = self.node.config_position().offset;
         if self.node.process().role != HostRole::Entry || head <= self.notified_offset {
--- a/tests/spec_config/invariants.rs
+++ b/tests/spec_config/invariants.rs
@@ -81,11 +81,13 @@
 /// An entry that starts to admit work has a head at least as high as any that a majority
 /// of the entries has held.
 fn admits_behind_majority(before: &State, after: &State) -> Option<String> {
-    let in_force = before.majority_head;
+    let majority_head = before.majority_head;
     for (old, new) in before.nodes.iter().zip(&after.nodes) {
         let head = new.fold().head();
-        if !old.admits() && new.admits() && head < in_force {
-            return Some(format!("admits work at {head}, {in_force} was in force"));
+        if !old.admits() && new.admits() && head < majority_head {
+            return Some(format!(
+                "admits work at {head}, behind the majority head {majority_head}"
+            ));
         }
     }
     None
--- a/tests/spec_config/main.rs
+++ b/tests/spec_config/main.rs
@@ -124,7 +124,7 @@
         majority: false,
         ..Rules::ALL
     };
-    assert_violation(REPLACEMENTS, rules, "was in force");
+    assert_violation(REPLACEMENTS, rules, "behind the majority head");
 }
 
 #[test]
@@ -133,7 +133,7 @@
         voters_only: false,
         ..Rules::ALL
     };
-    assert_violation(REPLACEMENTS, rules, "was in force");
+    assert_violation(REPLACEMENTS, rules, "behind the majority head");
 }
 
 #[test]
@@ -142,5 +142,5 @@
         confirmed_after_start: false,
         ..Rules::ALL
     };
-    assert_violation(REPLACEMENTS, rules, "was in force");
+    assert_violation(REPLACEMENTS, rules, "behind the majority head");
 }
