--- a/src/bench/requests_document.rs
+++ b/src/bench/requests_document.rs
@@ -11,8 +11,8 @@
 use crate::conf::ProcessSettings;
 use crate::document::Edit;
 use crate::document::LogRecord;
+use crate::document::follow::EncodedRecord;
 use crate::document::follow::LogPage;
-use crate::document::follow::RawLogRecord;
 use crate::hosts::HostRole;
 use crate::weights::Digest;
 
@@ -34,7 +34,7 @@
 
 /// The whole log: one edit for each section.
 pub(super) fn log_page() -> LogPage {
-    let record = |(offset, (section, body)): (usize, (String, String))| RawLogRecord {
+    let record = |(offset, (section, body)): (usize, (String, String))| EncodedRecord {
         offset: offset as u64,
         bytes: LogRecord::Edit(Edit {
             edit_id: format!("edit-{offset}"),
@@ -45,7 +45,7 @@
         })
         .encode(),
     };
-    let records: Vec<RawLogRecord> = sections().into_iter().enumerate().map(record).collect();
+    let records: Vec<EncodedRecord> = sections().into_iter().enumerate().map(record).collect();
     LogPage {
         earliest: 0,
         next: records.len() as u64,
--- a/src/document/follow/checkpoint_search.rs
+++ b/src/document/follow/checkpoint_search.rs
@@ -1,6 +1,6 @@
 use crate::document::Checkpoint;
 use crate::document::LogRecord;
-use crate::document::follow::RawLogRecord;
+use crate::document::follow::EncodedRecord;
 
 /// Search of a trimmed log for a checkpoint to start from.
 #[derive(Debug, Clone)]
@@ -26,7 +26,7 @@
     }
 
     /// Collects the checkpoints among `records` and advances the position.
-    pub fn add_records(&mut self, records: &[RawLogRecord]) {
+    pub fn add_records(&mut self, records: &[EncodedRecord]) {
         for record in records {
             self.position = self.position.max(record.offset + 1);
             if let Ok(LogRecord::Checkpoint(checkpoint)) = LogRecord::decode(&record.bytes) {
--- a/src/document/follow/config_answer.rs
+++ b/src/document/follow/config_answer.rs
@@ -2,7 +2,7 @@
 use serde::Serialize;
 
 use crate::document::Checkpoint;
-use crate::document::follow::RawLogRecord;
+use crate::document::follow::EncodedRecord;
 use crate::weights::Digest;
 
 /// Position of a peer in the configuration log, and when it was known to be the log's end.
@@ -33,7 +33,7 @@
     /// The requesting process is not behind.
     None,
     /// Records from the head of the requesting process on.
-    Records(Vec<RawLogRecord>),
+    Records(Vec<EncodedRecord>),
     /// The complete state at the head of the peer.
     Checkpoint(Box<Checkpoint>),
 }
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -6,9 +6,9 @@
 use crate::document::follow::ConfigAnswer;
 use crate::document::follow::ConfigStatus;
 use crate::document::follow::ConfigUpdate;
+use crate::document::follow::EncodedRecord;
 use crate::document::follow::LogPage;
 use crate::document::follow::Notice;
-use crate::document::follow::RawLogRecord;
 use crate::document::follow::Readiness;
 use crate::document::follow::checkpoint_search::CheckpointSearch;
 use crate::document::follow::recent_records::RecentRecords;
@@ -206,7 +206,7 @@
     }
 
     /// Applies records of the log; those that do not continue at the head change nothing.
-    fn apply_records(&mut self, now_ms: u64, records: &[RawLogRecord]) -> Vec<Notice> {
+    fn apply_records(&mut self, now_ms: u64, records: &[EncodedRecord]) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
         for record in records {
--- a/src/document/follow/log_page.rs
+++ b/src/document/follow/log_page.rs
@@ -3,7 +3,7 @@
 
 /// Encoded record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RawLogRecord {
+pub struct EncodedRecord {
     /// Offset of the record.
     pub offset: u64,
     /// Encoded record; a peer sends empty bytes in place of a record that is not a valid edit.
@@ -19,5 +19,5 @@
     /// Offset of the next append.
     pub next: u64,
     /// Records from the requested offset on, ascending by offset.
-    pub records: Vec<RawLogRecord>,
+    pub records: Vec<EncodedRecord>,
 }
--- a/src/document/follow/recent_records.rs
+++ b/src/document/follow/recent_records.rs
@@ -1,7 +1,7 @@
 use std::collections::VecDeque;
 
 use crate::document::LogRecord;
-use crate::document::follow::RawLogRecord;
+use crate::document::follow::EncodedRecord;
 
 /// Largest total size of the kept records, in bytes.
 const MAX_RECENT_BYTES: usize = 512 * 1024;
@@ -12,7 +12,7 @@
 /// Most recently applied records without a gap, kept for peers that lack them.
 #[derive(Debug, Clone, Default)]
 pub struct RecentRecords {
-    records: VecDeque<RawLogRecord>,
+    records: VecDeque<EncodedRecord>,
     size_bytes: usize,
 }
 
@@ -25,7 +25,7 @@
             Ok(LogRecord::Checkpoint(_)) | Err(_) => Vec::new(),
         };
         self.size_bytes += bytes.len();
-        self.records.push_back(RawLogRecord { offset, bytes });
+        self.records.push_back(EncodedRecord { offset, bytes });
         while self.size_bytes > MAX_RECENT_BYTES || self.records.len() > MAX_RECENT_RECORDS {
             self.remove_oldest();
         }
@@ -37,7 +37,7 @@
     }
 
     /// Returns all records from `offset` on; `None` if some are no longer kept.
-    pub fn since(&self, offset: u64) -> Option<Vec<RawLogRecord>> {
+    pub fn since(&self, offset: u64) -> Option<Vec<EncodedRecord>> {
         let first = self.records.front()?.offset;
         let skip = usize::try_from(offset.checked_sub(first)?).ok()?;
         Some(self.records.iter().skip(skip).cloned().collect())
--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -1,9 +1,9 @@
 use crate::clients::LogReadResponse;
 use crate::document::LogRecord;
+use crate::document::follow::EncodedRecord;
 use crate::document::follow::LogPage;
 use crate::document::follow::LogReader;
 use crate::document::follow::LogSchedule;
-use crate::document::follow::RawLogRecord;
 use crate::document::follow::log_rank;
 use crate::entry::EntryState;
 use crate::hosts::HostRole;
@@ -95,7 +95,7 @@
 
 /// Records of one read, as the follower takes them.
 fn to_log_page(slice: &LogReadResponse) -> LogPage {
-    let records = slice.records.iter().map(|entry| RawLogRecord {
+    let records = slice.records.iter().map(|entry| EncodedRecord {
         offset: entry.offset,
         bytes: entry.body(),
     });
--- a/tests/document/follow.rs
+++ b/tests/document/follow.rs
@@ -1,28 +1,28 @@
 use crate::support::edit;
 use bergamotfork::document::LogRecord;
 use bergamotfork::document::follow::ConfigUpdate;
+use bergamotfork::document::follow::EncodedRecord;
 use bergamotfork::document::follow::Follower;
 use bergamotfork::document::follow::LogPage;
 use bergamotfork::document::follow::LogReader;
 use bergamotfork::document::follow::LogSchedule;
 use bergamotfork::document::follow::Notice;
-use bergamotfork::document::follow::RawLogRecord;
 use bergamotfork::document::follow::log_rank;
 
 const RETENTION_MS: u64 = 64_000;
 
 /// Edit that is accepted at `offset`.
-fn record(offset: u64) -> RawLogRecord {
+fn record(offset: u64) -> EncodedRecord {
     let id = format!("id-{offset}");
     let name = format!("service s{offset}");
-    RawLogRecord {
+    EncodedRecord {
         offset,
         bytes: LogRecord::Edit(edit(&id, &name, 0, "timeout_ms = 5")).encode(),
     }
 }
 
 /// Page that ends at the end of the log.
-fn page(earliest: u64, records: Vec<RawLogRecord>) -> LogPage {
+fn page(earliest: u64, records: Vec<EncodedRecord>) -> LogPage {
     let next = records.last().map_or(earliest, |last| last.offset + 1);
     LogPage {
         earliest,
@@ -38,8 +38,8 @@
     follower
 }
 
-fn checkpoint_of(follower: &Follower, offset: u64) -> RawLogRecord {
-    RawLogRecord {
+fn checkpoint_of(follower: &Follower, offset: u64) -> EncodedRecord {
+    EncodedRecord {
         offset,
         bytes: LogRecord::Checkpoint(follower.fold().checkpoint()).encode(),
     }
@@ -125,7 +125,7 @@
         0,
         &page(
             0,
-            vec![RawLogRecord {
+            vec![EncodedRecord {
                 offset: 0,
                 bytes: vec![9],
             }],
@@ -158,7 +158,7 @@
 fn apply_log_page_conflicting_checkpoints() {
     let entry = follower_of(0, 5);
     let mut other = Follower::new(0);
-    let invalid = (0..5).map(|offset| RawLogRecord {
+    let invalid = (0..5).map(|offset| EncodedRecord {
         offset,
         bytes: vec![9],
     });
--- a/tests/spec_config/node.rs
+++ b/tests/spec_config/node.rs
@@ -9,9 +9,9 @@
 use bergamotfork::document::Fold;
 use bergamotfork::document::LogRecord;
 use bergamotfork::document::follow::ConfigUpdate;
+use bergamotfork::document::follow::EncodedRecord;
 use bergamotfork::document::follow::Follower;
 use bergamotfork::document::follow::LogPage;
-use bergamotfork::document::follow::RawLogRecord;
 
 /// Sort key of a node that does not depend on the names of the entries.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -89,7 +89,7 @@
             .map(|(offset, record)| (offset as u64, record))
             .skip_while(|(offset, _)| *offset < from)
             .take(count)
-            .map(|(offset, record)| RawLogRecord {
+            .map(|(offset, record)| EncodedRecord {
                 offset,
                 bytes: encode_without_rules(record, offset, follower.fold(), rules),
             })
