--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -2,8 +2,8 @@
 
 use super::CallOutcome;
 use super::Nonce;
+use super::PermitHistory;
 use super::RefusalReason;
-use super::SendHistory;
 use super::SendResult;
 use super::determine_outcome;
 
@@ -89,9 +89,9 @@
     }
 
     /// Sends and dispatches known now, for the send with the given number.
-    pub fn send_history(&self, nonce: Nonce, send_no: u32) -> SendHistory {
+    pub fn permit_history(&self, nonce: Nonce, send_no: u32) -> PermitHistory {
         let record = self.position(nonce).ok().map(|at| &self.records[at]);
-        SendHistory {
+        PermitHistory {
             send_no,
             latest_send_no: record.map_or(send_no, |record| record.latest_send_no.max(send_no)),
             dispatches: record.map(|record| record.dispatches),
@@ -100,7 +100,7 @@
 
     /// Determines the outcome of a send; "not run" closes the permit to further dispatches.
     pub fn finish_send(&mut self, nonce: Nonce, send_no: u32, result: SendResult) -> CallOutcome {
-        let outcome = determine_outcome(result, self.send_history(nonce, send_no));
+        let outcome = determine_outcome(result, self.permit_history(nonce, send_no));
         if let CallOutcome::NotRun { reason, .. } = &outcome {
             self.close_permit(nonce, *reason);
         }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -59,7 +59,7 @@
 pub use router::AttemptOutcome;
 pub use router::RouteRequest;
 pub use router::Router;
-pub use send_result::SendHistory;
+pub use send_result::PermitHistory;
 pub use send_result::SendResult;
 pub use send_result::determine_outcome;
 pub use service_call::CallReport;
--- a/src/calls/send_result.rs
+++ b/src/calls/send_result.rs
@@ -19,7 +19,7 @@
 
 /// Sends and dispatches of a permit at the time when one of its sends ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct SendHistory {
+pub struct PermitHistory {
     /// Number that the caller gave this send, starting at 1.
     pub send_no: u32,
     /// Highest send number of the permit that this entry has received.
@@ -28,7 +28,7 @@
     pub dispatches: Option<u32>,
 }
 
-impl SendHistory {
+impl PermitHistory {
     /// Whether this is the only send of the permit known here, with `count` dispatches in total.
     fn is_sole_send(self, count: u32) -> bool {
         self.send_no == 1 && self.latest_send_no == 1 && self.dispatches == Some(count)
@@ -38,7 +38,7 @@
 /// Determines the outcome to report to the caller.
 ///
 /// A call counts as not run only if it has not run and never will.
-pub fn determine_outcome(result: SendResult, history: SendHistory) -> CallOutcome {
+pub fn determine_outcome(result: SendResult, history: PermitHistory) -> CallOutcome {
     match result {
         SendResult::Ended(outcome) => outcome,
         SendResult::DispatchUnknown(reason) if history.is_sole_send(1) => never_ran(reason),
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -224,8 +224,8 @@
         ledger.record_permit(Nonce::from(nonce));
     }
     assert_eq!(ledger.len(), 2);
-    assert_eq!(ledger.send_history(Nonce::from(0), 1).dispatches, None);
-    assert_eq!(ledger.send_history(Nonce::from(4), 1).dispatches, Some(0));
+    assert_eq!(ledger.permit_history(Nonce::from(0), 1).dispatches, None);
+    assert_eq!(ledger.permit_history(Nonce::from(4), 1).dispatches, Some(0));
 }
 
 #[test]
--- a/tests/spec_permits/model_state.rs
+++ b/tests/spec_permits/model_state.rs
@@ -14,10 +14,10 @@
 use bergamotfork::calls::CallOutcome;
 use bergamotfork::calls::DispatchDecision;
 use bergamotfork::calls::DispatchLedger;
+use bergamotfork::calls::PermitHistory;
 use bergamotfork::calls::PermitStatus;
 use bergamotfork::calls::PermitTable;
 use bergamotfork::calls::RefusalReason;
-use bergamotfork::calls::SendHistory;
 use bergamotfork::calls::determine_outcome;
 use bergamotfork::weights::Digest;
 
@@ -226,7 +226,7 @@
         match state.ledgers[entry].record_dispatch(nonce(), send_no) {
             DispatchDecision::Allowed => {
                 if state.omits(Rule::CountAtAnswer) {
-                    let history = state.ledgers[entry].send_history(nonce(), send_no);
+                    let history = state.ledgers[entry].permit_history(nonce(), send_no);
                     state.handlers[handler].count_at_send = history.dispatches;
                 }
                 state.messages.push(Message::Call { handler });
@@ -297,12 +297,12 @@
     fn entry_finishes_send(mut self, handler: usize, reply: ReplyKind, next: &mut Vec<Self>) {
         let Handler { entry, send_no, .. } = self.handlers[handler];
         let ledger = &mut self.ledgers[entry];
-        let mut history = ledger.send_history(nonce(), send_no);
+        let mut history = ledger.permit_history(nonce(), send_no);
         if self.omitted_rule == Some(Rule::CountAtAnswer) {
             history.dispatches = self.handlers[handler].count_at_send.or(history.dispatches);
         }
         if self.omitted_rule == Some(Rule::FirstSendOnly) {
-            history = SendHistory {
+            history = PermitHistory {
                 send_no: 1,
                 latest_send_no: 1,
                 ..history
