--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -23,7 +23,7 @@
 use crate::entry;
 use crate::hosts::HostRecord;
 use crate::hosts::HostRole;
-use crate::hosts::HostState;
+use crate::hosts::ListedState;
 use crate::links::HttpClient;
 use crate::links::LinkError;
 use crate::node::Node;
@@ -111,7 +111,7 @@
             region: region.to_owned(),
             domain,
             service,
-            state: HostState::Live,
+            state: ListedState::Live,
         };
         let url = format!("{}/v1/hosts/{name}", self.host_list.url());
         let put: Result<Value, LinkError> = HttpClient::to_platform()
@@ -163,7 +163,7 @@
                 cut.push(self.log.address());
                 cut.push(self.host_list.address());
             }
-            host.node.cuts().start(cut, time);
+            host.node.simulated_partition().start(cut, time);
         }
     }
 
--- a/src/calls/dispatch_ledger.rs
+++ b/src/calls/dispatch_ledger.rs
@@ -2,8 +2,8 @@
 
 use super::CallOutcome;
 use super::Nonce;
+use super::PermitHistory;
 use super::RefusalReason;
-use super::SendHistory;
 use super::SendResult;
 use super::determine_outcome;
 
@@ -22,7 +22,7 @@
     nonce: Nonce,
     dispatches: u32,
     latest_send_no: u32,
-    // Reason that was reported with "not run".
+    // Reason that was reported with "not run", which closed the permit.
     closed: Option<RefusalReason>,
 }
 
@@ -81,7 +81,7 @@
         DispatchDecision::Allowed
     }
 
-    /// Takes back the count of a dispatch of which no byte was sent.
+    /// Subtracts a dispatch of which no byte was sent from the count.
     pub fn undo_dispatch(&mut self, nonce: Nonce) {
         if let Some(record) = self.record_mut(nonce) {
             record.dispatches = record.dispatches.saturating_sub(1);
@@ -89,9 +89,9 @@
     }
 
     /// Sends and dispatches known now, for the send with the given number.
-    pub fn send_history(&self, nonce: Nonce, send_no: u32) -> SendHistory {
+    pub fn permit_history(&self, nonce: Nonce, send_no: u32) -> PermitHistory {
         let record = self.position(nonce).ok().map(|at| &self.records[at]);
-        SendHistory {
+        PermitHistory {
             send_no,
             latest_send_no: record.map_or(send_no, |record| record.latest_send_no.max(send_no)),
             dispatches: record.map(|record| record.dispatches),
@@ -100,7 +100,7 @@
 
     /// Determines the outcome of a send; "not run" closes the permit to further dispatches.
     pub fn finish_send(&mut self, nonce: Nonce, send_no: u32, result: SendResult) -> CallOutcome {
-        let outcome = determine_outcome(result, self.send_history(nonce, send_no));
+        let outcome = determine_outcome(result, self.permit_history(nonce, send_no));
         if let CallOutcome::NotRun { reason, .. } = &outcome {
             self.close_permit(nonce, *reason);
         }
--- a/src/calls/mod.rs
+++ b/src/calls/mod.rs
@@ -1,22 +1,26 @@
 //! Permits, outcomes, routing, retry budgets and crash suspects of calls.
 //!
+//! The caller may send a call with the same permit several times, to any entry;
+//! each of these requests is a send. A dispatch is the request with which an entry
+//! passes a send on to the endpoint.
+//!
 //! A call that must not run twice needs a permit, which names one incarnation of
 //! one endpoint. The permit table of that endpoint runs each nonce at most once,
 //! answers further sends with the stored outcome, and records each refusal before
 //! it is reported. An entry reports "not run" only where `determine_outcome`
 //! allows it.
 
+mod call_outcome;
 mod candidate;
 mod dispatch_ledger;
 mod endpoint_stats;
+mod epoch_counter;
 mod first_token_times;
 mod generate_call;
 mod generate_frame;
 mod nonce;
-mod outcome;
 mod pause_detector;
 mod permit;
-mod permit_epochs;
 mod permit_table;
 mod refusal_reason;
 mod retry_budget;
@@ -28,10 +32,12 @@
 mod suspect_table;
 mod unknown_reason;
 
+pub use call_outcome::CallOutcome;
 pub use candidate::Candidate;
 pub use candidate::stable_hash;
 pub use dispatch_ledger::DispatchDecision;
 pub use dispatch_ledger::DispatchLedger;
+pub use epoch_counter::EpochCounter;
 pub use first_token_times::FirstTokenTimes;
 pub use generate_call::GenerateCall;
 pub use generate_frame::FrameBuffer;
@@ -40,12 +46,10 @@
 pub use generate_frame::StreamFault;
 pub use nonce::Nonce;
 pub use nonce::NonceError;
-pub use outcome::CallOutcome;
 pub use pause_detector::PauseDetector;
 pub use permit::Permit;
 pub use permit::PermitKey;
 pub use permit::PermitTarget;
-pub use permit_epochs::EpochCounter;
 pub use permit_table::CallDecision;
 pub use permit_table::PermitLimits;
 pub use permit_table::PermitStatus;
@@ -55,7 +59,7 @@
 pub use router::AttemptOutcome;
 pub use router::RouteRequest;
 pub use router::Router;
-pub use send_result::SendHistory;
+pub use send_result::PermitHistory;
 pub use send_result::SendResult;
 pub use send_result::determine_outcome;
 pub use service_call::CallReport;
--- a/src/document/follow/peer_answer.rs
+++ b/src/document/follow/config_answer.rs
@@ -2,12 +2,12 @@
 use serde::Serialize;
 
 use crate::document::Checkpoint;
-use crate::document::follow::RawLogRecord;
+use crate::document::follow::EncodedRecord;
 use crate::weights::Digest;
 
-/// Position of a peer in the log, and how current it is.
+/// Position of a peer in the configuration log, and when it was known to be the log's end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerStatus {
+pub struct ConfigStatus {
     /// Offset of the next record that the peer will apply.
     pub head: u64,
     /// Digest of the peer's state at its head.
@@ -20,9 +20,9 @@
 
 /// Answer of a peer to a request for its configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerAnswer {
+pub struct ConfigAnswer {
     /// Status of the peer.
-    pub mark: PeerStatus,
+    pub mark: ConfigStatus,
     /// Records or state that the requesting process lacks.
     pub update: ConfigUpdate,
 }
@@ -33,7 +33,7 @@
     /// The requesting process is not behind.
     None,
     /// Records from the head of the requesting process on.
-    Records(Vec<RawLogRecord>),
+    Records(Vec<EncodedRecord>),
     /// The complete state at the head of the peer.
     Checkpoint(Box<Checkpoint>),
 }
--- a/src/document/follow/follower.rs
+++ b/src/document/follow/follower.rs
@@ -3,20 +3,20 @@
 use crate::document::DocumentError;
 use crate::document::Fold;
 use crate::document::RecordOutcome;
+use crate::document::follow::ConfigAnswer;
+use crate::document::follow::ConfigStatus;
 use crate::document::follow::ConfigUpdate;
+use crate::document::follow::EncodedRecord;
 use crate::document::follow::LogPage;
 use crate::document::follow::Notice;
-use crate::document::follow::PeerAnswer;
-use crate::document::follow::PeerStatus;
-use crate::document::follow::RawLogRecord;
 use crate::document::follow::Readiness;
 use crate::document::follow::checkpoint_search::CheckpointSearch;
 use crate::document::follow::recent_records::RecentRecords;
 
-/// Time between two ticks from which on the process counts as paused, in ms.
+/// Smallest time between two ticks that counts as a pause of the process, in ms.
 const PAUSE_MS: u64 = 5_000;
 
-/// Keeps the configuration of one process up to date.
+/// Keeps the configuration of one process up to date from log pages and answers of peers.
 #[derive(Debug, Clone)]
 pub struct Follower {
     fold: Fold,
@@ -24,8 +24,8 @@
     readiness: Readiness,
     search: Option<CheckpointSearch>,
     last_tick_ms: u64,
-    // Time of the start or of the end of the last pause; answers to earlier requests may be
-    // out of date.
+    // Time of the start, or of the end of the last pause if there was one; answers to earlier
+    // requests may be out of date.
     resumed_ms: u64,
     last_confirmed_ms: Option<u64>,
     checkpoint_observed_ms: u64,
@@ -118,8 +118,8 @@
     }
 
     /// Returns the status to send to peers.
-    pub fn status(&self, now_ms: u64) -> PeerStatus {
-        PeerStatus {
+    pub fn status(&self, now_ms: u64) -> ConfigStatus {
+        ConfigStatus {
             head: self.fold.head(),
             digest: self.fold.digest(),
             is_voter: self.readiness.is_voter(),
@@ -128,7 +128,7 @@
     }
 
     /// Returns the answer for a process whose head is `from`.
-    pub fn answer_peer(&self, now_ms: u64, from: u64) -> PeerAnswer {
+    pub fn answer_peer(&self, now_ms: u64, from: u64) -> ConfigAnswer {
         let update = if from >= self.fold.head() {
             ConfigUpdate::None
         } else if let Some(records) = self.recent.since(from) {
@@ -136,21 +136,21 @@
         } else {
             ConfigUpdate::Checkpoint(Box::new(self.fold.checkpoint()))
         };
-        PeerAnswer {
+        ConfigAnswer {
             mark: self.status(now_ms),
             update,
         }
     }
 
     /// Applies the answer of `peer` to a request sent at `requested_ms`, where the platform
-    /// lists `listed` entries.
+    /// lists `listed_entries` entries.
     pub fn apply_peer_answer(
         &mut self,
         now_ms: u64,
         requested_ms: u64,
         peer: &str,
-        listed: usize,
-        answer: &PeerAnswer,
+        listed_entries: usize,
+        answer: &ConfigAnswer,
     ) -> Vec<Notice> {
         self.tick(now_ms);
         let mut notices = match &answer.update {
@@ -164,26 +164,28 @@
             });
             return notices;
         }
-        // A request time in the future shows that another process sent the request.
+        // A request time in the future is from the clock of another process, so that the
+        // answer is not for this one.
         if self.fold.head() >= answer.mark.head && requested_ms <= now_ms {
-            self.apply_peer_status(requested_ms, peer, listed, &answer.mark);
+            self.apply_peer_status(requested_ms, peer, listed_entries, &answer.mark);
         }
         notices
     }
 
     /// Whether the peer's digest differs from the one of this process at the same head.
-    fn diverges_from(&self, status: &PeerStatus) -> bool {
+    fn diverges_from(&self, status: &ConfigStatus) -> bool {
         let own = self.fold.digest_at(status.head);
         own.is_some_and(|digest| digest != status.digest)
     }
 
-    /// Takes over the confirmation of a peer that this process is not behind.
+    /// Takes over the confirmation of a peer, and counts the answer of a voter towards the
+    /// majority; the head of this process must be at least that of the peer.
     fn apply_peer_status(
         &mut self,
         requested_ms: u64,
         peer: &str,
-        listed: usize,
-        status: &PeerStatus,
+        listed_entries: usize,
+        status: &ConfigStatus,
     ) {
         if let Some(age_ms) = status.confirmed_age_ms {
             let at_ms = requested_ms.saturating_sub(age_ms);
@@ -194,7 +196,7 @@
             }
         }
         if status.is_voter && requested_ms >= self.resumed_ms {
-            self.readiness.record_voter(peer, listed);
+            self.readiness.record_voter(peer, listed_entries);
         }
     }
 
@@ -204,11 +206,11 @@
     }
 
     /// Applies records of the log; those that do not continue at the head change nothing.
-    fn apply_records(&mut self, now_ms: u64, records: &[RawLogRecord]) -> Vec<Notice> {
+    fn apply_records(&mut self, now_ms: u64, records: &[EncodedRecord]) -> Vec<Notice> {
         let before = self.fold.head();
         let mut notices = Vec::new();
         for record in records {
-            let outcome = self.fold.apply(record.offset, &record.bytes);
+            let outcome = self.fold.apply_record(record.offset, &record.bytes);
             if matches!(
                 outcome,
                 RecordOutcome::AlreadyApplied | RecordOutcome::Gap { .. }
--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -64,7 +64,7 @@
         let status = permit_status(&state, &query.permit, query.reason);
         let report = match status {
             PermitStatus::NotRun(reason) => CallReport::Ended(CallOutcome::not_run(reason)),
-            PermitStatus::Done(outcome) => CallReport::Ended(outcome),
+            PermitStatus::Ended(outcome) => CallReport::Ended(outcome),
             PermitStatus::Unknown(reason) => CallReport::NotHere(reason),
             PermitStatus::Running => {
                 CallReport::Ended(wait_for_outcome(&state, &query.permit).await)
@@ -101,7 +101,7 @@
         CallDecision::Run | CallDecision::Join => {
             CallReport::Ended(wait_for_outcome(state, &permit).await)
         }
-        CallDecision::Done(outcome) => CallReport::Ended(outcome),
+        CallDecision::Ended(outcome) => CallReport::Ended(outcome),
         CallDecision::Refused {
             reason,
             retry_after_ms,
@@ -215,7 +215,7 @@
         end.await;
     }
     match permit_status(state, permit, RefusalReason::Withdrawn) {
-        PermitStatus::Done(outcome) => outcome,
+        PermitStatus::Ended(outcome) => outcome,
         PermitStatus::NotRun(reason) => CallOutcome::not_run(reason),
         PermitStatus::Unknown(reason) => CallOutcome::unknown(reason),
         PermitStatus::Running => CallOutcome::unknown(UnknownReason::ServiceLost),
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -202,7 +202,7 @@
                 let Some(address) = self.peer_address(peer) else {
                     let now_ms = self.now_ms();
                     self.swarm
-                        .peer_fetch_failed(fetch, PeerFailure::Unreachable, now_ms);
+                        .record_peer_fetch_failure(fetch, PeerFailure::Unreachable, now_ms);
                     return;
                 };
                 let url = format!("http://{address}/x/weights/{digest}/{}", fetch.chunk);
@@ -235,7 +235,7 @@
         let Some(address) = self.peer_address(probe.peer) else {
             let now_ms = self.now_ms();
             self.swarm
-                .probe_failed(probe.peer, PeerFailure::Unreachable, now_ms);
+                .record_probe_failure(probe.peer, PeerFailure::Unreachable, now_ms);
             return;
         };
         let url = format!("http://{address}/x/weights/{}/have", self.version.digest());
@@ -254,11 +254,11 @@
         ctx.spawn(probing.into_actor(self).map(move |result, act, ctx| {
             let now_ms = act.now_ms();
             match result {
-                Ok(status) => act.swarm.probe_answered(probe.peer, &status),
+                Ok(status) => act.swarm.record_probe_response(probe.peer, &status),
                 Err(error) => {
                     act.weights.metrics.record_retry(probe_error_label(&error));
                     act.swarm
-                        .probe_failed(probe.peer, peer_failure(&error), now_ms);
+                        .record_probe_failure(probe.peer, peer_failure(&error), now_ms);
                 }
             }
             act.run_next_actions(ctx);
@@ -277,7 +277,7 @@
                 };
                 self.weights.metrics.record_retry(error.label());
                 self.swarm
-                    .origin_fetch_failed(fetch, retry_after_ms, now_ms);
+                    .record_origin_fetch_failure(fetch, retry_after_ms, now_ms);
             }
             (FetchResult::Peer(Ok(frame)), ChunkSource::Peer(peer)) => {
                 self.swarm
@@ -287,14 +287,15 @@
                     ReadOutcome::Busy => self.defer_fetch(fetch, "peer_busy"),
                     ReadOutcome::Absent => {
                         self.weights.metrics.record_retry("peer_lacks_chunk");
-                        self.swarm.peer_lacks_chunk(fetch, &frame.status, now_ms);
+                        self.swarm
+                            .record_missing_chunk(fetch, &frame.status, now_ms);
                     }
                 }
             }
             (FetchResult::Peer(Err(error)), _) => {
                 self.weights.metrics.record_retry("peer_unavailable");
                 self.swarm
-                    .peer_fetch_failed(fetch, peer_failure(&error), now_ms);
+                    .record_peer_fetch_failure(fetch, peer_failure(&error), now_ms);
             }
             (FetchResult::Peer(Ok(_)), ChunkSource::Origin) => {}
         }
@@ -305,7 +306,7 @@
     fn defer_fetch(&mut self, fetch: ChunkFetch, reason: &'static str) {
         self.weights.metrics.record_retry(reason);
         let now_ms = self.now_ms();
-        self.swarm.fetch_deferred(fetch, now_ms);
+        self.swarm.record_busy_peer(fetch, now_ms);
     }
 
     /// Stores a received chunk or rejects it, and verifies the version after the last one.
@@ -319,7 +320,7 @@
         );
         match self.version.insert_chunk(fetch.chunk, bytes) {
             InsertOutcome::Stored | InsertOutcome::Duplicate => {
-                self.swarm.chunk_stored(fetch, now_ms)
+                self.swarm.record_stored_chunk(fetch, now_ms)
             }
             InsertOutcome::Rejected(reason) => {
                 self.weights
@@ -334,10 +335,12 @@
                     ],
                 );
                 match fetch.source {
-                    ChunkSource::Origin => self.swarm.origin_fetch_failed(fetch, None, now_ms),
+                    ChunkSource::Origin => {
+                        self.swarm.record_origin_fetch_failure(fetch, None, now_ms)
+                    }
                     ChunkSource::Peer(_) => {
                         self.swarm
-                            .peer_fetch_failed(fetch, PeerFailure::WrongChunk, now_ms)
+                            .record_peer_fetch_failure(fetch, PeerFailure::WrongChunk, now_ms)
                     }
                 }
             }
--- a/src/hosts/heartbeat.rs
+++ b/src/hosts/heartbeat.rs
@@ -5,7 +5,7 @@
 use crate::hosts::Load;
 use crate::weights::Digest;
 
-/// Context of the key derivation; separates this key from other uses of the shared key.
+/// Context string that separates heartbeat keys from other uses of the shared key.
 const KEY_CONTEXT: &str = "bergamotfork beat 1";
 
 /// Length of the seal at the end of a datagram, in bytes.
@@ -35,7 +35,7 @@
 
 impl NameTag {
     /// Computes the tag of `name`.
-    pub fn of(name: &str) -> Self {
+    pub fn of_name(name: &str) -> Self {
         Self(first_64_bits(&Digest::of_bytes(name.as_bytes())))
     }
 }
@@ -46,7 +46,7 @@
 
 impl StateTag {
     /// Computes the tag of an encoded state.
-    pub fn of(encoded: &[u8]) -> Self {
+    pub fn of_bytes(encoded: &[u8]) -> Self {
         Self(first_64_bits(&Digest::of_bytes(encoded)))
     }
 }
@@ -72,7 +72,7 @@
     pub suspects: StateTag,
     /// Whether the sender is draining and will stop.
     pub leaving: bool,
-    /// Whether the sender wants an answer even if the receiver has no update for it.
+    /// Whether the sender wants an answer even if it is not behind and need not report.
     pub wants_answer: bool,
     /// Offset up to which the sender has applied the configuration log.
     pub config_offset: u64,
--- a/src/hosts/report.rs
+++ b/src/hosts/report.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::calls::SuspectRecord;
-use crate::document::follow::PeerStatus;
+use crate::document::follow::ConfigStatus;
 use crate::hosts::HostRole;
 use crate::hosts::StateTag;
 use crate::weights::Digest;
@@ -28,7 +28,8 @@
     Verified,
     /// The engine serves the version.
     Serving,
-    /// The version cannot proceed; the cause is in the log and in the output of `status`.
+    /// The version cannot proceed; the cause is in the log lines of the host and in the output
+    /// of `status`.
     Held,
 }
 
@@ -83,7 +84,7 @@
     pub config: ConfigPosition,
     /// Load of the process.
     pub load: Load,
-    /// Model versions on the host.
+    /// Model versions on the host, served already or not.
     pub served: Vec<HostedVersion>,
     /// Epoch to put into new permits for the process.
     pub permit_epoch: u64,
@@ -99,14 +100,19 @@
         let served: Vec<_> = self
             .served
             .iter()
-            .map(|served| {
-                let tenths = served.present_percent / 10;
-                (served.manifest, served.progress, tenths, &served.held)
+            .map(|version| {
+                let present_tenths = version.present_percent / 10;
+                (
+                    version.manifest,
+                    version.progress,
+                    present_tenths,
+                    &version.held,
+                )
             })
             .collect();
         let state = (&self.name, self.address, self.incarnation, served);
         let encoded = rmp_serde::to_vec(&state).expect("texts and numbers always encode");
-        StateTag::of(&encoded)
+        StateTag::of_bytes(&encoded)
     }
 }
 
@@ -125,8 +131,8 @@
 
 impl ReportAnswer {
     /// Returns the part of the answer about the entry's configuration.
-    pub fn peer_status(&self) -> PeerStatus {
-        PeerStatus {
+    pub fn config_status(&self) -> ConfigStatus {
+        ConfigStatus {
             head: self.config.offset,
             digest: self.config.digest,
             is_voter: self.is_voter,
--- a/src/node/datagram_receiver.rs
+++ b/src/node/datagram_receiver.rs
@@ -5,7 +5,7 @@
 
 use actix_rt::time::sleep;
 
-use crate::document::follow::PeerStatus;
+use crate::document::follow::ConfigStatus;
 use crate::hosts::Datagram;
 use crate::hosts::Heartbeat;
 use crate::hosts::HeartbeatAnswer;
@@ -20,7 +20,7 @@
 /// Largest datagram that is received, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1024;
 
-/// Pause after an error of the socket, such as the closed port of a peer.
+/// Pause after an error of the socket, such as the one that a closed port of a peer causes.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 /// Receives and handles datagrams for as long as the process runs.
@@ -32,7 +32,7 @@
             sleep(RECEIVE_ERROR_PAUSE).await;
             continue;
         };
-        if node.cuts().blocks_address(from) {
+        if node.simulated_partition().blocks_address(from) {
             continue;
         }
         node.count_datagram("received", length);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Merges a heartbeat; answers if the sender is behind, must report or wants an answer.
+/// Merges a heartbeat; answers it if the sender is behind, must report or wants an answer.
 fn handle_heartbeat(
     node: &Node,
     socket: &HeartbeatSocket,
@@ -81,7 +81,7 @@
     if answer.config.offset > node.follower().fold().head() {
         fetch_config(node, &target.name, target.address).await;
     } else {
-        let status = PeerStatus {
+        let status = ConfigStatus {
             head: answer.config.offset,
             digest: answer.config.digest,
             is_voter: answer.is_voter,
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -17,8 +17,8 @@
 use crate::conf::PlatformSettings;
 use crate::conf::ProcessSettings;
 use crate::document::Document;
+use crate::document::follow::ConfigAnswer;
 use crate::document::follow::Follower;
-use crate::document::follow::PeerAnswer;
 use crate::hosts::ConfigPosition;
 use crate::hosts::Heartbeat;
 use crate::hosts::HeartbeatAnswer;
@@ -49,7 +49,7 @@
 /// Largest number of suspect records; a crash adds one for each request that was running.
 const MAX_SUSPECT_RECORDS: usize = 1024;
 
-/// Changing part of the state that this process reports.
+/// Part of the reported state that changes while the process runs.
 #[derive(Debug, Default)]
 pub struct OwnState {
     /// Load of the process.
@@ -71,7 +71,7 @@
     started: Instant,
     metrics: Arc<Metrics>,
     http: HttpClient,
-    cuts: Arc<SimulatedPartition>,
+    simulated_partition: Arc<SimulatedPartition>,
     roster: Mutex<Roster>,
     follower: Mutex<Follower>,
     own_state: Mutex<OwnState>,
@@ -88,9 +88,9 @@
         cluster: ClusterSettings,
         service: Option<String>,
     ) -> Self {
-        let cuts = Arc::new(SimulatedPartition::default());
+        let simulated_partition = Arc::new(SimulatedPartition::default());
         let http = HttpClient::to_processes(cluster.shared_key.clone())
-            .with_simulated_partition(Arc::clone(&cuts));
+            .with_simulated_partition(Arc::clone(&simulated_partition));
         Self {
             process,
             platform,
@@ -100,7 +100,7 @@
             started: Instant::now(),
             metrics: Arc::new(Metrics::new()),
             http,
-            cuts,
+            simulated_partition,
             roster: Mutex::new(Roster::new()),
             follower: Mutex::new(Follower::new(0)),
             own_state: Mutex::default(),
@@ -155,27 +155,27 @@
         &self.http
     }
 
-    /// Returns the simulated network cuts: addresses that the process must not reach in a test.
-    pub fn cuts(&self) -> &Arc<SimulatedPartition> {
-        &self.cuts
+    /// Returns the simulated partition: the addresses that a benchmark cuts this process off from.
+    pub fn simulated_partition(&self) -> &Arc<SimulatedPartition> {
+        &self.simulated_partition
     }
 
     /// Sends a request to another process and counts the bytes as control traffic.
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError`] when no valid answer arrived within `wait_ms`.
-    pub async fn request<A: DeserializeOwned>(
+    /// Returns [`LinkError`] when no valid answer arrived within `timeout_ms`.
+    pub async fn send_request<A: DeserializeOwned>(
         &self,
         url: &str,
         message: &impl Serialize,
-        wait_ms: u64,
+        timeout_ms: u64,
     ) -> Result<A, LinkError> {
         let malformed = |error: String| LinkError::Malformed(error);
         let body =
             rmp_serde::to_vec_named(message).map_err(|error| malformed(error.to_string()))?;
         self.count_control_message("sent", body.len());
-        let answer = self.http.post_rmp(url, body, wait_ms).await?;
+        let answer = self.http.post_rmp(url, body, timeout_ms).await?;
         self.count_control_message("received", answer.len());
         rmp_serde::from_slice(&answer).map_err(|error| malformed(error.to_string()))
     }
@@ -237,7 +237,7 @@
     /// Returns the tag of all suspect records.
     pub fn suspects_tag(&self) -> StateTag {
         let now_ms = self.now_ms();
-        StateTag::of(self.suspects().digest(now_ms).as_bytes())
+        StateTag::of_bytes(self.suspects().digest(now_ms).as_bytes())
     }
 
     /// Returns the current configuration document.
@@ -260,8 +260,8 @@
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Starts the drain: the process takes no new work from now on.
-    pub fn leave(&self) {
+    /// Starts the drain: the process is leaving and takes no new work from now on.
+    pub fn start_drain(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
@@ -277,7 +277,8 @@
         )
     }
 
-    /// Whether the process admits new work; counts admissions while cut off from the log.
+    /// Whether the process admits new work; counts the checks passed while it is cut off from
+    /// the log.
     pub fn is_ready(&self) -> bool {
         let admission = self.admission();
         if admission == ConfigAdmission::CutOffServing {
@@ -289,20 +290,20 @@
 
     /// Creates the answer to a report of a peer.
     pub fn report_answer(&self) -> ReportAnswer {
-        let mark = self.follower().status(self.now_ms());
+        let status = self.follower().status(self.now_ms());
         ReportAnswer {
             config: ConfigPosition {
-                offset: mark.head,
-                digest: mark.digest,
+                offset: status.head,
+                digest: status.digest,
             },
-            is_voter: self.process.role == HostRole::Entry && mark.is_voter,
-            confirmed_age_ms: mark.confirmed_age_ms,
+            is_voter: self.process.role == HostRole::Entry && status.is_voter,
+            confirmed_age_ms: status.confirmed_age_ms,
             suspects: self.known_suspects(),
         }
     }
 
     /// Creates the answer to a configuration request of a peer whose head is `from`.
-    pub fn config_answer(&self, from: u64) -> PeerAnswer {
+    pub fn config_answer(&self, from: u64) -> ConfigAnswer {
         let mut answer = self.follower().answer_peer(self.now_ms(), from);
         answer.mark.is_voter &= self.process.role == HostRole::Entry;
         answer
@@ -312,7 +313,7 @@
     pub fn heartbeat(&self, wants_answer: bool) -> Heartbeat {
         let report = self.report();
         Heartbeat {
-            name: NameTag::of(&self.process.name),
+            name: NameTag::of_name(&self.process.name),
             incarnation: self.incarnation,
             sent_ms: self.now_ms(),
             state: report.state_tag(),
@@ -330,7 +331,7 @@
     pub fn heartbeat_answer(&self, to: u64, asked_ms: u64, wants_report: bool) -> HeartbeatAnswer {
         let answer = self.report_answer();
         HeartbeatAnswer {
-            name: NameTag::of(&self.process.name),
+            name: NameTag::of_name(&self.process.name),
             to,
             asked_ms,
             wants_report,
@@ -362,7 +363,7 @@
     }
 }
 
-/// Returns the time of the wall clock in µs, which is only compared on the same host.
+/// Returns the time of the wall clock in µs; incarnations are only compared on the same host.
 fn unix_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/node/reporter.rs
+++ b/src/node/reporter.rs
@@ -22,13 +22,13 @@
 use crate::observe::Event;
 use crate::observe::emit_event;
 
-/// Interval of the check whether the process was paused.
+/// Interval at which the process records that it runs, to detect pauses.
 const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval at which an entry checks whether to notify hosts of a new offset.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Number of rounds of which one wants an answer even if the entry has no update.
+/// Number of rounds of heartbeats of which one wants an answer from each report target.
 const ROUNDS_PER_ANSWER: u64 = 5;
 
 /// Timeout of a report to an entry, in ms.
@@ -91,7 +91,8 @@
         }
     }
 
-    /// On an entry, notifies the hosts that are behind of a new offset, once per offset.
+    /// On an entry, notifies each host that is behind a new offset, by an answer that it did not
+    /// request; once per offset.
     fn notify_outdated_hosts(&mut self) {
         let head = self.node.config_position().offset;
         if self.node.process().role != HostRole::Entry || head <= self.notified_offset {
@@ -116,9 +117,10 @@
 }
 
 impl HeartbeatSocket {
-    /// Sends a sealed datagram; one that cannot be sent at once is dropped, as UDP may lose it.
+    /// Sends a sealed datagram; drops it if it cannot be sent at once, since UDP may lose
+    /// datagrams anyway.
     pub(super) fn send(&self, node: &Node, datagram: &[u8], to: std::net::SocketAddr) {
-        if node.cuts().blocks_address(to) {
+        if node.simulated_partition().blocks_address(to) {
             return;
         }
         if self.udp_socket.try_send_to(datagram, to).is_ok() {
@@ -153,7 +155,7 @@
     let url = format!("http://{}/x/report", target.address);
     let requested_ms = node.now_ms();
     let report = node.report();
-    let answer: Result<ReportAnswer, _> = node.request(&url, &report, REPORT_TIMEOUT_MS).await;
+    let answer: Result<ReportAnswer, _> = node.send_request(&url, &report, REPORT_TIMEOUT_MS).await;
     if let Ok(answer) = &answer {
         let now_ms = node.now_ms();
         node.suspects()
@@ -163,7 +165,7 @@
         Ok(answer) if answer.config.offset > node.follower().fold().head() => {
             fetch_config(node, &target.name, target.address).await;
         }
-        Ok(answer) => apply_peer_status(node, requested_ms, &target.name, answer.peer_status()),
+        Ok(answer) => apply_peer_status(node, requested_ms, &target.name, answer.config_status()),
         Err(error) if error.is_not_sent() => {
             let now_ms = node.now_ms();
             node.roster().record_failure(target.key, now_ms);
--- a/tests/calls/permits.rs
+++ b/tests/calls/permits.rs
@@ -88,11 +88,11 @@
     table.finish_call(&permit, answer(2));
     assert_eq!(
         table.begin_call(&permit, request(), 1),
-        CallDecision::Done(answer(2))
+        CallDecision::Ended(answer(2))
     );
     assert_eq!(
         table.status_or_refuse(&permit, RefusalReason::Withdrawn, 1),
-        PermitStatus::Done(answer(2))
+        PermitStatus::Ended(answer(2))
     );
 }
 
@@ -121,7 +121,7 @@
     let dropped = CallOutcome::unknown(UnknownReason::AnswerDropped);
     assert_eq!(
         table.begin_call(&permit, request(), 0),
-        CallDecision::Done(dropped)
+        CallDecision::Ended(dropped)
     );
 }
 
@@ -200,14 +200,17 @@
     let mut ledger = DispatchLedger::new(2);
     let (own, other) = (Nonce::from(1), Nonce::from(2));
     ledger.record_permit(own);
-    let arrived = SendResult::DispatchUnknown(UnknownReason::PastIncarnation);
+    let dispatch_unknown = SendResult::DispatchUnknown(UnknownReason::PastIncarnation);
     for nonce in [own, other] {
         assert_eq!(ledger.record_dispatch(nonce, 1), DispatchDecision::Allowed);
     }
     let replaced = CallOutcome::not_run(RefusalReason::Replaced);
     let unknown = CallOutcome::unknown(UnknownReason::PastIncarnation);
-    assert_eq!(ledger.finish_send(other, 1, arrived.clone()), unknown);
-    assert_eq!(ledger.finish_send(own, 1, arrived), replaced);
+    assert_eq!(
+        ledger.finish_send(other, 1, dispatch_unknown.clone()),
+        unknown
+    );
+    assert_eq!(ledger.finish_send(own, 1, dispatch_unknown), replaced);
     assert_eq!(
         ledger.record_dispatch(own, 1),
         DispatchDecision::Closed(RefusalReason::Replaced)
@@ -221,8 +224,8 @@
         ledger.record_permit(Nonce::from(nonce));
     }
     assert_eq!(ledger.len(), 2);
-    assert_eq!(ledger.send_history(Nonce::from(0), 1).dispatches, None);
-    assert_eq!(ledger.send_history(Nonce::from(4), 1).dispatches, Some(0));
+    assert_eq!(ledger.permit_history(Nonce::from(0), 1).dispatches, None);
+    assert_eq!(ledger.permit_history(Nonce::from(4), 1).dispatches, Some(0));
 }
 
 #[test]
--- a/tests/config_faults/pause.rs
+++ b/tests/config_faults/pause.rs
@@ -145,7 +145,7 @@
     let added = cluster.send_request(Method::PUT, &url, Some(&record)).await;
     added.expect("the host list accepts the host");
     let answer = HeartbeatAnswer {
-        name: NameTag::of("entry-1"),
+        name: NameTag::of_name("entry-1"),
         to: 1,
         asked_ms: 1_000,
         wants_report: false,
