--- a/src/entry/call_exchange.rs
+++ b/src/entry/call_exchange.rs
@@ -46,7 +46,7 @@
 /// Sends a message to an endpoint and reads its answer.
 ///
 /// Waits until the deadline as long as the endpoint sends heartbeats.
-pub(super) async fn exchange(
+pub(super) async fn exchange_message(
     http: &HttpClient,
     connection: ConnectionKind,
     url: &str,
--- a/src/entry/idempotent_call.rs
+++ b/src/entry/idempotent_call.rs
@@ -12,7 +12,7 @@
 use crate::entry::EntryState;
 use crate::entry::call_exchange::ConnectionKind;
 use crate::entry::call_exchange::ExchangeResult;
-use crate::entry::call_exchange::exchange;
+use crate::entry::call_exchange::exchange_message;
 use crate::hosts::HostKey;
 use crate::hosts::HostRole;
 use crate::observe::Event;
@@ -117,7 +117,7 @@
     let url = format!("http://{address}/x/call");
     let http = state.node.http();
     let request_id = attempt.request_id.as_str();
-    let result = exchange(http, connection, &url, request_id, &attempt, deadline).await;
+    let result = exchange_message(http, connection, &url, request_id, &attempt, deadline).await;
     let outcome = match result {
         ExchangeResult::Report(CallReport::Ended(outcome)) => outcome,
         ExchangeResult::Report(CallReport::NotHere(reason)) => CallOutcome::unknown(reason),
--- a/src/entry/non_idempotent_call.rs
+++ b/src/entry/non_idempotent_call.rs
@@ -16,7 +16,7 @@
 use crate::entry::EntryState;
 use crate::entry::call_exchange::ConnectionKind;
 use crate::entry::call_exchange::ExchangeResult;
-use crate::entry::call_exchange::exchange;
+use crate::entry::call_exchange::exchange_message;
 use crate::node::Reporter;
 
 /// One send of a call that must not run twice, under its permit.
@@ -129,7 +129,7 @@
     ) -> ExchangeResult {
         let url = format!("http://{}/x/{route}", self.permit.address);
         let http = self.state.node.http();
-        exchange(
+        exchange_message(
             http,
             ConnectionKind::Fresh,
             &url,
