--- a/src/entry/log_reader.rs
+++ b/src/entry/log_reader.rs
@@ -15,8 +15,9 @@
 /// Largest number of records requested in one read.
 const MAX_RECORDS_PER_READ: usize = 256;
 
-/// What this entry has to do at the log, according to its rank among the live entries.
-pub fn log_duty(state: &EntryState) -> LogSchedule {
+/// When this entry reads the log and publishes checkpoints, which depends on its rank among
+/// the usable entries.
+pub fn log_schedule(state: &EntryState) -> LogSchedule {
     let node = &state.node;
     let own = LogReader {
         name: node.name(),
@@ -49,18 +50,18 @@
         .add(CounterKind::PlatformCalls, 1, "call", "log_read");
     let from_offset = node.follower().next_read_offset();
     let requested_ms = node.now_ms();
-    let slice = match state
+    let response = match state
         .log
         .read(from_offset, MAX_RECORDS_PER_READ, wait_ms)
         .await
     {
-        Ok(slice) => slice,
+        Ok(response) => response,
         Err(error) => {
             emit_event(Event::LogUnavailable, &[("error", &error)]);
             return false;
         }
     };
-    let page = to_log_page(&slice);
+    let page = to_log_page(&response);
     let notices = node
         .follower()
         .apply_log_page(node.now_ms(), requested_ms, &page);
@@ -69,12 +70,12 @@
 }
 
 /// Appends a checkpoint to the log if this entry's rank makes it due.
-pub async fn publish_checkpoint(state: &EntryState, duty: LogSchedule) {
+pub async fn publish_checkpoint(state: &EntryState, schedule: LogSchedule) {
     let node = &state.node;
     let now_ms = node.now_ms();
     let checkpoint = {
         let follower = node.follower();
-        let is_due = duty.publishes_checkpoint(follower.checkpoint_age_ms(now_ms));
+        let is_due = schedule.publishes_checkpoint(follower.checkpoint_age_ms(now_ms));
         if !is_due || !follower.admits(now_ms) || follower.fold().head() == 0 {
             return;
         }
@@ -93,15 +94,15 @@
     }
 }
 
-/// Records of one read, as the follower takes them.
-fn to_log_page(slice: &LogReadResponse) -> LogPage {
-    let records = slice.records.iter().map(|entry| RawLogRecord {
+/// Converts the response of one read to the page that the follower applies.
+fn to_log_page(response: &LogReadResponse) -> LogPage {
+    let records = response.records.iter().map(|entry| RawLogRecord {
         offset: entry.offset,
         bytes: entry.body(),
     });
     LogPage {
-        earliest: slice.earliest,
-        next: slice.next,
+        earliest: response.earliest,
+        next: response.next,
         records: records.collect(),
     }
 }
--- a/src/entry/tailer.rs
+++ b/src/entry/tailer.rs
@@ -9,24 +9,25 @@
 use rand::Rng;
 
 use crate::entry::EntryState;
-use crate::entry::log_reader::log_duty;
+use crate::entry::log_reader::log_schedule;
 use crate::entry::log_reader::publish_checkpoint;
 use crate::entry::log_reader::read_log;
 
 /// Time for which a read waits at the log for a new record, in milliseconds.
 const READ_WAIT_MS: u64 = 2000;
 
-/// A read waits at most this fraction of the log's retention, so that checkpoints are
+/// A read waits at most the log's retention divided by this, so that checkpoints are
 /// published in time.
-const READ_WAIT_FRACTION: u64 = 16;
+const READ_WAIT_DIVISOR: u64 = 16;
 
 /// Pause before the next check whether this entry should read the log, in milliseconds.
 const IDLE_PAUSE_MS: u64 = 500;
 
-/// Pause after a failed read, in milliseconds; it doubles with each further failure.
+/// Pause after a failed read without its jitter, in milliseconds; it doubles with each
+/// further failure.
 const RETRY_PAUSE_MS: u64 = 250;
 
-/// Longest pause between failed reads, in milliseconds.
+/// Longest pause after a failed read without its jitter, in milliseconds.
 const MAX_RETRY_PAUSE_MS: u64 = 4_000;
 
 /// Reads the log while this entry's rank requires it, and applies the configuration.
@@ -81,27 +82,27 @@
 
 /// Reads the log if this entry has to, and publishes a checkpoint if one is due.
 async fn read_step(state: &EntryState) -> ReadStep {
-    let duty = log_duty(state);
+    let schedule = log_schedule(state);
     let node = &state.node;
     let now_ms = node.now_ms();
-    let (admits, unconfirmed_ms) = {
+    let (admits_work, unconfirmed_ms) = {
         let follower = node.follower();
         let age_ms = follower.confirmed_age_ms(now_ms).unwrap_or(now_ms);
         (follower.admits(now_ms), age_ms)
     };
-    if admits && !duty.reads_log(unconfirmed_ms) {
+    if admits_work && !schedule.reads_log(unconfirmed_ms) {
         return ReadStep::Idle;
     }
     let offset_before = node.follower().next_read_offset();
-    let wait_ms = if admits {
-        READ_WAIT_MS.min(duty.retention_ms / READ_WAIT_FRACTION)
+    let wait_ms = if admits_work {
+        READ_WAIT_MS.min(schedule.retention_ms / READ_WAIT_DIVISOR)
     } else {
         0
     };
     if !read_log(state, wait_ms).await {
         return ReadStep::Failed;
     }
-    publish_checkpoint(state, duty).await;
+    publish_checkpoint(state, schedule).await;
     // Without this pause, a log that answers empty reads at once would be polled in a busy loop.
     let was_immediate = node.now_ms() - now_ms < IDLE_PAUSE_MS;
     if was_immediate && node.follower().next_read_offset() == offset_before {
