--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    fn place(&self) -> HostLocation {
+    fn location(&self) -> HostLocation {
         HostLocation {
             region: self.region.clone(),
             domain: self.domain.clone(),
@@ -74,15 +74,15 @@
         None => Vec::new(),
     };
     Ok(HttpResponse::Ok().json(AddressesAnswer {
-        entries: live_entries(&state, query.region.as_deref()),
+        entries: usable_entries(&state, query.region.as_deref()),
         lifetime_ms: state.settings.address_lifetime_ms,
         permits,
     }))
 }
 
-/// Live entries in an order that alternates between failure domains, those of region
-/// `near` first.
-fn live_entries(state: &EntryState, near: Option<&str>) -> Vec<EntryAddress> {
+/// Usable entries in an order that alternates between failure domains, those of
+/// `preferred_region` first.
+fn usable_entries(state: &EntryState, preferred_region: Option<&str>) -> Vec<EntryAddress> {
     let node = &state.node;
     let now_ms = node.now_ms();
     let mut entries: Vec<EntryAddress> = node
@@ -95,7 +95,12 @@
         let own = node.process();
         entries.push(EntryAddress::new(own.listen, &own.region, &own.domain));
     }
-    let mut spread = spread_over_domains(entries, EntryAddress::place, near, &mut rand::rng());
+    let mut spread = spread_over_domains(
+        entries,
+        EntryAddress::location,
+        preferred_region,
+        &mut rand::rng(),
+    );
     spread.truncate(MAX_ENTRIES);
     spread
 }
--- a/src/entry/admin/edit.rs
+++ b/src/entry/admin/edit.rs
@@ -28,15 +28,15 @@
 /// Longest time for which a request waits for the outcome of its edit, in milliseconds.
 const MAX_OUTCOME_WAIT_MS: u64 = 12_000;
 
-/// Wait for a record whose append was not answered to be read from the log, in
-/// milliseconds; then the append is repeated.
+/// Time for which the log is read for the record of an unanswered append before the append
+/// is repeated, in milliseconds.
 const LOST_REPLY_WAIT_MS: u64 = 1_500;
 
 /// Pause between two reads of the log while an edit waits for its outcome.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Suggested wait before a request that the log or this entry could not serve is
-/// repeated, in milliseconds.
+/// Suggested wait before a retry when the log is unavailable, the entry is not ready or the
+/// outcome is unknown, in milliseconds.
 const RETRY_AFTER_MS: u64 = 2_000;
 
 /// HTTP status of an unavailable log, which has appended nothing.
@@ -201,11 +201,11 @@
 fn conflict_error(state: &EntryState, edit: &Edit, offset: Option<u64>) -> ApiError {
     let document = state.node.document();
     let winner = document.section(&edit.section).cloned();
-    let by = match &winner {
+    let cause = match &winner {
         Some(section) => format!("the edit of team {:?} was accepted first", section.team),
         None => "the section was deleted".to_owned(),
     };
-    let message = format!("section {:?} has changed: {by}", edit.section);
+    let message = format!("section {:?} has changed: {cause}", edit.section);
     let details = ConflictDetails {
         edit_id: edit.edit_id.clone(),
         offset,
--- a/src/entry/admin/in_force.rs
+++ b/src/entry/admin/in_force.rs
@@ -47,7 +47,7 @@
 
 /// Counts the known processes on which a revision is in force.
 ///
-/// That is so from the log offset equal to the revision.
+/// It is in force on a process whose log offset has reached the revision.
 fn count_in_force(state: &EntryState, revision: u64) -> InForceAnswer {
     let node = &state.node;
     let now_ms = node.now_ms();
@@ -61,8 +61,8 @@
             continue;
         }
         processes += 1;
-        let head = host.config_offset.unwrap_or(0);
-        if head < revision {
+        let offset = host.config_offset.unwrap_or(0);
+        if offset < revision {
             lacking.push(host.name.clone());
         }
     }
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -50,6 +50,7 @@
     path: String,
     body: Value,
     permit: Option<Permit>,
+    /// Number of this send of the permit, from 1; a retry with the same permit has the next.
     send: Option<u32>,
     deadline_ms: Option<u64>,
 }
--- a/src/entry/call_answer.rs
+++ b/src/entry/call_answer.rs
@@ -13,7 +13,7 @@
 /// Milliseconds per second, the unit of the header `Retry-After`.
 const MS_PER_S: u64 = 1000;
 
-/// Body of the answer to a call that has no answer of the service.
+/// JSON body of the answer to a call that the service did not answer.
 #[derive(Debug, Serialize)]
 struct CallErrorBody<'a> {
     code: &'static str,
--- a/src/entry/generate.rs
+++ b/src/entry/generate.rs
@@ -19,8 +19,7 @@
 /// Deadline when the caller names none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// Suggested wait before a request that an entry was not ready for is repeated, in
-/// milliseconds.
+/// Suggested wait before a retry when the entry is not ready, in milliseconds.
 const NOT_READY_RETRY_MS: u64 = 1000;
 
 /// Body of `POST /v1/generate`.
--- a/src/entry/generate_attempt.rs
+++ b/src/entry/generate_attempt.rs
@@ -87,7 +87,7 @@
     pub(super) host_key: HostKey,
     started_ms: u64,
     pub(super) outcome: AttemptOutcome,
-    /// Body of the response; `None` for a chunk after which the connection broke.
+    /// Chunks of the response body; an item `None` means that the connection broke.
     chunks: LocalBoxStream<'static, Option<Bytes>>,
     frames: FrameBuffer,
     /// Number of tokens received.
@@ -150,8 +150,8 @@
         wait: Duration,
     ) -> Result<GenerateFrame, RetryReason> {
         let until_late = self.time_until_late();
-        let is_late_first = until_late.is_some_and(|until_late| until_late < wait);
-        let reason = match is_late_first {
+        let is_late_limit_nearer = until_late.is_some_and(|until_late| until_late < wait);
+        let reason = match is_late_limit_nearer {
             true => RetryReason::LateFirstToken,
             false => RetryReason::Silent,
         };
@@ -193,7 +193,8 @@
         }
     }
 
-    /// Records a token for the endpoint's time to the first token and token interval.
+    /// Counts a token, and records the time to the first one and samples of the endpoint's
+    /// token interval.
     pub(super) fn record_token(&mut self) {
         if self.tokens == 0
             && let Some(since) = self.running_since
--- a/src/entry/generate_relay.rs
+++ b/src/entry/generate_relay.rs
@@ -29,7 +29,7 @@
 /// Number of refusals for load after which the request may still be sent to another endpoint.
 const MAX_REFUSALS: u32 = 1;
 
-/// Suggested wait before a request that no replica answered is repeated, in milliseconds.
+/// Suggested wait before a retry when no replica answered, in milliseconds.
 const NO_REPLICA_RETRY_MS: u64 = 1000;
 
 /// Action that follows from a frame or its absence.
@@ -242,7 +242,8 @@
         match frame {
             GenerateFrame::Started { load } => {
                 attempt.record_load(load);
-                // A late first token moves a request only once; a second replica has no limit.
+                // Only the first attempt has a limit on the time to the first token, so that a
+                // late token moves a request to another replica at most once.
                 attempt.record_start(self.attempt_count > 1);
                 RelayStep::Continue
             }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -114,7 +114,7 @@
         self.server.kill().await;
     }
 
-    /// Stops as planned.
+    /// Shuts down gracefully.
     ///
     /// The entry removes itself from the addresses, serves until those that callers
     /// hold have expired, and then completes the requests in progress.
--- a/src/entry/status_view.rs
+++ b/src/entry/status_view.rs
@@ -173,7 +173,7 @@
     /// View of the answering entry, which sends no reports to itself.
     fn for_answering_entry(host: &Host, config: ConfigPosition) -> Self {
         Self {
-            standing: standing_name(HostStatus::Usable).to_owned(),
+            standing: host_status_name(HostStatus::Usable).to_owned(),
             silent_ms: Some(0),
             config_offset: Some(config.offset),
             ..Self::new(host, 0)
@@ -188,7 +188,7 @@
             region: host.region.clone(),
             domain: host.domain.clone(),
             service: host.service.clone(),
-            standing: standing_name(host.status(now_ms)).to_owned(),
+            standing: host_status_name(host.status(now_ms)).to_owned(),
             silent_ms: host.silent_ms(now_ms),
             config_offset: host.config_offset,
             load: host.load,
@@ -215,8 +215,8 @@
         .collect()
 }
 
-fn standing_name(standing: HostStatus) -> &'static str {
-    match standing {
+fn host_status_name(status: HostStatus) -> &'static str {
+    match status {
         HostStatus::Usable => "usable",
         HostStatus::NeverReported => "unheard",
         HostStatus::Silent => "silent",
