--- a/src/endpoint/call.rs
+++ b/src/endpoint/call.rs
@@ -25,7 +25,7 @@
 use crate::links::decode_call;
 use crate::weights::Digest;
 
-/// Handles a call of the plain service beside this process.
+/// Handles a call to the plain service beside this process.
 pub async fn handle_call(
     state: web::Data<EndpointState>,
     request: HttpRequest,
@@ -170,7 +170,7 @@
         return Err(RefusalReason::Paused);
     }
     let limit = state.settings.slots + state.settings.queue_limit;
-    if state.calls.running() as u64 >= limit {
+    if state.calls.running_count() as u64 >= limit {
         return Err(RefusalReason::Overloaded);
     }
     let suspect_status = state.node.suspects().request_status(fingerprint, now_ms);
--- a/src/endpoint/call_registry.rs
+++ b/src/endpoint/call_registry.rs
@@ -16,7 +16,7 @@
 /// Future that completes when a call has ended.
 pub(super) type CallEnd = Shared<BoxFuture<'static, ()>>;
 
-/// Running calls of the plain service of this endpoint, and the crashes of the service.
+/// Running calls to the plain service of this endpoint, and the crashes of the service.
 #[derive(Debug)]
 pub struct CallRegistry {
     inner: Mutex<Inner>,
@@ -26,14 +26,15 @@
 /// Content of [`CallRegistry`], behind its lock.
 #[derive(Debug, Default)]
 struct Inner {
-    // Calls with a permit, ascending by nonce.
+    /// Calls with a permit, ascending by nonce.
     running: Vec<(Nonce, CallEnd)>,
-    // Number of running idempotent calls.
-    idempotent: usize,
-    suspects: SuspectSlot,
-    // Crashes of the service so far.
-    crashes: u32,
-    // Whether the service has crashed and not answered since.
+    /// Number of running idempotent calls.
+    idempotent_count: usize,
+    /// Slot in which one crash suspect at a time may run.
+    suspect_slot: SuspectSlot,
+    /// Number of crashes of the service so far.
+    crash_count: u32,
+    /// Whether the service has crashed and not answered since.
     is_down: bool,
 }
 
@@ -52,9 +53,9 @@
     }
 
     /// Number of running calls.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         let inner = self.lock();
-        inner.running.len() + inner.idempotent
+        inner.running.len() + inner.idempotent_count
     }
 
     /// Adds a call with a permit, which runs in a task of its own.
@@ -81,13 +82,13 @@
 
     /// Counts an idempotent call until the guard is dropped.
     pub(super) fn count_idempotent(&self) -> IdempotentCallGuard<'_> {
-        self.lock().idempotent += 1;
+        self.lock().idempotent_count += 1;
         IdempotentCallGuard { registry: self }
     }
 
     /// Calls `change` with the slot for crash suspects.
     pub(super) fn with_suspect_slot<T>(&self, change: impl FnOnce(&mut SuspectSlot) -> T) -> T {
-        change(&mut self.lock().suspects)
+        change(&mut self.lock().suspect_slot)
     }
 
     /// Records that the service answers.
@@ -102,9 +103,9 @@
         let mut inner = self.lock();
         if !inner.is_down {
             inner.is_down = true;
-            inner.crashes += 1;
+            inner.crash_count += 1;
         }
-        inner.crashes
+        inner.crash_count
     }
 
     /// Waits until no call with a permit is running.
@@ -137,6 +138,6 @@
 
 impl Drop for IdempotentCallGuard<'_> {
     fn drop(&mut self) {
-        self.registry.lock().idempotent -= 1;
+        self.registry.lock().idempotent_count -= 1;
     }
 }
--- a/src/endpoint/engine_health.rs
+++ b/src/endpoint/engine_health.rs
@@ -13,11 +13,12 @@
 /// Content of [`EngineHealth`], behind its lock.
 #[derive(Debug, Default)]
 struct Inner {
-    /// Crashes so far.
-    crashes: u32,
+    /// Number of crashes so far.
+    crash_count: u32,
     /// Whether the engine has crashed and sent no token since.
     is_down: bool,
-    suspects: SuspectSlot,
+    /// Slot in which one crash suspect at a time may run.
+    suspect_slot: SuspectSlot,
 }
 
 impl EngineHealth {
@@ -33,15 +34,15 @@
         let mut inner = self.lock();
         if !inner.is_down {
             inner.is_down = true;
-            inner.crashes += 1;
+            inner.crash_count += 1;
         }
-        inner.crashes
+        inner.crash_count
     }
 
     /// Takes the slot for crash suspects until the guard is dropped; `None` if another
     /// request holds it.
     pub(super) fn acquire_suspect_slot(&self, fingerprint: Digest) -> Option<SuspectGuard<'_>> {
-        let acquired = self.lock().suspects.try_acquire(fingerprint);
+        let acquired = self.lock().suspect_slot.try_acquire(fingerprint);
         acquired.then_some(SuspectGuard {
             health: self,
             fingerprint,
@@ -64,6 +65,6 @@
 
 impl Drop for SuspectGuard<'_> {
     fn drop(&mut self) {
-        self.health.lock().suspects.release(self.fingerprint);
+        self.health.lock().suspect_slot.release(self.fingerprint);
     }
 }
--- a/src/endpoint/generate_run.rs
+++ b/src/endpoint/generate_run.rs
@@ -60,7 +60,7 @@
     /// Runs the request until its final frame is sent or the stream is closed.
     pub(super) async fn run(self) {
         let deadline_ms = self.queue.now_ms() + self.call.deadline_ms;
-        let Ok(_suspect) = self.wait_as_suspect(deadline_ms).await else {
+        let Ok(_suspect_guard) = self.wait_for_suspect_slot(deadline_ms).await else {
             return;
         };
         let cost_tokens = self.call.cost_tokens();
@@ -83,7 +83,7 @@
 
     /// Takes the slot for crash suspects if the request is one, with heartbeats while
     /// another suspect holds it.
-    async fn wait_as_suspect(
+    async fn wait_for_suspect_slot(
         &self,
         deadline_ms: u64,
     ) -> Result<Option<SuspectGuard<'_>>, StreamClosed> {
@@ -196,7 +196,7 @@
                         load: self.queue.load(),
                     });
                 }
-                Ok(StreamEvent::Error { code, .. }) => return Ok(failed_frame(stream_fault(code))),
+                Ok(StreamEvent::Error { code, .. }) => return Ok(failed_frame(code_fault(code))),
                 Err(fault) => return Ok(failed_frame(fault)),
             }
         }
@@ -296,10 +296,10 @@
     }
 }
 
-/// Stream fault that an engine error stands for.
+/// Stream fault to report for an engine error.
 fn error_fault(error: &EngineError) -> StreamFault {
     match error {
-        EngineError::Refused(fault) => stream_fault(*fault),
+        EngineError::Refused(code) => code_fault(*code),
         EngineError::NotSent(_)
         | EngineError::Unreachable(_)
         | EngineError::Status(_)
@@ -307,9 +307,9 @@
     }
 }
 
-/// Stream fault that a fault reported by the engine stands for.
-fn stream_fault(fault: EngineErrorCode) -> StreamFault {
-    match fault {
+/// Stream fault to report for an error code of the engine.
+fn code_fault(code: EngineErrorCode) -> StreamFault {
+    match code {
         EngineErrorCode::NotLoaded | EngineErrorCode::BaseNotLoaded => StreamFault::NotLoaded,
         EngineErrorCode::DeadlinePassed => StreamFault::DeadlinePassed,
         EngineErrorCode::StaleOrder
--- a/src/endpoint/weights_engine.rs
+++ b/src/endpoint/weights_engine.rs
@@ -80,7 +80,7 @@
         };
         match self.client.load(&order).await {
             Ok(answer) => LoadOutcome::Loaded(answer.whole),
-            Err(EngineError::Refused(fault)) => LoadOutcome::Refused(hold_reason(fault, tracked)),
+            Err(EngineError::Refused(code)) => LoadOutcome::Refused(hold_reason(code, tracked)),
             Err(_) => match self.engine_state().await {
                 Ok(engine_state) => loaded_content_digest(&engine_state, manifest)
                     .map_or(LoadOutcome::Unknown, LoadOutcome::Loaded),
@@ -110,11 +110,11 @@
 }
 
 /// Hold reason for a refused order to load `tracked`.
-fn hold_reason(fault: EngineErrorCode, tracked: &TrackedVersion) -> HoldReason {
-    match (fault, tracked.base) {
+fn hold_reason(code: EngineErrorCode, tracked: &TrackedVersion) -> HoldReason {
+    match (code, tracked.base) {
         (EngineErrorCode::BaseNotLoaded, Some(base)) => HoldReason::BaseNotLoaded { base },
         _ => HoldReason::EngineRefused {
-            reason: fault.name().to_owned(),
+            reason: code.name().to_owned(),
         },
     }
 }
