--- a/src/endpoint/call_run.rs
+++ b/src/endpoint/call_run.rs
@@ -57,7 +57,7 @@
             .max(1);
         let service = self.state.node.document().service(&call.service);
         let timeout_ms = service.map_or(left_ms, |service| service.timeout_ms);
-        let service_call = clients::ServiceRequest {
+        let request = clients::ServiceRequest {
             path: call.path,
             request_id: call.request_id,
             key: nonce.map(|nonce| nonce.to_string()),
@@ -67,7 +67,7 @@
             timeout_ms: nonce.map_or(left_ms.min(timeout_ms), |_| timeout_ms),
         };
         let client = ServiceClient::new(self.state.settings.backend.url());
-        match client.call(service_call).await {
+        match client.call(request).await {
             Ok(answer) => {
                 self.record_answered();
                 CallOutcome::Answer(answer)
--- a/src/endpoint/generate_queue.rs
+++ b/src/endpoint/generate_queue.rs
@@ -159,7 +159,7 @@
                 let slot = RunSlot {
                     queue: Arc::clone(self),
                     started_ms: now_ms,
-                    finished: FinishedRequest {
+                    usage: FinishedRequest {
                         branch: request.branch,
                         cost_tokens: request.cost_tokens,
                         used_tokens: 0,
@@ -193,26 +193,25 @@
     queue: Arc<GenerateQueue>,
     started_ms: u64,
     /// Usage of the request, passed to the queue when the slot is freed.
-    finished: FinishedRequest,
+    usage: FinishedRequest,
 }
 
 impl RunSlot {
     /// Adds tokens that the request used, up to its estimated cost.
     pub(super) fn add_used_tokens(&mut self, tokens: u64) {
-        self.finished.used_tokens =
-            (self.finished.used_tokens + tokens).min(self.finished.cost_tokens);
+        self.usage.used_tokens = (self.usage.used_tokens + tokens).min(self.usage.cost_tokens);
     }
 
     /// Records that the answer is complete, so that its duration enters the averages from
     /// which the queue estimates waits.
     pub(super) fn record_completion(&mut self) {
-        self.finished.held_ms = Some(self.queue.now_ms() - self.started_ms);
+        self.usage.held_ms = Some(self.queue.now_ms() - self.started_ms);
     }
 }
 
 impl Drop for RunSlot {
     fn drop(&mut self) {
-        self.queue.lock().finish(self.finished);
+        self.queue.lock().finish(self.usage);
         self.queue.dispatch();
     }
 }
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,6 +1,6 @@
 //! Endpoint role: the process in front of one engine or plain service.
 //!
-//! Every order to the engine and every call of the service passes through it.
+//! Every order to the engine and every call to the service passes through it.
 //! Beside an engine it also fetches model weights and has the engine load them.
 
 mod call;
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -35,7 +35,8 @@
     state: Arc<EndpointState>,
 }
 
-/// Starts an endpoint: its HTTP server, its reports and its housekeeping.
+/// Starts an endpoint: its HTTP server, host list watcher, heartbeats and housekeeping of
+/// calls, and beside an engine its weights manager and load updater.
 ///
 /// # Errors
 ///
@@ -81,12 +82,12 @@
         &self.state.node
     }
 
-    /// Stops at once; requests in progress are aborted.
+    /// Stops at once; requests in progress are cut off.
     pub async fn kill(&self) {
         self.server.kill().await;
     }
 
-    /// Stops in order: notifies the entries, then drains the requests in progress.
+    /// Shuts down gracefully: notifies the entries, then drains the requests in progress.
     pub async fn stop(&self) {
         let node = &self.state.node;
         emit_event(Event::ProcessStopping, &[("host", &node.name())]);
--- a/src/endpoint/state.rs
+++ b/src/endpoint/state.rs
@@ -30,7 +30,7 @@
     pub settings: EndpointSettings,
     /// Identity of the process, known hosts and configuration.
     pub node: Arc<Node>,
-    /// Running calls of the plain service.
+    /// Running calls to the plain service.
     pub calls: CallRegistry,
     /// Weights on this host.
     pub weights: Arc<WeightsState>,
--- a/src/endpoint/weights_manager.rs
+++ b/src/endpoint/weights_manager.rs
@@ -130,13 +130,13 @@
             .down
             .set_has_live_requests(has_live_requests);
         self.update_tracked(&wanted);
-        for at in 0..self.tracked.len() {
-            let digest = self.tracked[at].digest();
+        for index in 0..self.tracked.len() {
+            let digest = self.tracked[index].digest();
             if let Some(wanted_model) = wanted
                 .iter()
                 .find(|wanted_model| wanted_model.model.manifest == digest)
             {
-                self.advance_version(at, wanted_model).await;
+                self.advance_version(index, wanted_model).await;
             }
         }
         self.check_engine().await;
@@ -157,9 +157,9 @@
         for model in node.document().models() {
             // An adapter is placed by the name of its base model, which puts both on the
             // same hosts.
-            let placed_as = model.base.clone().unwrap_or_else(|| model.name.clone());
+            let placement_name = model.base.clone().unwrap_or_else(|| model.name.clone());
             let names = members.iter().map(|member| member.host.name.as_str());
-            let chosen = replica_hosts(&placed_as, model.replicas, names);
+            let chosen = replica_hosts(&placement_name, model.replicas, names);
             let Some(rank) = chosen.iter().position(|name| *name == node.name()) else {
                 continue;
             };
@@ -242,17 +242,17 @@
         });
     }
 
-    /// Takes the next step of a version, as its stage requires.
-    async fn advance_version(&mut self, at: usize, wanted_model: &WantedModel) {
+    /// Takes the next step of the tracked version at `index`, as its stage requires.
+    async fn advance_version(&mut self, index: usize, wanted_model: &WantedModel) {
         let now_ms = self.state.node.now_ms();
-        let tracked = &mut self.tracked[at];
+        let tracked = &mut self.tracked[index];
         match tracked.version.stage_kind() {
             VersionStageKind::Announced if tracked.is_retry_due(now_ms) => {
-                self.start_version(at, wanted_model).await
+                self.start_version(index, wanted_model).await
             }
             VersionStageKind::Fetching => update_members(tracked, wanted_model),
             VersionStageKind::Verified if tracked.is_retry_due(now_ms) => {
-                self.load_version(at, wanted_model).await
+                self.load_version(index, wanted_model).await
             }
             VersionStageKind::Held if tracked.is_retry_due(now_ms) => tracked.version.restart(),
             _ => {}
@@ -260,15 +260,15 @@
     }
 
     /// Reads the manifest from the origin and starts the transfer.
-    async fn start_version(&mut self, at: usize, wanted_model: &WantedModel) {
+    async fn start_version(&mut self, index: usize, wanted_model: &WantedModel) {
         let manifest = self
             .origin
             .fetch_manifest(&wanted_model.model.name, &wanted_model.model.version)
             .await;
         let now_ms = self.state.node.now_ms();
-        let tracked = &mut self.tracked[at];
+        let tracked = &mut self.tracked[index];
         match manifest {
-            Ok(manifest) => self.start_transfer(at, manifest, wanted_model),
+            Ok(manifest) => self.start_transfer(index, manifest, wanted_model),
             Err(OriginError::Missing) => {
                 tracked.record_failure(Some(HoldReason::ManifestMissing), 0, now_ms)
             }
@@ -280,14 +280,14 @@
     }
 
     /// Starts the transfer, or records why the version is held.
-    fn start_transfer(&mut self, at: usize, manifest: Manifest, wanted_model: &WantedModel) {
+    fn start_transfer(&mut self, index: usize, manifest: Manifest, wanted_model: &WantedModel) {
         let now_ms = self.state.node.now_ms();
-        let digest = self.tracked[at].digest();
+        let digest = self.tracked[index].digest();
         if let Err(error) = manifest.validate_with_digest(digest) {
-            self.tracked[at].record_failure(Some(error.into()), 0, now_ms);
+            self.tracked[index].record_failure(Some(error.into()), 0, now_ms);
             return;
         }
-        self.tracked[at].base = manifest.base;
+        self.tracked[index].base = manifest.base;
         let weights = Arc::clone(&self.state.weights);
         match WeightsTransfer::new(
             weights,
@@ -296,20 +296,20 @@
             self.transfer_options(),
         ) {
             Some(transfer) => {
-                let tracked = &mut self.tracked[at];
+                let tracked = &mut self.tracked[index];
                 tracked.members.clone_from(&wanted_model.members);
                 tracked.transfer = Some(transfer.start());
                 tracked.record_success();
             }
             None => {
-                let held = self.tracked[at].version.hold_reason();
+                let held = self.tracked[index].version.hold_reason();
                 self.release_superseded(digest);
                 let cause = held.as_ref().map_or_else(String::new, ToString::to_string);
                 emit_event(
                     Event::WeightsHeld,
                     &[("manifest", &digest.short_hex()), ("cause", &cause)],
                 );
-                self.tracked[at].record_failure(held, 0, now_ms);
+                self.tracked[index].record_failure(held, 0, now_ms);
             }
         }
     }
@@ -346,8 +346,8 @@
     }
 
     /// Loads a verified version once its base is loaded and this host has its load slot.
-    async fn load_version(&mut self, at: usize, wanted_model: &WantedModel) {
-        let base = self.tracked[at].base;
+    async fn load_version(&mut self, index: usize, wanted_model: &WantedModel) {
+        let base = self.tracked[index].base;
         if let Some(base) = base
             && !self
                 .tracked
@@ -355,7 +355,7 @@
                 .any(|other| other.digest() == base && other.is_serving())
         {
             let now_ms = self.state.node.now_ms();
-            self.tracked[at].record_failure(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
+            self.tracked[index].record_failure(Some(HoldReason::BaseNotLoaded { base }), 0, now_ms);
             return;
         }
         if self.serves_other_version(wanted_model) && !self.has_load_slot(wanted_model).await {
@@ -363,10 +363,10 @@
         }
         let outcome = self
             .order_sender
-            .load_version(&self.state, &self.tracked[at])
+            .load_version(&self.state, &self.tracked[index])
             .await;
         let now_ms = self.state.node.now_ms();
-        let tracked = &mut self.tracked[at];
+        let tracked = &mut self.tracked[index];
         match outcome {
             LoadOutcome::Loaded(content_digest) => record_loaded(tracked, content_digest, now_ms),
             LoadOutcome::Unknown => {
@@ -380,8 +380,8 @@
     /// Checks that the engine still has the serving versions; those it lost are loaded again.
     async fn check_engine(&mut self) {
         let now_ms = self.state.node.now_ms();
-        let serving = self.tracked.iter().any(TrackedVersion::is_serving);
-        if !serving || now_ms < self.engine_checked_ms + ENGINE_CHECK_INTERVAL_MS {
+        let is_any_serving = self.tracked.iter().any(TrackedVersion::is_serving);
+        if !is_any_serving || now_ms < self.engine_checked_ms + ENGINE_CHECK_INTERVAL_MS {
             return;
         }
         self.engine_checked_ms = now_ms;
@@ -389,11 +389,11 @@
             return;
         };
         for tracked in &mut self.tracked {
-            let holds = engine_state
+            let is_loaded = engine_state
                 .loaded
                 .iter()
                 .any(|loaded| loaded.manifest == tracked.digest());
-            if tracked.is_serving() && tracked.retired_ms.is_none() && !holds {
+            if tracked.is_serving() && tracked.retired_ms.is_none() && !is_loaded {
                 tracked.version.require_reload();
             }
         }
--- a/src/endpoint/weights_rollout.rs
+++ b/src/endpoint/weights_rollout.rs
@@ -31,25 +31,28 @@
             .any(TrackedVersion::is_serving)
     }
 
-    /// Whether it is this host's load slot: it may switch to the new version, going by the
-    /// hosts before it in the rollout order.
+    /// Whether this host has a load slot, which means that it may switch to the new version
+    /// now. This depends on the hosts before it in the rollout order.
     pub(super) async fn has_load_slot(&self, wanted_model: &WantedModel) -> bool {
         let step = wanted_model.model.step_replicas.max(1) as usize;
         let mut states = vec![PredecessorState::Skipped; wanted_model.rank];
-        let mut at = wanted_model.rank;
-        while let Some(before) = at.checked_sub(step) {
-            states[before] = self
-                .request_serving_state(&wanted_model.members[before], wanted_model.model.manifest)
+        let mut rank = wanted_model.rank;
+        while let Some(predecessor) = rank.checked_sub(step) {
+            states[predecessor] = self
+                .request_serving_state(
+                    &wanted_model.members[predecessor],
+                    wanted_model.model.manifest,
+                )
                 .await;
-            if states[before] != PredecessorState::Skipped {
+            if states[predecessor] != PredecessorState::Skipped {
                 break;
             }
-            at = before;
+            rank = predecessor;
         }
         may_switch_version(
             wanted_model.rank,
             wanted_model.model.step_replicas,
-            |rank| states[rank],
+            |other_rank| states[other_rank],
         )
     }
 
@@ -119,10 +122,11 @@
         }
     }
 
-    /// Whether the version at `at` is no longer needed: the model was removed, or its new
-    /// version is served here or, if it is not tracked here, on every host that should serve it.
-    async fn is_replaced(&self, at: usize) -> bool {
-        let name = &self.tracked[at].model.name;
+    /// Whether the tracked version at `index` is no longer needed: the model was removed, or
+    /// its new version is served here or, if it is not tracked here, on every host that should
+    /// serve it.
+    async fn is_replaced(&self, index: usize) -> bool {
+        let name = &self.tracked[index].model.name;
         let Some(model) = self.state.node.document().model(name) else {
             return true;
         };
@@ -134,9 +138,9 @@
             return successor.is_serving();
         }
         let members = self.swarm_members();
-        let placed_as = model.base.as_ref().unwrap_or(&model.name);
+        let placement_name = model.base.as_ref().unwrap_or(&model.name);
         let names = members.iter().map(|member| member.host.name.as_str());
-        for name in replica_hosts(placed_as, model.replicas, names) {
+        for name in replica_hosts(placement_name, model.replicas, names) {
             let member = members.iter().find(|member| member.host.name == name);
             let Some(member) = member else { continue };
             if self.request_serving_state(member, model.manifest).await != PredecessorState::Serving
--- a/src/endpoint/weights_tracked.rs
+++ b/src/endpoint/weights_tracked.rs
@@ -32,13 +32,15 @@
     pub(super) members: Vec<SwarmMember>,
     /// Manifest of the base model; adapters only, once the adapter's manifest is known.
     pub(super) base: Option<Digest>,
-    /// Why the version is held until its next attempt, if it is.
+    /// Cause of the last failure, for which the version is reported as held until a step
+    /// succeeds.
     pub(super) temporary_hold: Option<HoldReason>,
-    /// When the version was left out of the reports; the engine unloads it some time later.
+    /// Time from which the version is left out of the reports, in milliseconds; the engine
+    /// unloads it some time later.
     pub(super) retired_ms: Option<u64>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     failures: u32,
-    /// Earliest time of the next attempt.
+    /// Earliest time of the next attempt, in milliseconds.
     next_attempt_ms: u64,
 }
 
--- a/src/endpoint/weights_transfer.rs
+++ b/src/endpoint/weights_transfer.rs
@@ -396,12 +396,12 @@
     http: &HttpClient,
     url: &str,
     request: &PeerRequest,
-    wait_ms: u64,
+    timeout_ms: u64,
 ) -> Result<ChunkFrame, LinkError> {
     let malformed = |cause: &str| LinkError::Malformed(cause.to_owned());
     let body = rmp_serde::to_vec_named(request).map_err(|error| malformed(&error.to_string()))?;
     let request = http.request(Method::POST, url);
-    let answer = HttpClient::send_and_read(request, body, wait_ms).await?;
+    let answer = HttpClient::send_and_read(request, body, timeout_ms).await?;
     ChunkFrame::decode(&answer).ok_or_else(|| malformed("not a chunk frame"))
 }
 
--- a/src/endpoint/weights_version.rs
+++ b/src/endpoint/weights_version.rs
@@ -70,7 +70,7 @@
     digest: Digest,
     stage: Mutex<VersionStage>,
     peer_requests: Mutex<Vec<PeerRequest>>,
-    // Number of uploads in progress.
+    /// Number of uploads in progress.
     uploads: AtomicU32,
     /// Notified after each change of the stage or the chunks.
     pub(super) signal: ChangeSignal,
@@ -279,7 +279,7 @@
         });
     }
 
-    /// Returns a held version to announced.
+    /// Moves a held version back to announced, so that it is fetched again.
     pub(super) fn restart(&self) {
         self.advance(|stage| match stage {
             VersionStage::Held(_) => {
