--- a/src/bench/control_fleet.rs
+++ b/src/bench/control_fleet.rs
@@ -212,7 +212,7 @@
                 name: "desk".to_owned(),
             };
             let settings = EndpointSettings::new(process, platform, cluster, backend);
-            Ok(Arc::clone(endpoint::start(settings).await?.node()))
+            Ok(Arc::clone(endpoint::start_endpoint(settings).await?.node()))
         }
     }
 }
--- a/src/cli/demo/fleet.rs
+++ b/src/cli/demo/fleet.rs
@@ -171,7 +171,7 @@
         let name = settings.process.name.clone();
         let thread = HostThread::start(move || async move {
             let backend = engine::start(EngineOptions::new(backend_address)).await?;
-            Ok((backend, endpoint::start(settings).await?))
+            Ok((backend, endpoint::start_endpoint(settings).await?))
         })?;
         self.engines.push(Host { name, thread });
         Ok(())
@@ -197,7 +197,7 @@
         };
         let thread = HostThread::start(move || async move {
             let backend = service::start(options).await?;
-            Ok((backend, endpoint::start(settings).await?))
+            Ok((backend, endpoint::start_endpoint(settings).await?))
         })?;
         self.services.push(Host { name, thread });
         Ok(())
--- a/src/cli/endpoint.rs
+++ b/src/cli/endpoint.rs
@@ -37,7 +37,7 @@
 pub fn run(args: EndpointArgs) -> Result<(), CliError> {
     let settings = args.load_settings()?;
     run_process(async move {
-        let handle = endpoint::start(settings).await?;
+        let handle = endpoint::start_endpoint(settings).await?;
         Ok(move || async move { handle.stop().await })
     })
 }
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -31,7 +31,7 @@
 pub use generate_queue::GenerateQueue;
 pub use generate_server::GenerateServer;
 pub use server::EndpointHandle;
-pub use server::start;
+pub use server::start_endpoint;
 pub use state::EndpointState;
 pub use state::SLOTS_PER_RESERVED_SLOT;
 pub use weights_http::WeightsHosts;
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -41,7 +41,7 @@
 /// # Errors
 ///
 /// Returns the I/O error when its address can't be bound.
-pub async fn start(settings: EndpointSettings) -> io::Result<EndpointHandle> {
+pub async fn start_endpoint(settings: EndpointSettings) -> io::Result<EndpointHandle> {
     let options = ServeOptions {
         drain_ms: settings.drain_ms,
         ..ServeOptions::default()
