--- a/tests/api_input/main.rs
+++ b/tests/api_input/main.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use self::raw_http::RawAnswer;
-use self::raw_http::exchange;
+use self::raw_http::send_request;
 use self::raw_http::send_slowly;
 use bergamotfork::weights::Digest;
 use support::Cluster;
@@ -56,7 +56,7 @@
 
 fn get(address: SocketAddr, path: &str, token: &str) -> RawAnswer {
     let head = format!("GET {path} HTTP/1.1\r\nauthorization: Bearer {token}\r\n");
-    exchange(address, &head, "")
+    send_request(address, &head, "")
 }
 
 fn post(address: SocketAddr, path: &str, token: &str, body: &str) -> RawAnswer {
@@ -65,7 +65,7 @@
          content-type: application/json\r\ncontent-length: {}\r\n",
         body.len()
     );
-    exchange(address, &head, body)
+    send_request(address, &head, body)
 }
 
 fn generate_body(branch: &str, model: &str) -> String {
@@ -85,7 +85,7 @@
 
 /// Checks that the entry still answers.
 fn assert_healthy(address: SocketAddr, after: &str) {
-    let answer = exchange(address, "GET /health/live HTTP/1.1\r\n", "");
+    let answer = send_request(address, "GET /health/live HTTP/1.1\r\n", "");
     assert_eq!(answer.status, 200, "not healthy after {after}");
 }
 
@@ -262,7 +262,7 @@
              content-type: application/json\r\ncontent-length: {}\r\n",
             body.len()
         );
-        let answer = exchange(address, &head, body);
+        let answer = send_request(address, &head, body);
         let case = format!("{method} {path} {body:.80}: {answer:?}");
         assert_eq!(answer.status, status, "{case}");
         assert_eq!(answer.json()["code"], code, "{case}");
@@ -294,7 +294,7 @@
         format!("GET / HTTP/1.1\r\nx: {long}\r\n"),
     ];
     for head in cases {
-        let answer = exchange(address, &head, "");
+        let answer = send_request(address, &head, "");
         // A head that cannot be parsed is refused by the HTTP server, without an error code.
         let refused = (400..500).contains(&answer.status) || answer.status == 0;
         assert!(refused, "{head:.60}: {answer:?}");
@@ -311,7 +311,7 @@
     );
     let chunk = "x".repeat(MAX_BODY_BYTES + 1);
     let body = format!("{:x}\r\n{chunk}\r\n0\r\n\r\n", chunk.len());
-    let answer = exchange(address, &head, &body);
+    let answer = send_request(address, &head, &body);
     assert_eq!(
         (answer.status, answer.json()["code"].as_str()),
         (413, Some("body_too_large"))
--- a/tests/api_input/raw_http.rs
+++ b/tests/api_input/raw_http.rs
@@ -68,7 +68,7 @@
 /// Sends a request over a new connection and reads the answer.
 ///
 /// The headers `host` and `connection` are added to the head.
-pub fn exchange(address: SocketAddr, head: &str, body: &str) -> RawAnswer {
+pub fn send_request(address: SocketAddr, head: &str, body: &str) -> RawAnswer {
     let mut stream = connect(address);
     let request = format!("{head}host: entry\r\nconnection: close\r\n\r\n{body}");
     // The entry may answer and close before it has read everything.
--- a/tests/api_stop/main.rs
+++ b/tests/api_stop/main.rs
@@ -115,7 +115,7 @@
     }
 
     /// Waits until a process ends; returns its exit code.
-    async fn exit_code(&mut self, name: &str) -> i32 {
+    async fn wait_for_exit(&mut self, name: &str) -> i32 {
         let process = self.cluster.process(name);
         until(&format!("{name} ends"), 30, async || process.exit_code()).await
     }
@@ -130,7 +130,7 @@
         send_signal(&system, name, signal);
     });
     assert_eq!(tokens, Some(ANSWER_TOKENS), "the stream was cut off");
-    assert_eq!(system.exit_code(name).await, 0);
+    assert_eq!(system.wait_for_exit(name).await, 0);
 }
 
 fn send_signal(system: &TestSystem, name: &str, signal: &str) {
@@ -179,7 +179,7 @@
         send_signal(&system, "desk-1", "TERM");
     });
     assert_answered(&answer);
-    assert_eq!(system.exit_code("desk-1").await, 0);
+    assert_eq!(system.wait_for_exit("desk-1").await, 0);
 }
 
 #[actix_rt::test]
@@ -193,7 +193,7 @@
         "desk-1-service",
     ] {
         send_signal(&system, name, "TERM");
-        assert_eq!(system.exit_code(name).await, 0, "{name}");
+        assert_eq!(system.wait_for_exit(name).await, 0, "{name}");
     }
 }
 
--- a/tests/generate_path/generate_cluster.rs
+++ b/tests/generate_path/generate_cluster.rs
@@ -103,7 +103,7 @@
     }
 
     /// Waits until an engine runs a stream, and returns its number.
-    pub async fn running_engine(&self) -> usize {
+    pub async fn wait_for_running_engine(&self) -> usize {
         until("an engine runs the stream", 20, async || {
             let states = self.states().await;
             states.iter().position(|state| state.running > 0)
--- a/tests/generate_path/main.rs
+++ b/tests/generate_path/main.rs
@@ -38,7 +38,7 @@
 async fn generate_resumes_after_kill() {
     let mut cluster = GenerateCluster::start(2).await;
     let answer = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
-    let running = cluster.running_engine().await;
+    let running = cluster.wait_for_running_engine().await;
     cluster.process(running).kill();
     cluster.assert_answer(
         &answer.await.expect("the caller waits"),
@@ -52,7 +52,7 @@
     let mut cluster = GenerateCluster::start(2).await;
     let start = Instant::now();
     let answer = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
-    let running = cluster.running_engine().await;
+    let running = cluster.wait_for_running_engine().await;
     cluster.process(running).signal("STOP");
     let answer = answer.await.expect("the caller waits");
     let took = start.elapsed();
@@ -65,7 +65,7 @@
 async fn generate_planned_stop() {
     let mut cluster = GenerateCluster::start(2).await;
     let answer = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
-    let running = cluster.running_engine().await;
+    let running = cluster.wait_for_running_engine().await;
     cluster.process(running).signal("TERM");
     for number in 0..10 {
         let prompt = format!("rule {number}?");
@@ -87,7 +87,7 @@
 async fn generate_caller_disconnects() {
     let cluster = GenerateCluster::start(2).await;
     let answer = cluster.spawn_generate("tides?", 1000);
-    cluster.running_engine().await;
+    cluster.wait_for_running_engine().await;
     answer.abort();
     cluster.wait_until_idle().await;
 }
@@ -98,7 +98,7 @@
 async fn generate_refused_after_three_crashes() {
     let cluster = GenerateCluster::start(5).await;
     let unaffected = cluster.spawn_generate("tides?", LONG_ANSWER_TOKENS);
-    cluster.running_engine().await;
+    cluster.wait_for_running_engine().await;
     let crashing = "what [[crash]] is this?";
     for _ in 0..6 {
         let refused = cluster.generate(crashing, 4).await;
