--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,6 +1,6 @@
 //! Endpoint role: the process in front of one engine or plain service.
 //!
-//! Every order to the engine and every call of the service passes through it.
+//! Every order to the engine and every call to the service passes through it.
 //! Beside an engine it also fetches model weights and has the engine load them.
 
 mod call;
@@ -31,7 +31,7 @@
 pub use generate_queue::GenerateQueue;
 pub use generate_server::GenerateServer;
 pub use server::EndpointHandle;
-pub use server::start;
+pub use server::start_endpoint;
 pub use state::EndpointState;
 pub use state::SLOTS_PER_RESERVED_SLOT;
 pub use weights_http::WeightsHosts;
